--- a/crates/agent/src/control.rs
+++ b/crates/agent/src/control.rs
@@ -24,7 +24,7 @@
 use flamingowheel_observe::reason::LeaveCause;
 use flamingowheel_observe::recorder::Recorder;
 use flamingowheel_policy::admission::{Admission, AdmissionConfig, Priority};
-use flamingowheel_policy::suspicion::{SuspicionBook, SuspicionConfig};
+use flamingowheel_policy::suspicion::{SuspectTracker, SuspicionConfig};
 use flamingowheel_protocol::id::{AttemptId, ExecutionKey, Fingerprint, Incarnation, Window};
 use flamingowheel_protocol::message::{
     AgentMessage, Dispatch, EntryMessage, Failure, Load, Refusal,
@@ -70,7 +70,7 @@
     admission: Admission<ExecutionKey>,
     pending: HashMap<ExecutionKey, Pending>,
     running: HashMap<ExecutionKey, Running>,
-    suspicion: SuspicionBook,
+    suspicion: SuspectTracker,
     load: LoadCell,
     links: HashMap<u64, mpsc::Sender<AgentMessage>>,
     /// What all links were told last, and how many ticks ago.
@@ -121,7 +121,7 @@
             started: Instant::now(),
             pending: HashMap::new(),
             running: HashMap::new(),
-            suspicion: SuspicionBook::new(SuspicionConfig::default()),
+            suspicion: SuspectTracker::new(SuspicionConfig::default()),
             load: LoadCell::default(),
             links: HashMap::new(),
             told: (None, 0),
--- a/crates/agent/src/control/health.rs
+++ b/crates/agent/src/control/health.rs
@@ -75,7 +75,7 @@
 
     /// Passes on what changed. Only news counts as a change, so this comes to an end.
     pub(super) fn tell_suspicions(&mut self) {
-        let changes = self.suspicion.take_changes(self.started.elapsed());
+        let changes = self.suspicion.drain_changes(self.started.elapsed());
         if !changes.is_empty() {
             self.broadcast(&AgentMessage::Suspicions(changes));
         }
--- a/crates/agent/src/control/work.rs
+++ b/crates/agent/src/control/work.rs
@@ -5,7 +5,7 @@
 use crate::records::Record;
 use crate::runner::{self, RunEnd};
 use flamingowheel_observe::event::Event;
-use flamingowheel_policy::admission::{Admitted, Offer, Priority};
+use flamingowheel_policy::admission::{AdmissionDecision, Offer, Priority};
 use flamingowheel_policy::key::ServerKey;
 use flamingowheel_policy::suspicion::Verdict;
 use flamingowheel_protocol::id::{ExecutionKey, Fingerprint};
@@ -115,16 +115,16 @@
             false => self.admission.offer(offer),
         };
         match admitted {
-            Admitted::Full(_) => {
+            AdmissionDecision::Full(_) => {
                 self.pending.remove(&key);
                 self.records.remove_ticket(key);
                 return self.refuse(sender, attempt, Refusal::Full);
             }
-            Admitted::Start => {
+            AdmissionDecision::Start => {
                 self.accept(sender, attempt);
                 self.start(key);
             }
-            Admitted::Queued { shed } => {
+            AdmissionDecision::Queued { shed } => {
                 self.accept(sender, attempt);
                 let queued = u32::from(self.load().waiting);
                 let event = Event::Admitted { attempt: attempt.number, queued };
--- a/crates/control/src/duties.rs
+++ b/crates/control/src/duties.rs
@@ -1,7 +1,7 @@
 //! What one process has to do for the others, by its table.
 
 use crate::membership::Table;
-use flamingowheel_policy::topology::{Place, Topology};
+use flamingowheel_policy::topology::{EntryRef, Topology};
 use flamingowheel_protocol::peer::{MemberRecord, MemberState};
 
 /// The duties of one process. They change only with its table.
@@ -28,16 +28,16 @@
         let topology = Topology::new(members.map(place));
         let (centre, name) = (own.data_centre.as_str(), own.name.as_str());
         Self {
-            polls: owned(topology.polled_by(centre, name)),
-            polled_by: owned(topology.polling(centre, name)),
+            polls: owned(topology.poll_targets(centre, name)),
+            polled_by: owned(topology.pollers(centre, name)),
             is_watcher: topology.is_watcher(centre, name),
             reads_vm_list: topology.reads_vm_list(centre, name),
         }
     }
 }
 
-fn place(record: &MemberRecord) -> Place<'_> {
-    Place { data_centre: &record.data_centre, name: &record.name }
+fn place(record: &MemberRecord) -> EntryRef<'_> {
+    EntryRef { data_centre: &record.data_centre, name: &record.name }
 }
 
 fn owned(names: Vec<&str>) -> Vec<String> {
--- a/crates/entry/src/addresses.rs
+++ b/crates/entry/src/addresses.rs
@@ -104,7 +104,7 @@
     pub fn of_regions(scopes: &[RegionScope], members: Vec<EntryMember>) -> Self {
         let config = SubsetConfig::default();
         let usable = members.iter().filter(|member| !member.leaving).count();
-        if config.takes_all(usable, members.len()) {
+        if config.uses_all_entries(usable, members.len()) {
             return Self::new(&anywhere(scopes), members);
         }
         let regions = scopes.iter().map(|(_, region, _)| *region).collect();
@@ -127,13 +127,13 @@
 
     /// Whether the fleet is so small that every entry stands before all backend servers.
     pub fn takes_all_entries(&self) -> bool {
-        self.cells.takes_all_entries()
+        self.cells.uses_all_entries()
     }
 
     /// The backend servers of the cells that an entry stands before, at most [`MAX_LINKS`];
     /// `None` if it stands before all there are.
     pub fn servers_of(&self, entry: &str) -> Option<BTreeSet<ServerKey>> {
-        if self.cells.takes_all_entries() {
+        if self.cells.uses_all_entries() {
             return None;
         }
         let entry = EntryKey::from_name(entry);
--- a/crates/entry/src/dispatch.rs
+++ b/crates/entry/src/dispatch.rs
@@ -15,7 +15,7 @@
 use flamingowheel_observe::reason::{CancelCause, RouteReason};
 use flamingowheel_observe::recorder::{Recorder, SubjectRecorder};
 use flamingowheel_policy::key::ServerKey;
-use flamingowheel_policy::retry::{LastTry, RetryBudget, RetryConfig, RetryRequest};
+use flamingowheel_policy::retry::{RetryBudget, RetryConfig, RetryRequest, TryOutcome};
 use flamingowheel_policy::routing::{RouteError, RouteRequest};
 use flamingowheel_policy::suspicion::Verdict as Suspicion;
 use flamingowheel_protocol::id::{AttemptId, ExecutionKey};
@@ -243,7 +243,7 @@
             _ => {
                 let question = RetryRequest {
                     idempotent: request.idempotent,
-                    last_try: LastTry::Unknown,
+                    last_outcome: TryOutcome::Unknown,
                     answer_started: false,
                     remaining: Duration::from_millis(request.remaining_ms()),
                 };
@@ -279,8 +279,8 @@
         let budget = budgets.entry(name).or_insert_with(|| {
             let retry = &request.workspace.parameters.retry;
             RetryBudget::new(RetryConfig {
-                paid_per_success: retry.per_100_requests / 100.0,
-                max_saved: f64::from(retry.burst),
+                retries_per_success: retry.per_100_requests / 100.0,
+                max_retries_saved: f64::from(retry.burst),
                 ..RetryConfig::default()
             })
         });
--- a/crates/entry/src/limits.rs
+++ b/crates/entry/src/limits.rs
@@ -184,7 +184,7 @@
         let mut rows = self.rows();
         rows.retain(|_, row| row.limits.in_flight() > 0 || now < row.used_at + IDLE_LIMIT);
         let ask = |(workspace, row): (&Arc<str>, &mut Row)| {
-            let (lender, request) = row.limits.next_request(now)?;
+            let (lender, request) = row.limits.next_loan_request(now)?;
             Some(Borrowing { workspace: Arc::clone(workspace), lender, request })
         };
         rows.iter_mut().filter_map(ask).collect()
--- a/crates/entry/src/router.rs
+++ b/crates/entry/src/router.rs
@@ -2,12 +2,12 @@
 
 use crate::agents::{Agent, Target};
 use flamingowheel_policy::key::{Fingerprint, ScopeKey, ServerKey};
-use flamingowheel_policy::load::{Availability, LoadBook};
-use flamingowheel_policy::prefix::{BlockHash, CacheEvent, PrefixBook, PrefixConfig};
+use flamingowheel_policy::load::{Availability, LoadTracker};
+use flamingowheel_policy::prefix::{BlockHash, CacheEvent, PrefixConfig, PrefixIndex};
 use flamingowheel_policy::routing::{
     Choice, RouteError, RouteRequest, RoutingConfig, choose, choose_alone,
 };
-use flamingowheel_policy::suspicion::{SuspectRecord, SuspicionBook, SuspicionConfig, Verdict};
+use flamingowheel_policy::suspicion::{SuspectRecord, SuspectTracker, SuspicionConfig, Verdict};
 use flamingowheel_protocol::message::{LoadHint, Occupancy, Serves};
 use futures_util::future::select_all;
 use std::collections::HashMap;
@@ -31,7 +31,7 @@
     config: RoutingConfig,
     started: Instant,
     state: Mutex<State>,
-    suspicion: Mutex<SuspicionBook>,
+    suspicion: Mutex<SuspectTracker>,
     reach: OnceLock<Weak<dyn Reach>>,
 }
 
@@ -71,8 +71,8 @@
 }
 
 struct State {
-    book: LoadBook,
-    prefixes: PrefixBook,
+    book: LoadTracker,
+    prefixes: PrefixIndex,
     by_target: HashMap<Target, Vec<ServerKey>>,
     agents: HashMap<ServerKey, Arc<Agent>>,
 }
@@ -83,8 +83,8 @@
         // is nothing to wait for.
         let config = PrefixConfig { max_pending: 0, ..PrefixConfig::default() };
         Self {
-            book: LoadBook::default(),
-            prefixes: PrefixBook::new(config),
+            book: LoadTracker::default(),
+            prefixes: PrefixIndex::new(config),
             by_target: HashMap::new(),
             agents: HashMap::new(),
         }
@@ -100,7 +100,7 @@
 impl Router {
     /// Knows no backend server yet.
     pub fn new(config: RoutingConfig) -> Self {
-        let suspicion = Mutex::new(SuspicionBook::new(SuspicionConfig::default()));
+        let suspicion = Mutex::new(SuspectTracker::new(SuspicionConfig::default()));
         let (started, state) = (Instant::now(), Mutex::default());
         Self { config, started, state, suspicion, reach: OnceLock::new() }
     }
@@ -206,7 +206,7 @@
         let now = self.started.elapsed();
         let mut suspicion = self.suspicion();
         suspicion.merge(records, now);
-        suspicion.take_changes(now)
+        suspicion.drain_changes(now)
     }
 
     /// All suspicions, for an agent that has just been connected.
@@ -224,7 +224,7 @@
         let now = self.started.elapsed();
         let book = &mut self.lock().book;
         match hint {
-            LoadHint::Whole(load) => book.on_fresh(server, load, now),
+            LoadHint::Whole(load) => book.on_current_load(server, load, now),
             LoadHint::Occupancy(Occupancy(hint)) => book.on_hint(server, hint, now),
         }
     }
@@ -326,7 +326,7 @@
         self.lock().book.on_ended(server, now);
     }
 
-    fn suspicion(&self) -> MutexGuard<'_, SuspicionBook> {
+    fn suspicion(&self) -> MutexGuard<'_, SuspectTracker> {
         self.suspicion.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
--- a/crates/flamingowheeld/src/groups.rs
+++ b/crates/flamingowheeld/src/groups.rs
@@ -370,7 +370,7 @@
             .min_by(|a, b| a.template.cmp(&b.template));
         serves.map_or_else(Params::skew_weighted, |workspace| {
             let weights = &workspace.rebalancing;
-            Params::weighted(weights.skew_weight, weights.move_weight)
+            Params::from_weights(weights.skew_weight, weights.move_weight)
         })
     }
 }
--- a/crates/gateway/src/feed/reader.rs
+++ b/crates/gateway/src/feed/reader.rs
@@ -4,7 +4,7 @@
 use crate::feed::lone::Lone;
 use crate::feed::mirror::Mirror;
 use crate::feed::{Asked, Head, Told};
-use flamingowheel_policy::topology::{Place, Topology};
+use flamingowheel_policy::topology::{EntryRef, Topology};
 use flamingowheel_protocol::link::Link;
 use flamingowheel_protocol::websocket::{Identity, connect};
 use rand::seq::IndexedRandom;
@@ -208,7 +208,7 @@
         let members = Arc::clone(&self.members.borrow_and_update());
         let own = &self.identity.hello;
         let places =
-            members.iter().map(|(vm, peer)| Place { data_centre: &peer.data_centre, name: vm });
+            members.iter().map(|(vm, peer)| EntryRef { data_centre: &peer.data_centre, name: vm });
         let topology = Topology::new(places);
         let sources = topology.sources(&own.data_centre, &own.vm);
         self.preferred = sources.into_iter().map(str::to_owned).collect();
--- a/crates/gateway/src/group.rs
+++ b/crates/gateway/src/group.rs
@@ -4,7 +4,7 @@
 //! that has a stream in a group knows how long its passes take, now and for nothing, and sends new
 //! requests where passes are short.
 
-use flamingowheel_policy::batch::{self, BatchBound, PassModel};
+use flamingowheel_policy::batch::{self, BatchLimit, PassModel};
 use flamingowheel_policy::passes::PassTime;
 use flamingowheel_protocol::ranks::GroupStatus;
 use std::net::SocketAddr;
@@ -24,7 +24,7 @@
 #[derive(Debug, Default)]
 struct Observed {
     passes: PassTime,
-    bound: BatchBound,
+    bound: BatchLimit,
     /// `None` until the engines' parameters are known.
     model: Option<PassModel>,
     /// What the group's coordinator told last.
@@ -126,7 +126,7 @@
 
     /// Mean pass, in milliseconds; `None` if none was seen lately.
     pub fn pass_ms(&self, now: Instant) -> Option<f64> {
-        self.lock().passes.at(now - self.origin)
+        self.lock().passes.mean_ms(now - self.origin)
     }
 
     /// Takes in what the group's coordinator tells.
@@ -195,9 +195,9 @@
         let at = now - self.origin;
         let observed = self.lock();
         let own = self.in_flight();
-        let pass_ms = observed.passes.at(at).unwrap_or(0.0);
+        let pass_ms = observed.passes.mean_ms(at).unwrap_or(0.0);
         let model = observed.model.as_ref();
-        let bound = model.and_then(|m| observed.bound.at(admission.pause_goal_ms, m, at));
+        let bound = model.and_then(|m| observed.bound.max_requests(admission.pause_goal_ms, m, at));
         let by_number = bound.map_or(0.0, |bound| batch::crowding(own, bound, admission.draw));
         let crowding = by_number.max(pass_ms / admission.pass_limit_ms.max(1.0));
         Fullness { crowding, own, bound, pass_ms }
@@ -224,7 +224,7 @@
         let mut observed = self.lock();
         observed.passes.observe(pause_ms, at);
         let Observed { passes, bound, model, .. } = &mut *observed;
-        if let Some((pass_ms, model)) = passes.at(at).zip(model.as_ref()) {
+        if let Some((pass_ms, model)) = passes.mean_ms(at).zip(model.as_ref()) {
             bound.observe(pass_ms, self.in_flight(), model, at);
         }
     }
@@ -233,7 +233,7 @@
     pub fn reset(&self) {
         let mut observed = self.lock();
         observed.passes = PassTime::default();
-        observed.bound = BatchBound::default();
+        observed.bound = BatchLimit::default();
         observed.reported = None;
     }
 
--- a/crates/policy/benches/model/limits.rs
+++ b/crates/policy/benches/model/limits.rs
@@ -76,7 +76,7 @@
             (!is_lost).then_some((message.0 + delay, message.1, message.2, message.3))
         };
         for (member, key) in members.iter_mut().zip(&keys) {
-            if let Some((lender, request)) = member.next_request(now) {
+            if let Some((lender, request)) = member.next_loan_request(now) {
                 messages.extend(send((now, *key, lender, Message::Ask(request))));
             }
         }
--- a/crates/policy/benches/model/mod.rs
+++ b/crates/policy/benches/model/mod.rs
@@ -1,5 +1,5 @@
 //! A small discrete-event model of entries before backend servers. It drives the shipping policy
-//! code: [`choose`], [`LoadBook`], [`Admission`] and [`RetryBudget`] are the ones of the daemon.
+//! code: [`choose`], [`LoadTracker`], [`Admission`] and [`RetryBudget`] are the ones of the daemon.
 
 // Each bench uses its own part of the model.
 #![allow(dead_code)]
@@ -15,11 +15,11 @@
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-use flamingowheel_policy::admission::{Admitted, Offer};
+use flamingowheel_policy::admission::{AdmissionDecision, Offer};
 use flamingowheel_policy::key::{Fingerprint, ServerKey};
-use flamingowheel_policy::load::LoadBook;
-use flamingowheel_policy::prefix::{BlockHash, CacheEvent, PrefixBook, PrefixConfig};
-use flamingowheel_policy::retry::{LastTry, RetryBudget, RetryConfig, RetryRequest};
+use flamingowheel_policy::load::LoadTracker;
+use flamingowheel_policy::prefix::{BlockHash, CacheEvent, PrefixConfig, PrefixIndex};
+use flamingowheel_policy::retry::{RetryBudget, RetryConfig, RetryRequest, TryOutcome};
 use flamingowheel_policy::routing::{RouteRequest, RoutingConfig, choose};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -64,8 +64,8 @@
 }
 
 struct Entry {
-    prefixes: PrefixBook,
-    book: LoadBook,
+    prefixes: PrefixIndex,
+    book: LoadTracker,
     baseline: BaselineBook,
     budget: RetryBudget,
 }
@@ -90,12 +90,12 @@
     pub fn new(config: ModelConfig) -> Self {
         let keys: Vec<ServerKey> =
             (0..config.servers).map(|n| ServerKey::from_name(&format!("server-{n}"))).collect();
-        let mut book = LoadBook::default();
+        let mut book = LoadTracker::default();
         for key in &keys {
             book.insert(*key);
         }
         let entry = || Entry {
-            prefixes: PrefixBook::new(PrefixConfig { max_pending: 0, ..PrefixConfig::default() }),
+            prefixes: PrefixIndex::new(PrefixConfig { max_pending: 0, ..PrefixConfig::default() }),
             book: book.clone(),
             baseline: BaselineBook::new(config.servers),
             budget: RetryBudget::new(RetryConfig::default()),
@@ -273,7 +273,7 @@
 
     fn offer(&mut self, id: RequestId, server: usize, last_try: bool) {
         if self.servers[server].down {
-            self.fail(id, server, LastTry::NotRun);
+            self.fail(id, server, TryOutcome::NotRun);
             return;
         }
         let request = &self.requests[id];
@@ -282,14 +282,14 @@
         let offer = Offer { id, priority: class.priority, last_try, deadline };
         self.servers[server].advance(self.now);
         match self.servers[server].admission.offer(offer) {
-            Admitted::Start => self.start(id, server),
-            Admitted::Queued { shed } => {
+            AdmissionDecision::Start => self.start(id, server),
+            AdmissionDecision::Queued { shed } => {
                 self.carry_load(id, server);
                 if let Some(shed) = shed {
                     self.refuse(shed);
                 }
             }
-            Admitted::Full(_) => self.full(id, server),
+            AdmissionDecision::Full(_) => self.full(id, server),
         }
     }
 
@@ -309,7 +309,7 @@
         }
         let load = self.servers[server].load();
         let entry = &mut self.entries[self.requests[id].entry];
-        entry.book.on_fresh(self.keys[server], load, self.now);
+        entry.book.on_current_load(self.keys[server], load, self.now);
     }
 
     fn start(&mut self, id: RequestId, server: usize) {
@@ -433,26 +433,26 @@
             let (running, waiting) = self.servers[server].crash();
             for id in running {
                 self.requests[id].server = None;
-                self.fail(id, server, LastTry::Unknown);
+                self.fail(id, server, TryOutcome::Unknown);
             }
             for id in waiting {
-                self.fail(id, server, LastTry::NotRun);
+                self.fail(id, server, TryOutcome::NotRun);
             }
         }
     }
 
     /// Every request of the model is idempotent; half of the failed ones had delivered a part.
-    fn fail(&mut self, id: RequestId, server: usize, last_try: LastTry) {
-        let answer_started = last_try == LastTry::Unknown && self.rng.random::<f64>() < 0.5;
+    fn fail(&mut self, id: RequestId, server: usize, last_outcome: TryOutcome) {
+        let answer_started = last_outcome == TryOutcome::Unknown && self.rng.random::<f64>() < 0.5;
         self.carry_load(id, server);
         let request = &mut self.requests[id];
         request.tried.push(self.keys[server]);
-        if last_try == LastTry::NotRun {
+        if last_outcome == TryOutcome::NotRun {
             self.route(id);
             return;
         }
         let remaining = Duration::from_secs(30);
-        let retry = RetryRequest { idempotent: true, last_try, answer_started, remaining };
+        let retry = RetryRequest { idempotent: true, last_outcome, answer_started, remaining };
         match self.entries[request.entry].budget.try_retry(&retry) {
             Ok(()) => self.route(id),
             Err(_) => self.refuse(id),
--- a/crates/policy/benches/rebalance.rs
+++ b/crates/policy/benches/rebalance.rs
@@ -179,8 +179,8 @@
             let started = Instant::now();
             let plan = plan(&request).expect("the trace is valid");
             times_ms.push(started.elapsed().as_secs_f64() * 1e3);
-            moved += plan.moved();
-            most = most.max(plan.moved());
+            moved += plan.move_count();
+            most = most.max(plan.move_count());
             for layer in plan.layers {
                 current[layer.layer] = layer.target;
             }
--- a/crates/policy/benches/routing.rs
+++ b/crates/policy/benches/routing.rs
@@ -8,8 +8,8 @@
 
 use flamingowheel_policy::admission::{AdmissionConfig, Priority};
 use flamingowheel_policy::key::{Fingerprint, ServerKey};
-use flamingowheel_policy::load::{Load, LoadBook};
-use flamingowheel_policy::prefix::{BlockHash, CacheChange, CacheEvent, PrefixBook, PrefixConfig};
+use flamingowheel_policy::load::{Load, LoadTracker};
+use flamingowheel_policy::prefix::{BlockHash, CacheChange, CacheEvent, PrefixConfig, PrefixIndex};
 use flamingowheel_policy::routing::{RouteRequest, RoutingConfig, choose};
 
 use model::baseline::{Baseline, Rule};
@@ -116,7 +116,7 @@
     const ROUNDS: u32 = 200_000;
     let keys: Vec<ServerKey> = (0..SERVERS as u64).map(ServerKey).collect();
     let now = Duration::from_secs(10);
-    let mut book = LoadBook::default();
+    let mut book = LoadTracker::default();
     for (index, key) in keys.iter().enumerate() {
         book.insert(*key);
         let load = Load { running: 7, waiting: 0, places: 8, service_ms: 2_000 };
@@ -140,7 +140,8 @@
     let keys: Vec<ServerKey> = (0..SERVERS as u64).map(ServerKey).collect();
     let now = Duration::from_secs(10);
     let prompt: Vec<BlockHash> = (0..32).map(BlockHash).collect();
-    let (mut book, mut prefixes) = (LoadBook::default(), PrefixBook::new(PrefixConfig::default()));
+    let (mut book, mut prefixes) =
+        (LoadTracker::default(), PrefixIndex::new(PrefixConfig::default()));
     for (index, key) in keys.iter().enumerate() {
         book.insert(*key);
         let load = Load { running: 7, waiting: 0, places: 8, service_ms: 2_000 };
--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -55,7 +55,7 @@
 
 /// What becomes of an offer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Admitted<Id> {
+pub enum AdmissionDecision<Id> {
     /// It holds a place: start it.
     Start,
     /// It waits. A request of lower priority that had to give way was removed: refuse it as full.
@@ -79,14 +79,14 @@
 /// Places and queue of one backend server.
 ///
 /// ```
-/// use flamingowheel_policy::admission::{Admission, AdmissionConfig, Admitted, Offer, Priority};
+/// use flamingowheel_policy::admission::{Admission, AdmissionConfig, AdmissionDecision, Offer, Priority};
 /// use std::time::Duration;
 /// let config = AdmissionConfig { places: 1, early_queue: 0, ..AdmissionConfig::default() };
 /// let mut admission = Admission::new(config);
 /// let deadline = Duration::from_secs(9);
 /// let offer = |id| Offer { id, priority: Priority(5), last_try: false, deadline };
-/// assert_eq!(admission.offer(offer(1)), Admitted::Start);
-/// assert!(matches!(admission.offer(offer(2)), Admitted::Full(load) if load.running == 1));
+/// assert_eq!(admission.offer(offer(1)), AdmissionDecision::Start);
+/// assert!(matches!(admission.offer(offer(2)), AdmissionDecision::Full(load) if load.running == 1));
 /// ```
 #[derive(Clone, Debug)]
 pub struct Admission<Id> {
@@ -143,41 +143,41 @@
     }
 
     /// Decides about a request.
-    pub fn offer(&mut self, offer: Offer<Id>) -> Admitted<Id> {
+    pub fn offer(&mut self, offer: Offer<Id>) -> AdmissionDecision<Id> {
         if self.has_place(offer.priority) && self.ahead_of(offer.priority) == 0 {
             self.running += 1;
-            return Admitted::Start;
+            return AdmissionDecision::Start;
         }
         let limit = if offer.last_try { self.config.max_queue } else { self.config.early_queue };
         if self.ahead_of(offer.priority) >= limit {
-            return Admitted::Full(self.load());
+            return AdmissionDecision::Full(self.load());
         }
         let shed = match self.queue.len() >= self.config.max_queue {
             true => self.shed_below(offer.priority),
             false => None,
         };
         if self.queue.len() >= self.config.max_queue {
-            return Admitted::Full(self.load());
+            return AdmissionDecision::Full(self.load());
         }
         self.sequence += 1;
         let rank = (std::cmp::Reverse(offer.priority), self.sequence);
         self.queue.insert(rank, Waiting { id: offer.id, deadline: offer.deadline });
-        Admitted::Queued { shed }
+        AdmissionDecision::Queued { shed }
     }
 
     /// Decides about a suspect, which may only run while nothing else does. A second one is refused
     /// meanwhile: each would drain the backend server once more.
-    pub fn offer_alone(&mut self, offer: Offer<Id>) -> Admitted<Id> {
+    pub fn offer_alone(&mut self, offer: Offer<Id>) -> AdmissionDecision<Id> {
         if self.alone != Alone::None {
-            return Admitted::Full(self.load());
+            return AdmissionDecision::Full(self.load());
         }
         if self.running == 0 {
             self.alone = Alone::Running;
             self.running = 1;
-            return Admitted::Start;
+            return AdmissionDecision::Start;
         }
         self.alone = Alone::Waiting { id: offer.id, deadline: offer.deadline };
-        Admitted::Queued { shed: None }
+        AdmissionDecision::Queued { shed: None }
     }
 
     /// Notes that a started request has ended after holding its place for `held`, and returns the
--- a/crates/policy/src/batch.rs
+++ b/crates/policy/src/batch.rs
@@ -71,7 +71,7 @@
 
 /// What an entry has learnt of how many of its requests a group can hold.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct BatchBound {
+pub struct BatchLimit {
     first_at: Option<Duration>,
     last_at: Option<Duration>,
     /// Mean number of own requests.
@@ -88,7 +88,7 @@
     per_ms: f64,
 }
 
-impl BatchBound {
+impl BatchLimit {
     /// Takes in the mean pass while the entry has `own` requests in the group.
     pub fn observe(&mut self, pass_ms: f64, own: u32, model: &PassModel, now: Duration) {
         self.note_own(f64::from(own), now);
@@ -120,18 +120,18 @@
     /// while no pass came near it.
     ///
     /// ```
-    /// use flamingowheel_policy::batch::{BatchBound, PassModel};
+    /// use flamingowheel_policy::batch::{BatchLimit, PassModel};
     /// use std::time::Duration;
     /// let model = PassModel { fixed_ms: 20.0, per_request_ms: 2.0, expert_share: 0.85 };
-    /// let mut bound = BatchBound::default();
+    /// let mut bound = BatchLimit::default();
     /// for second in 0..8 {
     ///     bound.observe(60.0, 10, &model, Duration::from_secs(second));
     /// }
-    /// assert_eq!(bound.at(120.0, &model, Duration::from_secs(8)), None);
+    /// assert_eq!(bound.max_requests(120.0, &model, Duration::from_secs(8)), None);
     /// bound.observe(180.0, 10, &model, Duration::from_secs(8));
-    /// assert!(bound.at(120.0, &model, Duration::from_secs(8)).unwrap() < 10.0);
+    /// assert!(bound.max_requests(120.0, &model, Duration::from_secs(8)).unwrap() < 10.0);
     /// ```
-    pub fn at(&self, goal_ms: f64, model: &PassModel, now: Duration) -> Option<f64> {
+    pub fn max_requests(&self, goal_ms: f64, model: &PassModel, now: Duration) -> Option<f64> {
         let is_telling =
             |pass: &&Crowded| pass.is_remembered(now) && pass.pass_ms >= TELLING_SHARE * goal_ms;
         let telling = self.crowded.iter().filter(is_telling);
--- a/crates/policy/src/limits.rs
+++ b/crates/policy/src/limits.rs
@@ -39,12 +39,12 @@
     /// Time of the full rate that may be saved up.
     pub burst: Duration,
     /// How long a loan lasts.
-    pub loan: Duration,
+    pub loan_duration: Duration,
     /// Shortest time between two requests for a loan.
-    pub ask_every: Duration,
+    pub loan_request_interval: Duration,
     /// The time doubles, up to this, each time that no peer had anything to lend. Otherwise the
     /// members of a workspace at its limit would keep asking each other.
-    pub ask_every_at_most: Duration,
+    pub max_loan_request_interval: Duration,
     /// Time over which demand is averaged.
     pub demand_window: Duration,
 }
@@ -53,9 +53,9 @@
     fn default() -> Self {
         Self {
             burst: Duration::from_secs(1),
-            loan: Duration::from_secs(5),
-            ask_every: Duration::from_millis(100),
-            ask_every_at_most: Duration::from_millis(1_600),
+            loan_duration: Duration::from_secs(5),
+            loan_request_interval: Duration::from_millis(100),
+            max_loan_request_interval: Duration::from_millis(1_600),
             demand_window: Duration::from_secs(1),
         }
     }
@@ -217,7 +217,7 @@
             number: 0,
             asked: HashMap::new(),
             last_asked: None,
-            ask_after: config.ask_every,
+            ask_after: config.loan_request_interval,
             asked_in_vain: 0,
             held: Vec::new(),
             lent: HashMap::new(),
@@ -292,7 +292,7 @@
     }
 
     /// Whom to ask for a loan now, if one is needed.
-    pub fn next_request(&mut self, now: Duration) -> Option<(EntryKey, LoanRequest)> {
+    pub fn next_loan_request(&mut self, now: Duration) -> Option<(EntryKey, LoanRequest)> {
         self.update(now);
         let is_early = self.last_asked.is_some_and(|last| now < last + self.ask_after);
         if is_early || self.peers.is_empty() {
@@ -331,7 +331,7 @@
         if share < MIN_LOAN {
             return Loan { number, share: 0.0 };
         }
-        let until = now + self.config.loan;
+        let until = now + self.config.loan_duration;
         self.lent.insert((borrower, number), Lent { share, until });
         self.clamp(now);
         Loan { number, share }
@@ -346,12 +346,12 @@
             return;
         }
         self.asked.remove(&lender);
-        let until = asked.at + self.config.loan;
+        let until = asked.at + self.config.loan_duration;
         if loan.share <= 0.0 || until <= now {
             return;
         }
         self.asked_in_vain = 0;
-        self.ask_after = self.config.ask_every;
+        self.ask_after = self.config.loan_request_interval;
         self.held.push(Held { lender, number: loan.number, share: loan.share, until });
     }
 
@@ -387,7 +387,7 @@
 
     /// A loan that is about to end: it is given up here before the lender hears of it.
     fn take_renewable(&mut self, now: Duration) -> Option<Held> {
-        let left = self.config.loan.mul_f64(1.0 - RENEW_AFTER);
+        let left = self.config.loan_duration.mul_f64(1.0 - RENEW_AFTER);
         let index = self.held.iter().position(|held| held.until < now + left)?;
         let held = self.held.swap_remove(index);
         self.clamp(now);
@@ -399,7 +399,7 @@
         self.asked_in_vain += 1;
         if self.asked_in_vain > self.peers.len() {
             self.asked_in_vain = 0;
-            self.ask_after = (self.ask_after * 2).min(self.config.ask_every_at_most);
+            self.ask_after = (self.ask_after * 2).min(self.config.max_loan_request_interval);
         }
     }
 
--- a/crates/policy/src/load.rs
+++ b/crates/policy/src/load.rs
@@ -12,7 +12,7 @@
 
 use crate::key::ServerKey;
 
-/// Most backend servers that one book keeps; further ones are refused by [`LoadBook::insert`].
+/// Most backend servers that one book keeps; further ones are refused by [`LoadTracker::insert`].
 pub const MAX_SERVERS: usize = 8_192;
 /// Own sends and finishes kept per server, the oldest dropped first.
 const MAX_OWN_EVENTS: usize = 64;
@@ -202,19 +202,19 @@
 ///
 /// ```
 /// use flamingowheel_policy::key::ServerKey;
-/// use flamingowheel_policy::load::{Load, LoadBook};
+/// use flamingowheel_policy::load::{Load, LoadTracker};
 /// use std::time::Duration;
 /// let server = ServerKey::from_name("runner-1");
-/// let mut book = LoadBook::default();
+/// let mut book = LoadTracker::default();
 /// book.insert(server);
 /// let load = Load { running: 3, waiting: 0, places: 8, service_ms: 2_000 };
-/// book.on_fresh(server, load, Duration::from_secs(1));
+/// book.on_current_load(server, load, Duration::from_secs(1));
 /// book.on_sent(server, Duration::from_secs(2));
 /// let estimate = book.estimate(server, Duration::from_secs(2)).unwrap();
 /// assert!(estimate.occupied > 3.5 && estimate.occupied < 4.5);
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct LoadBook {
+pub struct LoadTracker {
     servers: HashMap<ServerKey, ServerLoad>,
     /// Decayed mean of `occupied / places` over what was learned.
     mean_share: f64,
@@ -224,7 +224,7 @@
 /// Weight of one piece of knowledge in the decayed mean.
 const MEAN_WEIGHT: f64 = 0.01;
 
-impl LoadBook {
+impl LoadTracker {
     /// Adds a backend server of which nothing is known. False when the book is full.
     pub fn insert(&mut self, server: ServerKey) -> bool {
         if self.servers.contains_key(&server) {
@@ -293,7 +293,7 @@
     }
 
     /// Takes in the load carried by an acceptance, a refusal or a chunk: true as of now.
-    pub fn on_fresh(&mut self, server: ServerKey, load: Load, now: Duration) {
+    pub fn on_current_load(&mut self, server: ServerKey, load: Load, now: Duration) {
         self.on_report(server, load, now);
     }
 
@@ -302,7 +302,7 @@
         let Some(known) = self.servers.get(&server) else { return };
         let [waiting, running] = hint.to_be_bytes().map(u16::from);
         let load = Load { running, waiting, ..known.load };
-        self.on_fresh(server, load, now);
+        self.on_current_load(server, load, now);
     }
 
     /// Notes that a request was sent.
--- a/crates/policy/src/passes.rs
+++ b/crates/policy/src/passes.rs
@@ -58,8 +58,8 @@
     /// use std::time::Duration;
     /// let mut passes = PassTime::default();
     /// passes.observe(80.0, Duration::from_millis(100));
-    /// assert_eq!(passes.at(Duration::from_millis(120)), Some(80.0));
-    /// assert_eq!(passes.at(Duration::from_secs(2)), None);
+    /// assert_eq!(passes.mean_ms(Duration::from_millis(120)), Some(80.0));
+    /// assert_eq!(passes.mean_ms(Duration::from_secs(2)), None);
     /// ```
     pub fn observe(&mut self, pause_ms: f64, now: Duration) {
         if pause_ms > LONGEST_PASS_MS {
@@ -76,7 +76,7 @@
     }
 
     /// The mean pass, in milliseconds; `None` if none was seen lately.
-    pub fn at(&self, now: Duration) -> Option<f64> {
+    pub fn mean_ms(&self, now: Duration) -> Option<f64> {
         let seen_at = self.seen_at?;
         (now.saturating_sub(seen_at) < STALE).then_some(self.mean_ms)
     }
--- a/crates/policy/src/prefix.rs
+++ b/crates/policy/src/prefix.rs
@@ -189,22 +189,22 @@
 /// ```
 /// use flamingowheel_policy::key::ServerKey;
 /// use flamingowheel_policy::prefix::{
-///     CacheChange, CacheEvent, PrefixBook, PrefixConfig, block_hashes,
+///     CacheChange, CacheEvent, PrefixIndex, PrefixConfig, block_hashes,
 /// };
 /// use std::time::Duration;
-/// let mut book = PrefixBook::new(PrefixConfig::default());
+/// let mut book = PrefixIndex::new(PrefixConfig::default());
 /// let prompt = block_hashes(b"abcdefgh", 4);
 /// let stored = CacheChange::Stored(prompt[..1].to_vec());
 /// book.on_event(ServerKey(1), CacheEvent { number: 1, change: stored }, Duration::ZERO);
-/// assert_eq!(book.prefill(ServerKey(1), &prompt, Duration::ZERO), Duration::from_millis(10));
+/// assert_eq!(book.prefill_time(ServerKey(1), &prompt, Duration::ZERO), Duration::from_millis(10));
 /// ```
 #[derive(Clone, Debug)]
-pub struct PrefixBook {
+pub struct PrefixIndex {
     config: PrefixConfig,
     servers: HashMap<ServerKey, ServerCache>,
 }
 
-impl PrefixBook {
+impl PrefixIndex {
     /// Nothing known.
     #[must_use]
     pub fn new(config: PrefixConfig) -> Self {
@@ -231,7 +231,7 @@
 
     /// Time the server would need to prefill what its cache does not cover.
     #[must_use]
-    pub fn prefill(&self, server: ServerKey, prompt: &[BlockHash], now: Duration) -> Duration {
+    pub fn prefill_time(&self, server: ServerKey, prompt: &[BlockHash], now: Duration) -> Duration {
         let uncovered = prompt.len() as f64 - self.covered_blocks(server, prompt, now);
         self.config.prefill_per_block.mul_f64(uncovered.max(0.0))
     }
@@ -243,9 +243,9 @@
     ///
     /// ```
     /// use flamingowheel_policy::key::ServerKey;
-    /// use flamingowheel_policy::prefix::{PrefixBook, PrefixConfig, block_hashes};
+    /// use flamingowheel_policy::prefix::{PrefixIndex, PrefixConfig, block_hashes};
     /// use std::time::Duration;
-    /// let book = PrefixBook::new(PrefixConfig::default());
+    /// let book = PrefixIndex::new(PrefixConfig::default());
     /// let prompt = block_hashes(b"abcdefgh", 4);
     /// let extra = book.extra_prefill(&[ServerKey(1)], &prompt, Duration::ZERO);
     /// assert_eq!(extra.of(ServerKey(1)), Duration::ZERO);
--- a/crates/policy/src/rebalance/params.rs
+++ b/crates/policy/src/rebalance/params.rs
@@ -25,7 +25,7 @@
     ///
     /// ```
     /// use flamingowheel_policy::rebalance::Params;
-    /// assert!(Params::skew_weighted().price() < Params::move_weighted().price());
+    /// assert!(Params::skew_weighted().min_gain_per_move() < Params::move_weighted().min_gain_per_move());
     /// ```
     pub fn skew_weighted() -> Self {
         Self {
@@ -48,9 +48,9 @@
     /// ```
     /// use flamingowheel_policy::rebalance::Params;
     /// let preset = Params::move_weighted();
-    /// assert_eq!(Params::weighted(preset.skew_weight, preset.move_weight), preset);
+    /// assert_eq!(Params::from_weights(preset.skew_weight, preset.move_weight), preset);
     /// ```
-    pub fn weighted(skew_weight: f64, move_weight: f64) -> Self {
+    pub fn from_weights(skew_weight: f64, move_weight: f64) -> Self {
         let (eager, sparing) = (Self::skew_weighted(), Self::move_weighted());
         let range = sparing.move_weight - eager.move_weight;
         let part = ((move_weight / skew_weight - eager.move_weight) / range).clamp(0.0, 1.0);
@@ -59,7 +59,7 @@
     }
 
     /// Predicted skew that one move must save at least.
-    pub fn price(&self) -> f64 {
+    pub fn min_gain_per_move(&self) -> f64 {
         self.move_weight / (self.skew_weight * self.horizon_steps)
     }
 }
--- a/crates/policy/src/rebalance/plan.rs
+++ b/crates/policy/src/rebalance/plan.rs
@@ -50,7 +50,7 @@
     },
     /// A load is negative or not a number, or a speed is not above zero.
     #[error("loads must be finite and not negative, speeds above zero")]
-    Number,
+    InvalidNumber,
     /// The placement in use is not valid.
     #[error("layer {layer}: {error}")]
     Placement {
@@ -83,7 +83,7 @@
 
 impl Plan {
     /// Expert weights that have to be loaded.
-    pub fn moved(&self) -> usize {
+    pub fn move_count(&self) -> usize {
         self.layers.iter().map(|layer| layer.moves.len()).sum()
     }
 }
@@ -97,7 +97,7 @@
 /// let loads = [DecayedLoads::new(0.3, &[4.0, 4.0, 1.0, 1.0])];
 /// let params = Params::skew_weighted();
 /// let request = Request { current: &current, loads: &loads, speeds: &[1.0, 1.0], params: &params };
-/// assert_eq!(plan(&request).unwrap().moved(), 2);
+/// assert_eq!(plan(&request).unwrap().move_count(), 2);
 /// ```
 pub fn plan(request: &Request<'_>) -> Result<Plan, RequestError> {
     check(request)?;
@@ -164,7 +164,7 @@
     if !request.loads.iter().flat_map(DecayedLoads::means).all(valid_load)
         || !request.speeds.iter().all(valid_speed)
     {
-        return Err(RequestError::Number);
+        return Err(RequestError::InvalidNumber);
     }
     for (layer, current) in request.current.iter().enumerate() {
         let ranks = current.ranks.len();
--- a/crates/policy/src/rebalance/search.rs
+++ b/crates/policy/src/rebalance/search.rs
@@ -93,7 +93,7 @@
 /// Looks for a placement that saves at least `min_gain` and more than its moves are priced at.
 pub(super) fn probe(start: Score, params: &Params, max_moves: usize) -> Option<Probe> {
     let origin = Origin::new(&start);
-    let search = Search { origin, price: params.price(), max_moves, beam: PROBE };
+    let search = Search { origin, price: params.min_gain_per_move(), max_moves, beam: PROBE };
     let best = search.run(start.clone())?;
     let probe = Probe { search, start, best, min_gain: params.min_gain };
     (probe.gain(&probe.best) >= params.min_gain).then_some(probe)
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -12,22 +12,26 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryConfig {
     /// Retries that one success pays for.
-    pub paid_per_success: f64,
+    pub retries_per_success: f64,
     /// Most retries that can be saved up.
-    pub max_saved: f64,
+    pub max_retries_saved: f64,
     /// Shortest remaining deadline worth another try.
     pub min_remaining: Duration,
 }
 
 impl Default for RetryConfig {
     fn default() -> Self {
-        Self { paid_per_success: 0.1, max_saved: 10.0, min_remaining: Duration::from_millis(50) }
+        Self {
+            retries_per_success: 0.1,
+            max_retries_saved: 10.0,
+            min_remaining: Duration::from_millis(50),
+        }
     }
 }
 
 /// What is known of the last try.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LastTry {
+pub enum TryOutcome {
     /// It is proved that it did not run. Safe for every kind of request.
     NotRun,
     /// Nobody can know whether it ran.
@@ -40,7 +44,7 @@
     /// Running it twice does no harm.
     pub idempotent: bool,
     /// What is known of the last try.
-    pub last_try: LastTry,
+    pub last_outcome: TryOutcome,
     /// The caller already has a part of the answer.
     pub answer_started: bool,
     /// Time the caller still waits.
@@ -67,12 +71,12 @@
 /// Retry budget of one workspace on one entry.
 ///
 /// ```
-/// use flamingowheel_policy::retry::{LastTry, RetryBudget, RetryConfig, RetryRequest};
+/// use flamingowheel_policy::retry::{TryOutcome, RetryBudget, RetryConfig, RetryRequest};
 /// use std::time::Duration;
-/// let mut budget = RetryBudget::new(RetryConfig { max_saved: 1.0, ..RetryConfig::default() });
+/// let mut budget = RetryBudget::new(RetryConfig { max_retries_saved: 1.0, ..RetryConfig::default() });
 /// let request = RetryRequest {
 ///     idempotent: true,
-///     last_try: LastTry::Unknown,
+///     last_outcome: TryOutcome::Unknown,
 ///     answer_started: false,
 ///     remaining: Duration::from_secs(1),
 /// };
@@ -89,12 +93,13 @@
     /// A full budget, so that the first failures after a start can be retried.
     #[must_use]
     pub fn new(config: RetryConfig) -> Self {
-        Self { config, saved: config.max_saved }
+        Self { config, saved: config.max_retries_saved }
     }
 
     /// Pays for a part of a later retry.
     pub fn on_success(&mut self) {
-        self.saved = (self.saved + self.config.paid_per_success).min(self.config.max_saved);
+        self.saved =
+            (self.saved + self.config.retries_per_success).min(self.config.max_retries_saved);
     }
 
     /// Takes one retry from the budget, if the request may be sent again at all.
@@ -122,7 +127,7 @@
     if request.answer_started {
         return Err(RetryRefusal::AnswerStarted);
     }
-    if !request.idempotent && request.last_try == LastTry::Unknown {
+    if !request.idempotent && request.last_outcome == TryOutcome::Unknown {
         return Err(RetryRefusal::NotIdempotent);
     }
     if request.remaining < config.min_remaining {
--- a/crates/policy/src/routing.rs
+++ b/crates/policy/src/routing.rs
@@ -11,20 +11,20 @@
 use thiserror::Error;
 
 use crate::key::{Fingerprint, ServerKey, mix};
-use crate::load::{Estimate, LoadBook};
+use crate::load::{Estimate, LoadTracker};
 
 /// How a class of requests is routed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RoutingConfig {
-    /// Candidates with older knowledge than `fresh`; all with fresh knowledge are looked at.
+    /// Candidates with older knowledge than `max_fresh_age`; all with fresh knowledge are looked at.
     pub stale_candidates: usize,
     /// Knowledge no older than this counts as fresh.
-    pub fresh: Duration,
+    pub max_fresh_age: Duration,
     /// The first candidate that costs no more than this is taken without looking further.
-    pub good_enough: Duration,
+    pub acceptable_cost: Duration,
     /// From this expected wait at the best candidate on, a request may wait in the agent's queue
     /// whatever its try, if the knowledge is fresh. Otherwise every request would use up all its tries under overload.
-    pub queue_anyway: Duration,
+    pub min_wait_to_queue: Duration,
     /// The request's priority lets it overtake all that wait.
     pub urgent: bool,
     /// A longer expected wait than this is refused at the entry rather than tried. A lower class
@@ -38,9 +38,9 @@
     fn default() -> Self {
         Self {
             stale_candidates: 3,
-            fresh: Duration::from_millis(500),
-            good_enough: Duration::from_millis(2),
-            queue_anyway: Duration::from_millis(100),
+            max_fresh_age: Duration::from_millis(500),
+            acceptable_cost: Duration::from_millis(2),
+            min_wait_to_queue: Duration::from_millis(100),
             urgent: false,
             max_wait: Duration::from_secs(30),
             max_tries: 3,
@@ -101,15 +101,15 @@
 ///
 /// ```
 /// use flamingowheel_policy::key::{Fingerprint, ServerKey};
-/// use flamingowheel_policy::load::{Load, LoadBook};
+/// use flamingowheel_policy::load::{Load, LoadTracker};
 /// use flamingowheel_policy::routing::{RouteRequest, RoutingConfig, choose};
 /// use std::time::Duration;
 /// let servers = [ServerKey::from_name("a"), ServerKey::from_name("b")];
-/// let mut book = LoadBook::default();
+/// let mut book = LoadTracker::default();
 /// for (server, running) in servers.iter().zip([8, 1]) {
 ///     book.insert(*server);
 ///     let load = Load { running, waiting: 0, places: 8, service_ms: 2_000 };
-///     book.on_fresh(*server, load, Duration::ZERO);
+///     book.on_current_load(*server, load, Duration::ZERO);
 /// }
 /// let request = RouteRequest { fingerprint: Fingerprint(1), tried: &[] };
 /// let no_cost = |_| Some(Duration::ZERO);
@@ -121,7 +121,7 @@
     config: &RoutingConfig,
     request: &RouteRequest<'_>,
     servers: &[ServerKey],
-    book: &LoadBook,
+    book: &LoadTracker,
     now: Duration,
     extra_cost: F,
 ) -> Result<Choice, RouteError>
@@ -138,7 +138,7 @@
     let mut stale = 0;
     for server in ranking(request.fingerprint, request.tried, servers, book) {
         let Some(estimate) = book.estimate(server, now) else { continue };
-        let is_stale = estimate.age > config.fresh;
+        let is_stale = estimate.age > config.max_fresh_age;
         if is_stale && stale >= config.stale_candidates {
             continue;
         }
@@ -149,7 +149,7 @@
         if best.is_none_or(|choice| cost < choice.cost) {
             best = Some(Choice { server, cost, candidates: 0, estimate, last_try: is_last });
         }
-        if cost <= config.good_enough {
+        if cost <= config.acceptable_cost {
             break;
         }
     }
@@ -158,9 +158,9 @@
     if wait > config.max_wait {
         return Err(RouteError::Overloaded { wait });
     }
-    let is_fresh = best.estimate.age <= config.fresh;
+    let is_fresh = best.estimate.age <= config.max_fresh_age;
     // An urgent request overtakes queues, so a queue does not tell what another try would find.
-    let queues = is_fresh && !config.urgent && wait >= config.queue_anyway;
+    let queues = is_fresh && !config.urgent && wait >= config.min_wait_to_queue;
     let last_try = is_last || queues;
     Ok(Choice { candidates: looked_at, last_try, ..best })
 }
@@ -175,10 +175,10 @@
 ///
 /// ```
 /// use flamingowheel_policy::key::{Fingerprint, ServerKey};
-/// use flamingowheel_policy::load::LoadBook;
+/// use flamingowheel_policy::load::LoadTracker;
 /// use flamingowheel_policy::routing::choose_alone;
 /// let servers = [ServerKey(1), ServerKey(2)];
-/// let mut book = LoadBook::default();
+/// let mut book = LoadTracker::default();
 /// servers.iter().for_each(|server| assert!(book.insert(*server)));
 /// let server = choose_alone(Fingerprint(1), &[servers[0]], &servers, &book);
 /// assert_eq!(server, Ok(servers[1]));
@@ -187,7 +187,7 @@
     fingerprint: Fingerprint,
     crashed: &[ServerKey],
     servers: &[ServerKey],
-    book: &LoadBook,
+    book: &LoadTracker,
 ) -> Result<ServerKey, RouteError> {
     // A server that this entry has no link to may well be usable, and other entries know it is.
     let may_run = |server: &&ServerKey| {
@@ -208,7 +208,7 @@
     fingerprint: Fingerprint,
     excluded: &[ServerKey],
     servers: &[ServerKey],
-    book: &LoadBook,
+    book: &LoadTracker,
 ) -> Vec<ServerKey> {
     let seed = fingerprint.seed();
     let mut ranked: Vec<(u64, ServerKey)> = servers
--- a/crates/policy/src/subset.rs
+++ b/crates/policy/src/subset.rs
@@ -52,7 +52,7 @@
 impl SubsetConfig {
     /// Whether a fleet of this many entries, of which so many are usable, stands before all cells.
     #[must_use]
-    pub fn takes_all(&self, usable: usize, fleet: usize) -> bool {
+    pub fn uses_all_entries(&self, usable: usize, fleet: usize) -> bool {
         usable <= self.max_entries && fleet <= 2 * self.max_entries
     }
 }
@@ -252,7 +252,7 @@
         let slots = cells.iter().flat_map(|cell| {
             let seed = mix(workspace.0, cell.id);
             cell.entries.iter().enumerate().map(move |(slot, entry)| {
-                let key = if self.takes_all_entries() { entry.0 } else { slot as u64 };
+                let key = if self.uses_all_entries() { entry.0 } else { slot as u64 };
                 (score(seed, key, self.entries[entry].weight), *entry)
             })
         });
@@ -294,13 +294,13 @@
     /// is replaced it counts twice; an entry that is cut off from a large one must not take all
     /// backend servers for its own.
     #[must_use]
-    pub fn takes_all_entries(&self) -> bool {
-        self.config.takes_all(self.entries.len(), self.fleet)
+    pub fn uses_all_entries(&self) -> bool {
+        self.config.uses_all_entries(self.entries.len(), self.fleet)
     }
 
     fn wanted_entries(&self, cell: &Cell) -> usize {
         let by_size = cell.servers.len().div_ceil(self.config.servers_per_entry.max(1));
-        if self.takes_all_entries() {
+        if self.uses_all_entries() {
             return self.entries.len();
         }
         by_size.clamp(self.config.min_entries, self.config.max_entries)
--- a/crates/policy/src/suspicion.rs
+++ b/crates/policy/src/suspicion.rs
@@ -96,9 +96,9 @@
 ///
 /// ```
 /// use flamingowheel_policy::key::{Fingerprint, ServerKey};
-/// use flamingowheel_policy::suspicion::{CrashId, SuspicionBook, SuspicionConfig, Verdict};
+/// use flamingowheel_policy::suspicion::{CrashId, SuspectTracker, SuspicionConfig, Verdict};
 /// use std::time::Duration;
-/// let mut book = SuspicionBook::new(SuspicionConfig::default());
+/// let mut book = SuspectTracker::new(SuspicionConfig::default());
 /// let request = Fingerprint(1);
 /// let crash = CrashId { server: ServerKey(1), number: 9 };
 /// book.on_crash(crash, &[request], Duration::ZERO);
@@ -107,13 +107,13 @@
 /// assert_eq!(book.verdict(request, Duration::ZERO), Verdict::Clear);
 /// ```
 #[derive(Clone, Debug)]
-pub struct SuspicionBook {
+pub struct SuspectTracker {
     config: SuspicionConfig,
     suspects: HashMap<Fingerprint, Crashes>,
     changed: HashSet<Fingerprint>,
 }
 
-impl SuspicionBook {
+impl SuspectTracker {
     /// Nothing known.
     #[must_use]
     pub fn new(config: SuspicionConfig) -> Self {
@@ -159,7 +159,7 @@
     }
 
     /// The records that changed since the last call, to be sent to the other processes.
-    pub fn take_changes(&mut self, now: Duration) -> Vec<SuspectRecord> {
+    pub fn drain_changes(&mut self, now: Duration) -> Vec<SuspectRecord> {
         let changed = std::mem::take(&mut self.changed);
         changed.into_iter().filter_map(|fingerprint| self.record(fingerprint, now)).collect()
     }
--- a/crates/policy/src/topology.rs
+++ b/crates/policy/src/topology.rs
@@ -20,7 +20,7 @@
 
 /// One entry as the topology sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Place<'a> {
+pub struct EntryRef<'a> {
     /// Its data centre.
     pub data_centre: &'a str,
     /// Its name.
@@ -37,15 +37,15 @@
     /// Orders the entries.
     ///
     /// ```
-    /// use flamingowheel_policy::topology::{Place, Topology};
+    /// use flamingowheel_policy::topology::{EntryRef, Topology};
     /// let names: Vec<String> = (0..9).map(|number| format!("e{number}")).collect();
-    /// let places = names.iter().map(|name| Place { data_centre: "macon-1", name });
+    /// let places = names.iter().map(|name| EntryRef { data_centre: "macon-1", name });
     /// let topology = Topology::new(places);
     /// assert_eq!(names.iter().filter(|name| topology.is_watcher("macon-1", name)).count(), 2);
     /// ```
     pub fn new<I>(places: I) -> Self
     where
-        I: IntoIterator<Item = Place<'a>>,
+        I: IntoIterator<Item = EntryRef<'a>>,
     {
         let mut orders: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
         for place in places {
@@ -70,7 +70,7 @@
     }
 
     /// The entries that this one polls.
-    pub fn polled_by(&self, data_centre: &str, name: &str) -> Vec<&'a str> {
+    pub fn poll_targets(&self, data_centre: &str, name: &str) -> Vec<&'a str> {
         let order = self.order(data_centre);
         let Some(rank) = order.iter().position(|other| *other == name) else {
             return self.watchers(data_centre).to_vec();
@@ -90,24 +90,24 @@
     }
 
     /// The entries that poll this one, all of which it watches in turn.
-    pub fn polling(&self, data_centre: &str, name: &str) -> Vec<&'a str> {
+    pub fn pollers(&self, data_centre: &str, name: &str) -> Vec<&'a str> {
         let order = self.order(data_centre);
         let Some(rank) = order.iter().position(|other| *other == name) else { return Vec::new() };
         let children = order.iter().enumerate();
         let own = children.filter(|(child, _)| parents(*child, order.len()).any(|p| p == rank));
-        let mut polling: Vec<&str> = own.map(|(_, child)| *child).collect();
+        let mut pollers: Vec<&str> = own.map(|(_, child)| *child).collect();
         if rank < WATCHERS {
-            polling.extend(self.remote_watchers(data_centre, rank));
+            pollers.extend(self.remote_watchers(data_centre, rank));
         }
-        polling
+        pollers
     }
 
     /// The entries that follow the key-value service for all others: the first of as many data
     /// centres, and further ones of each where there are few data centres.
     ///
     /// ```
-    /// use flamingowheel_policy::topology::{Place, Topology};
-    /// let place = |data_centre, name| Place { data_centre, name };
+    /// use flamingowheel_policy::topology::{EntryRef, Topology};
+    /// let place = |data_centre, name| EntryRef { data_centre, name };
     /// let topology = Topology::new([place("a", "x"), place("a", "y"), place("b", "z")]);
     /// assert_eq!(topology.followers().len(), 3);
     /// ```
@@ -164,17 +164,17 @@
     use super::*;
 
     #[test]
-    fn polled_by_is_bounded_and_connected() {
+    fn poll_targets_bounded_and_connected() {
         let names: Vec<String> = (0..380).map(|number| format!("entry-{number}")).collect();
         let centres: Vec<String> = (0..5).map(|number| format!("dc-{number}")).collect();
-        let place = |at: usize| Place { data_centre: &centres[at % 5], name: &names[at] };
+        let place = |at: usize| EntryRef { data_centre: &centres[at % 5], name: &names[at] };
         let topology = Topology::new((0..380).map(place));
         for at in 0..380 {
-            let Place { data_centre, name } = place(at);
-            let links = topology.polled_by(data_centre, name).len()
-                + topology.polling(data_centre, name).len();
+            let EntryRef { data_centre, name } = place(at);
+            let links = topology.poll_targets(data_centre, name).len()
+                + topology.pollers(data_centre, name).len();
             assert!(links <= 2 + 2 * FANOUT + 2 * 4, "{links}");
-            assert!(!topology.polled_by(data_centre, name).contains(&name));
+            assert!(!topology.poll_targets(data_centre, name).contains(&name));
         }
     }
 
@@ -191,7 +191,7 @@
     fn followers_in_several_data_centres() {
         let names: Vec<String> = (0..149).map(|number| format!("entry-{number}")).collect();
         let centres: Vec<String> = (0..5).map(|number| format!("dc-{number}")).collect();
-        let place = |at: usize| Place { data_centre: &centres[at % 5], name: &names[at] };
+        let place = |at: usize| EntryRef { data_centre: &centres[at % 5], name: &names[at] };
         let topology = Topology::new((0..149).map(place));
         let followers = topology.followers();
         let data_centre = |name: &&str| names.iter().position(|n| n == name).unwrap() % 5;
@@ -199,7 +199,7 @@
             followers.iter().map(data_centre).collect();
         assert_eq!((followers.len(), distinct.len()), (FOLLOWERS, FOLLOWERS));
         for at in 0..149 {
-            let Place { data_centre, name } = place(at);
+            let EntryRef { data_centre, name } = place(at);
             let sources = topology.sources(data_centre, name);
             assert!(sources.len() >= 2 && !sources.contains(&name));
         }
@@ -208,7 +208,7 @@
     #[test]
     fn watchers_change_little() {
         let names: Vec<String> = (0..20).map(|number| format!("e{number}")).collect();
-        let place = |name| Place { data_centre: "a", name };
+        let place = |name| EntryRef { data_centre: "a", name };
         let all = Topology::new(names.iter().map(|name| place(name)));
         for gone in &names {
             let rest = Topology::new(names.iter().filter(|n| *n != gone).map(|name| place(name)));
--- a/crates/policy/tests/batch.rs
+++ b/crates/policy/tests/batch.rs
@@ -1,6 +1,6 @@
 //! A rank group whose demand shifts every few seconds, with several entries before it.
 
-use flamingowheel_policy::batch::{BatchBound, PassModel, crowding};
+use flamingowheel_policy::batch::{BatchLimit, PassModel, crowding};
 use flamingowheel_policy::passes::{PassTime, limit_ms, retry_after_ms};
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -62,7 +62,7 @@
 struct Group {
     rule: Rule,
     passes: Vec<PassTime>,
-    bounds: Vec<BatchBound>,
+    bounds: Vec<BatchLimit>,
     batch: Vec<Stream>,
     rng: ChaCha8Rng,
 }
@@ -72,7 +72,7 @@
         Self {
             rule,
             passes: vec![PassTime::default(); ENTRIES],
-            bounds: vec![BatchBound::default(); ENTRIES],
+            bounds: vec![BatchLimit::default(); ENTRIES],
             batch: Vec::new(),
             rng: ChaCha8Rng::seed_from_u64(seed),
         }
@@ -91,7 +91,7 @@
                 continue;
             }
             self.passes[entry].observe(lasted_ms, now);
-            if let Some(mean_ms) = self.passes[entry].at(now) {
+            if let Some(mean_ms) = self.passes[entry].mean_ms(now) {
                 self.bounds[entry].observe(mean_ms, own, &model(), now);
             }
         }
@@ -108,8 +108,8 @@
         let draw: f64 = self.rng.random();
         let has_returned = now_ms > arrived_ms;
         let limit_ms = limit_ms(PAUSE_GOAL_MS, has_returned, draw);
-        let pass_ms = self.passes[entry].at(at(now_ms)).unwrap_or(0.0);
-        let bound = self.bounds[entry].at(PAUSE_GOAL_MS, &model(), at(now_ms));
+        let pass_ms = self.passes[entry].mean_ms(at(now_ms)).unwrap_or(0.0);
+        let bound = self.bounds[entry].max_requests(PAUSE_GOAL_MS, &model(), at(now_ms));
         let bound = bound.filter(|_| self.rule == Rule::PassesAndNumber);
         let softness = if has_returned { 1.0 } else { draw };
         let by_number = bound.map_or(0.0, |bound| crowding(self.own(entry), bound, softness));
@@ -218,11 +218,11 @@
 /// crowded batch, it would close the group to all callers for seconds.
 #[test]
 fn bound_long_passes_least_is_kept() {
-    let mut bound = BatchBound::default();
+    let mut bound = BatchLimit::default();
     for tenth in 0..100 {
         bound.observe(400.0, 2, &model(), Duration::from_millis(tenth * 100));
     }
-    let left = bound.at(PAUSE_GOAL_MS, &model(), Duration::from_secs(10)).unwrap();
+    let left = bound.max_requests(PAUSE_GOAL_MS, &model(), Duration::from_secs(10)).unwrap();
     assert!(left >= 4.0, "{left}");
 }
 
@@ -231,9 +231,9 @@
 /// back for the seconds after it.
 #[test]
 fn bound_forming_nothing_learnt() {
-    let mut bound = BatchBound::default();
+    let mut bound = BatchLimit::default();
     for tenth in 0..30 {
         bound.observe(250.0, 16, &model(), Duration::from_millis(tenth * 100));
     }
-    assert_eq!(bound.at(PAUSE_GOAL_MS, &model(), Duration::from_secs(3)), None);
+    assert_eq!(bound.max_requests(PAUSE_GOAL_MS, &model(), Duration::from_secs(3)), None);
 }
--- a/crates/policy/tests/limits.rs
+++ b/crates/policy/tests/limits.rs
@@ -60,7 +60,7 @@
                     self.members[index].finish(1.0, 1.0, self.now);
                 }
             }
-            if let Some((lender, request)) = self.members[index].next_request(self.now) {
+            if let Some((lender, request)) = self.members[index].next_loan_request(self.now) {
                 self.send(EntryKey(index as u64), lender, Message::Ask(request));
             }
         }
@@ -125,7 +125,7 @@
 
 // All callers use one of the eight entries. Without loans they would get an eighth of their limit.
 #[test]
-fn next_request_demand_on_one_entry_most_of_limit_usable() {
+fn next_loan_request_demand_on_one_entry_most_of_limit_usable() {
     let mut subset = Subset::new(1, LIMITS, 0.0, Duration::from_millis(2));
     let mut rates = [0.0; MEMBERS as usize];
     rates[0] = 400.0;
@@ -144,7 +144,7 @@
     let mut member = Subset::new(1, LIMITS, 0.0, Duration::ZERO).members.remove(0);
     let now = Duration::from_secs(1);
     assert_eq!(outsider.try_admit(1.0, now), Err(LimitRefusal::NoShare));
-    let (lender, request) = outsider.next_request(now).unwrap();
+    let (lender, request) = outsider.next_loan_request(now).unwrap();
     let loan = member.lend(EntryKey(99), &request, now);
     outsider.on_loan(lender, &loan, now);
     let later = now + Duration::from_millis(500);
--- a/crates/policy/tests/passes.rs
+++ b/crates/policy/tests/passes.rs
@@ -60,7 +60,7 @@
             tally.arrived += 1;
             let entry = rng.random_range(0..ENTRIES);
             let limit = limit_ms(PAUSE_GOAL_MS, false, rng.random());
-            if is_limited && passes[entry].at(now).is_some_and(|pass_ms| pass_ms > limit) {
+            if is_limited && passes[entry].mean_ms(now).is_some_and(|pass_ms| pass_ms > limit) {
                 tally.refused += 1;
                 continue;
             }
@@ -96,7 +96,7 @@
     let mut passes = PassTime::default();
     passes.observe(80.0, Duration::from_millis(100));
     passes.observe(1_900.0, Duration::from_millis(150));
-    assert_eq!(passes.at(Duration::from_millis(160)), Some(80.0));
+    assert_eq!(passes.mean_ms(Duration::from_millis(160)), Some(80.0));
 }
 
 /// Six streams of one entry end the same long pass. Counted six times it would stand for half a second
--- a/crates/policy/tests/rebalance.rs
+++ b/crates/policy/tests/rebalance.rs
@@ -54,12 +54,12 @@
         let request =
             Request { current: &current, loads: &loads, speeds: &speeds, params: &params };
         let planned = plan(&request).unwrap();
-        prop_assert!(planned.moved() <= max_moves);
+        prop_assert!(planned.move_count() <= max_moves);
         for layer in &planned.layers {
             prop_assert!(layer.target.check(EXPERTS).is_ok());
             prop_assert_eq!(&current[layer.layer].after(&layer.moves), &layer.target);
             prop_assert!(layer.gain >= params.min_gain);
-            prop_assert!(layer.gain >= params.price() * layer.moves.len() as f64);
+            prop_assert!(layer.gain >= params.min_gain_per_move() * layer.moves.len() as f64);
         }
         prop_assert_eq!(plan(&request).unwrap(), planned);
     }
@@ -91,7 +91,7 @@
         (0..4).for_each(|_| loads[0].observe(&noisy(&mut random, &base)));
         let request = Request { current: &current, loads: &loads, speeds: &speeds, params };
         let planned = plan(&request).unwrap();
-        moved += planned.moved();
+        moved += planned.move_count();
         for layer in planned.layers {
             current[layer.layer] = layer.target;
         }
@@ -137,7 +137,7 @@
     let request =
         Request { current: &current, loads: &loads, speeds: &[1.0, 1.0], params: &params };
     let planned = plan(&request).unwrap();
-    assert_eq!(planned.moved(), 2);
+    assert_eq!(planned.move_count(), 2);
     assert_eq!(planned.layers[0].layer, 1);
     assert_eq!(skew(&planned.layers[0].target, loads[1].means(), &[1.0, 1.0]), 1.0);
 }
@@ -152,8 +152,8 @@
         let loads = [DecayedLoads::new(0.3, loads)];
         plan(&Request { current: &current, loads: &loads, speeds, params: &params }).unwrap_err()
     };
-    assert_eq!(refused(&[1.0, 1.0, 1.0, f64::NAN], &[1.0, 1.0]), RequestError::Number);
-    assert_eq!(refused(&[1.0; 4], &[1.0, 0.0]), RequestError::Number);
+    assert_eq!(refused(&[1.0, 1.0, 1.0, f64::NAN], &[1.0, 1.0]), RequestError::InvalidNumber);
+    assert_eq!(refused(&[1.0; 4], &[1.0, 0.0]), RequestError::InvalidNumber);
     assert!(matches!(refused(&[1.0; 4], &[1.0]), RequestError::Ranks { .. }));
     assert!(matches!(refused(&[1.0; 5], &[1.0, 1.0]), RequestError::Placement { .. }));
 }
@@ -165,5 +165,5 @@
     let params = Params::skew_weighted();
     let request =
         Request { current: &current, loads: &loads, speeds: &[1.0, 1.0], params: &params };
-    assert_eq!(plan(&request).unwrap().moved(), 0);
+    assert_eq!(plan(&request).unwrap().move_count(), 0);
 }
--- a/crates/policy/tests/routing.rs
+++ b/crates/policy/tests/routing.rs
@@ -3,13 +3,17 @@
 use std::collections::HashSet;
 use std::time::Duration;
 
-use flamingowheel_policy::admission::{Admission, AdmissionConfig, Admitted, Offer, Priority};
+use flamingowheel_policy::admission::{
+    Admission, AdmissionConfig, AdmissionDecision, Offer, Priority,
+};
 use flamingowheel_policy::key::{Fingerprint, ServerKey};
-use flamingowheel_policy::load::{Availability, Load, LoadBook};
+use flamingowheel_policy::load::{Availability, Load, LoadTracker};
 use flamingowheel_policy::prefix::{
-    BlockHash, CacheChange, CacheEvent, PrefixBook, PrefixConfig, block_hashes,
+    BlockHash, CacheChange, CacheEvent, PrefixConfig, PrefixIndex, block_hashes,
+};
+use flamingowheel_policy::retry::{
+    RetryBudget, RetryConfig, RetryRefusal, RetryRequest, TryOutcome,
 };
-use flamingowheel_policy::retry::{LastTry, RetryBudget, RetryConfig, RetryRefusal, RetryRequest};
 use flamingowheel_policy::routing::{RouteError, RouteRequest, RoutingConfig, choose};
 
 const NOW: Duration = Duration::from_secs(100);
@@ -18,12 +22,12 @@
     Load { running, waiting, places: 8, service_ms: 2_000 }
 }
 
-fn fleet(loads: &[(u16, u16)]) -> (Vec<ServerKey>, LoadBook) {
+fn fleet(loads: &[(u16, u16)]) -> (Vec<ServerKey>, LoadTracker) {
     let keys: Vec<ServerKey> = (0..loads.len() as u64).map(ServerKey).collect();
-    let mut book = LoadBook::default();
+    let mut book = LoadTracker::default();
     for (key, (running, waiting)) in keys.iter().zip(loads) {
         book.insert(*key);
-        book.on_fresh(*key, load(*running, *waiting), NOW);
+        book.on_current_load(*key, load(*running, *waiting), NOW);
     }
     (keys, book)
 }
@@ -35,7 +39,7 @@
 fn route(
     request: &RouteRequest<'_>,
     keys: &[ServerKey],
-    book: &LoadBook,
+    book: &LoadTracker,
 ) -> Result<ServerKey, RouteError> {
     let no_cost = |_| Some(Duration::ZERO);
     choose(&RoutingConfig::default(), request, keys, book, NOW, no_cost).map(|c| c.server)
@@ -48,7 +52,7 @@
     let (keys, mut book) = fleet(&[(0, 0), (0, 0), (0, 0), (0, 0), (7, 0)]);
     book.set_availability(keys[0], Availability::Leaving);
     book.set_availability(keys[1], Availability::Suspect);
-    book.on_fresh(keys[2], Load { places: 0, ..load(0, 0) }, NOW);
+    book.on_current_load(keys[2], Load { places: 0, ..load(0, 0) }, NOW);
     for fingerprint in 0..100 {
         assert_eq!(route(&request(fingerprint, &keys[3..4]), &keys, &book), Ok(keys[4]));
     }
@@ -109,7 +113,7 @@
     (0..3).for_each(|_| book.on_sent(keys[0], sent));
     assert!(book.estimate(keys[0], sent).unwrap().occupied > 6.9);
     let later = sent + Duration::from_millis(1);
-    book.on_fresh(keys[0], load(7, 0), later);
+    book.on_current_load(keys[0], load(7, 0), later);
     assert!(book.estimate(keys[0], later).unwrap().occupied < 7.1);
 }
 
@@ -137,18 +141,20 @@
 fn full_agent() -> Admission<u32> {
     let config = AdmissionConfig { places: 2, max_queue: 2, ..AdmissionConfig::default() };
     let mut agent = Admission::new(config);
-    (0..2).for_each(|id| assert_eq!(agent.offer(offer(id, 50, false)), Admitted::Start));
+    (0..2).for_each(|id| assert_eq!(agent.offer(offer(id, 50, false)), AdmissionDecision::Start));
     agent
 }
 
 #[test]
 fn offer_queue_full_lowest_priority_gives_way() {
     let mut agent = full_agent();
-    assert!(matches!(agent.offer(offer(2, 50, false)), Admitted::Full(load) if load.running == 2));
-    assert_eq!(agent.offer(offer(3, 50, true)), Admitted::Queued { shed: None });
-    assert_eq!(agent.offer(offer(4, 10, true)), Admitted::Queued { shed: None });
-    assert_eq!(agent.offer(offer(5, 90, true)), Admitted::Queued { shed: Some(4) });
-    assert!(matches!(agent.offer(offer(6, 50, true)), Admitted::Full(_)));
+    assert!(
+        matches!(agent.offer(offer(2, 50, false)), AdmissionDecision::Full(load) if load.running == 2)
+    );
+    assert_eq!(agent.offer(offer(3, 50, true)), AdmissionDecision::Queued { shed: None });
+    assert_eq!(agent.offer(offer(4, 10, true)), AdmissionDecision::Queued { shed: None });
+    assert_eq!(agent.offer(offer(5, 90, true)), AdmissionDecision::Queued { shed: Some(4) });
+    assert!(matches!(agent.offer(offer(6, 50, true)), AdmissionDecision::Full(_)));
     assert_eq!(agent.finish(Duration::from_secs(1)), Some(5));
     assert_eq!(agent.finish(Duration::from_secs(1)), Some(3));
     assert_eq!(agent.finish(Duration::from_secs(1)), None);
@@ -157,9 +163,9 @@
 #[test]
 fn offer_urgent_starts_beyond_places_and_place_is_given_back() {
     let mut agent = full_agent();
-    assert_eq!(agent.offer(offer(2, 50, true)), Admitted::Queued { shed: None });
-    assert_eq!(agent.offer(offer(3, 200, false)), Admitted::Start);
-    assert!(matches!(agent.offer(offer(4, 200, false)), Admitted::Full(_)));
+    assert_eq!(agent.offer(offer(2, 50, true)), AdmissionDecision::Queued { shed: None });
+    assert_eq!(agent.offer(offer(3, 200, false)), AdmissionDecision::Start);
+    assert!(matches!(agent.offer(offer(4, 200, false)), AdmissionDecision::Full(_)));
     assert_eq!(agent.finish(Duration::from_secs(1)), None);
     assert_eq!(agent.finish(Duration::from_secs(1)), Some(2));
 }
@@ -169,9 +175,9 @@
 fn offer_suspect_runs_alone() {
     let mut agent = full_agent();
     let suspect = offer(2, 50, false);
-    assert_eq!(agent.offer_alone(suspect), Admitted::Queued { shed: None });
-    assert!(matches!(agent.offer_alone(Offer { id: 9, ..suspect }), Admitted::Full(_)));
-    assert_eq!(agent.offer(offer(3, 200, true)), Admitted::Queued { shed: None });
+    assert_eq!(agent.offer_alone(suspect), AdmissionDecision::Queued { shed: None });
+    assert!(matches!(agent.offer_alone(Offer { id: 9, ..suspect }), AdmissionDecision::Full(_)));
+    assert_eq!(agent.offer(offer(3, 200, true)), AdmissionDecision::Queued { shed: None });
     assert_eq!(agent.finish(Duration::from_secs(1)), None);
     assert_eq!(agent.finish(Duration::from_secs(1)), Some(2));
     assert_eq!(agent.start_next(), None);
@@ -197,7 +203,7 @@
 fn on_event_out_of_order_applied_in_order() {
     let prompt = block_hashes(&[7; 64], 16);
     let server = ServerKey(1);
-    let mut book = PrefixBook::new(PrefixConfig::default());
+    let mut book = PrefixIndex::new(PrefixConfig::default());
     let removed = CacheEvent { number: 3, change: CacheChange::Removed(prompt[1..].to_vec()) };
     for event in [stored(1, &[]), removed, stored(2, &prompt), stored(2, &prompt)] {
         book.on_event(server, event, NOW);
@@ -212,7 +218,7 @@
     let prompt = block_hashes(&[7; 64], 16);
     let server = ServerKey(1);
     let config = PrefixConfig { max_pending: 4, ..PrefixConfig::default() };
-    let mut book = PrefixBook::new(config);
+    let mut book = PrefixIndex::new(config);
     book.on_event(server, stored(1, &prompt), NOW);
     (3..8).for_each(|number| book.on_event(server, stored(number, &[]), NOW));
     assert!(book.has_gap(server));
@@ -227,7 +233,7 @@
 #[test]
 fn on_event_many_blocks_memory_bounded() {
     let config = PrefixConfig { max_blocks: 100, ..PrefixConfig::default() };
-    let mut book = PrefixBook::new(config);
+    let mut book = PrefixIndex::new(config);
     for number in 0..1_000 {
         book.on_event(ServerKey(1), stored(number, &[BlockHash(number)]), NOW);
     }
@@ -241,7 +247,7 @@
     let mut budget = RetryBudget::new(RetryConfig::default());
     let mut request = RetryRequest {
         idempotent: true,
-        last_try: LastTry::Unknown,
+        last_outcome: TryOutcome::Unknown,
         answer_started: false,
         remaining: Duration::from_secs(1),
     };
@@ -251,7 +257,7 @@
     (0..50).for_each(|_| budget.on_success());
     request.idempotent = false;
     assert_eq!(budget.try_retry(&request), Err(RetryRefusal::NotIdempotent));
-    request.last_try = LastTry::NotRun;
+    request.last_outcome = TryOutcome::NotRun;
     assert_eq!(budget.try_retry(&request), Ok(()));
     request.remaining = Duration::from_millis(1);
     assert_eq!(budget.try_retry(&request), Err(RetryRefusal::TooLate));
--- a/crates/policy/tests/suspicion.rs
+++ b/crates/policy/tests/suspicion.rs
@@ -3,12 +3,14 @@
 use std::collections::HashSet;
 use std::time::Duration;
 
-use flamingowheel_policy::admission::{Admission, AdmissionConfig, Admitted, Offer, Priority};
+use flamingowheel_policy::admission::{
+    Admission, AdmissionConfig, AdmissionDecision, Offer, Priority,
+};
 use flamingowheel_policy::key::{Fingerprint, ServerKey};
-use flamingowheel_policy::load::{Availability, LoadBook};
+use flamingowheel_policy::load::{Availability, LoadTracker};
 use flamingowheel_policy::routing::choose_alone;
 use flamingowheel_policy::suspicion::{
-    CrashId, CrashRecord, SuspectRecord, SuspicionBook, SuspicionConfig, Verdict,
+    CrashId, CrashRecord, SuspectRecord, SuspectTracker, SuspicionConfig, Verdict,
 };
 use proptest::prelude::*;
 use rand::{RngExt, SeedableRng};
@@ -18,8 +20,8 @@
 const SERVERS: usize = 64;
 const BATCH: usize = 32;
 
-fn book() -> SuspicionBook {
-    SuspicionBook::new(SuspicionConfig::default())
+fn book() -> SuspectTracker {
+    SuspectTracker::new(SuspicionConfig::default())
 }
 
 fn record(fingerprint: u128, crashes: &[(u64, u64, bool, u64)]) -> SuspectRecord {
@@ -32,7 +34,7 @@
     SuspectRecord { fingerprint: Fingerprint(fingerprint), crashes }
 }
 
-fn sorted(book: &SuspicionBook) -> Vec<SuspectRecord> {
+fn sorted(book: &SuspectTracker) -> Vec<SuspectRecord> {
     let mut records = book.records(Duration::ZERO);
     records.sort_by_key(|record| record.fingerprint);
     records
@@ -104,7 +106,7 @@
 #[test]
 fn on_crash_many_fingerprints_bounded_and_convicts_kept() {
     let config = SuspicionConfig { max_fingerprints: 100, ..SuspicionConfig::default() };
-    let mut book = SuspicionBook::new(config);
+    let mut book = SuspectTracker::new(config);
     let convict = Fingerprint(u128::MAX);
     for server in [1, 2] {
         book.on_crash(CrashId { server: ServerKey(server), number: 1 }, &[convict], Duration::ZERO);
@@ -127,9 +129,9 @@
 
 struct Fleet {
     rng: ChaCha8Rng,
-    entries: Vec<SuspicionBook>,
+    entries: Vec<SuspectTracker>,
     agents: Vec<Admission<usize>>,
-    load: LoadBook,
+    load: LoadTracker,
     keys: Vec<ServerKey>,
     crashes: u64,
     lost: HashSet<ServerKey>,
@@ -142,7 +144,7 @@
 impl Fleet {
     fn new(seed: u64, notice: Duration) -> Self {
         let keys: Vec<ServerKey> = (0..SERVERS as u64).map(ServerKey).collect();
-        let mut load = LoadBook::default();
+        let mut load = LoadTracker::default();
         keys.iter().for_each(|key| assert!(load.insert(*key)));
         Self {
             rng: ChaCha8Rng::seed_from_u64(seed),
@@ -180,7 +182,7 @@
     }
 
     fn spread(&mut self, from: usize) {
-        let records = self.entries[from].take_changes(self.now);
+        let records = self.entries[from].drain_changes(self.now);
         for entry in (0..ENTRIES).chain(0..ENTRIES) {
             let at = self.now + self.notice.mul_f64(self.rng.random());
             self.notices.push((at, entry, records.clone()));
@@ -210,7 +212,7 @@
             let offer = Offer { id: copy, priority: Priority(1), last_try: true, deadline };
             let agent = &mut self.agents[index];
             let admitted = if alone { agent.offer_alone(offer) } else { agent.offer(offer) };
-            if admitted == Admitted::Start {
+            if admitted == AdmissionDecision::Start {
                 started.push((server, *entry));
             }
         }
--- a/crates/proof/benches/capacity/decisions.rs
+++ b/crates/proof/benches/capacity/decisions.rs
@@ -11,11 +11,11 @@
     DataCentreKey, EntryKey, Fingerprint, RegionKey, ScopeKey, ServerKey, WorkspaceKey,
 };
 use flamingowheel_policy::limits::{Limits, SplitConfig, WorkspaceLimits};
-use flamingowheel_policy::load::{Load, LoadBook};
-use flamingowheel_policy::prefix::{BlockHash, CacheChange, CacheEvent, PrefixBook, PrefixConfig};
+use flamingowheel_policy::load::{Load, LoadTracker};
+use flamingowheel_policy::prefix::{BlockHash, CacheChange, CacheEvent, PrefixConfig, PrefixIndex};
 use flamingowheel_policy::rebalance::{DecayedLoads, Params, Placement, Request, plan, repack};
 use flamingowheel_policy::subset::{Cells, EntryInfo, SubsetConfig};
-use flamingowheel_policy::suspicion::{CrashId, SuspicionBook, SuspicionConfig};
+use flamingowheel_policy::suspicion::{CrashId, SuspectTracker, SuspicionConfig};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -32,10 +32,10 @@
 fn books() {
     let load = Load { running: 3, waiting: 0, places: 8, service_ms: 2_000 };
     let book = |count: usize| {
-        let mut book = LoadBook::default();
+        let mut book = LoadTracker::default();
         for server in (0..count as u64).map(ServerKey) {
             book.insert(server);
-            book.on_fresh(server, load, Duration::from_secs(1));
+            book.on_current_load(server, load, Duration::from_secs(1));
             book.on_sent(server, Duration::from_secs(2));
         }
         book
@@ -55,14 +55,14 @@
     print("limits_bytes_per_workspace", bytes_each(10_000, workspaces));
     let blocks = |count: usize| {
         let config = PrefixConfig { max_blocks: 2 * count, ..PrefixConfig::default() };
-        let mut book = PrefixBook::new(config);
+        let mut book = PrefixIndex::new(config);
         let stored = CacheChange::Stored((0..count as u64).map(BlockHash).collect());
         book.on_event(ServerKey(1), CacheEvent { number: 1, change: stored }, Duration::ZERO);
         book
     };
     print("prefix_bytes_per_block", bytes_each(16_384, blocks));
     let suspects = |count: usize| {
-        let mut book = SuspicionBook::new(SuspicionConfig::default());
+        let mut book = SuspectTracker::new(SuspicionConfig::default());
         let crash = CrashId { server: ServerKey(1), number: 1 };
         let running: Vec<Fingerprint> = (0..count as u128).map(Fingerprint).collect();
         book.on_crash(crash, &running, Duration::ZERO);
