--- a/crates/agent/src/serve.rs
+++ b/crates/agent/src/serve.rs
@@ -3,7 +3,7 @@
 use crate::config::AgentConfig;
 use crate::control::{AgentHandle, Command};
 use flamingowheel_protocol::auth::FleetKey;
-use flamingowheel_protocol::link::{Keeping, Link};
+use flamingowheel_protocol::link::{Link, LinkOptions};
 use flamingowheel_protocol::message::{AgentMessage, EntryMessage, Hello, Role};
 use flamingowheel_protocol::websocket::{Identity, accept_links};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -14,7 +14,7 @@
 static LINKS: AtomicU64 = AtomicU64::new(1);
 
 /// How the agent introduces itself.
-pub fn identity(config: &AgentConfig, key: FleetKey, keeping: Keeping) -> Identity {
+pub fn identity(config: &AgentConfig, key: FleetKey, keeping: LinkOptions) -> Identity {
     let hello = Hello {
         name: config.name.clone(),
         incarnation: config.incarnation,
@@ -23,7 +23,7 @@
         operators: config.operators,
         role: Role::Agent(config.profile.clone()),
     };
-    Identity { hello, key, keeping }
+    Identity { hello, key, link_options: keeping }
 }
 
 /// Accepts and attends connections until `stop` fires; then they close.
--- a/crates/control/src/membership.rs
+++ b/crates/control/src/membership.rs
@@ -6,7 +6,7 @@
 
 use crate::directory::Directory;
 use flamingowheel_protocol::message::Hello;
-use flamingowheel_protocol::peer::{AgentRecord, MemberRecord, MemberState, News};
+use flamingowheel_protocol::peer::{AgentRecord, MemberRecord, MemberState, MembershipUpdate};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -102,10 +102,10 @@
     }
 
     /// What changed after a version of this table.
-    pub fn news_after(&self, version: u64) -> News {
+    pub fn news_after(&self, version: u64) -> MembershipUpdate {
         let newer = |member: &&Member| member.changed_in > version;
         let vms = self.leaving_vms.iter().filter(|(_, changed_in)| **changed_in > version);
-        News {
+        MembershipUpdate {
             records: self.members.values().filter(newer).map(|m| m.record.clone()).collect(),
             leaving_vms: vms.map(|(vm, _)| vm.clone()).collect(),
             // Between two that meet for the first time, digests tell what is missing.
@@ -150,7 +150,7 @@
     }
 
     /// Takes news from a peer.
-    pub fn merge(&mut self, news: News, now: Instant) -> Vec<Observation> {
+    pub fn merge(&mut self, news: MembershipUpdate, now: Instant) -> Vec<Observation> {
         let mut observations = Vec::new();
         for record in news.records {
             observations.extend(self.merge_record(record, now));
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -19,7 +19,7 @@
 use flamingowheel_policy::limits::{Loan, LoanRequest};
 use flamingowheel_protocol::id::Incarnation;
 use flamingowheel_protocol::peer::{
-    Heartbeat, HeartbeatAnswer, MemberRecord, MemberState, News, Sender, StoredValue,
+    Heartbeat, HeartbeatAnswer, MemberRecord, MemberState, MembershipUpdate, Sender, StoredValue,
 };
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -285,7 +285,7 @@
             revision: state.replica.revision().0,
             after: cursor.map_or(0, |cursor| cursor.theirs),
             hold_ms: hold.as_millis() as u32,
-            news: state.table.news_after(cursor.map_or(0, |cursor| cursor.ours)),
+            updates: state.table.news_after(cursor.map_or(0, |cursor| cursor.ours)),
         }
     }
 
@@ -307,7 +307,7 @@
             };
             state.reported.insert(name.clone(), offered);
             state.cursors.insert(name.clone(), cursor);
-            state.take(&name, answer.news)
+            state.take(&name, answer.updates)
         });
         if offered > self.revision() {
             return Followup::Fetch(offered);
@@ -430,7 +430,7 @@
         Sender { name: own.name.clone(), incarnation: own.incarnation }
     }
 
-    fn take(&mut self, from: &str, news: News) -> Vec<Observation> {
+    fn take(&mut self, from: &str, news: MembershipUpdate) -> Vec<Observation> {
         let now = Instant::now();
         let observations = self.table.merge(news, now);
         self.table.heard_from(from, now);
--- a/crates/control/src/node/agents.rs
+++ b/crates/control/src/node/agents.rs
@@ -17,7 +17,7 @@
     /// may be most of the directory.
     pub(crate) fn comparing_heartbeat(&self, peer: &str) -> Heartbeat {
         let mut heartbeat = self.heartbeat(Some(peer), Duration::ZERO);
-        heartbeat.news.agents.clear();
+        heartbeat.updates.agents.clear();
         heartbeat.agent_digests = self.state().table.directory().digests().to_vec();
         heartbeat
     }
@@ -28,7 +28,7 @@
             return Vec::new();
         }
         let theirs: HashMap<&str, &AgentRecord> =
-            answer.news.agents.iter().map(|record| (record.name.as_str(), record)).collect();
+            answer.updates.agents.iter().map(|record| (record.name.as_str(), record)).collect();
         let own = self.state().table.directory().parts(&answer.agent_parts);
         let lacks = |record: &AgentRecord| {
             let known = theirs.get(record.name.as_str());
--- a/crates/control/src/node/answers.rs
+++ b/crates/control/src/node/answers.rs
@@ -46,7 +46,7 @@
     }
 
     async fn answer_heartbeat(&self, heartbeat: Heartbeat) -> PeerAnswer {
-        let Heartbeat { from, revision, after, hold_ms, news, agent_digests } = heartbeat;
+        let Heartbeat { from, revision, after, hold_ms, updates: news, agent_digests } = heartbeat;
         self.change(|state| {
             state.reported.insert(from.name.clone(), ConfigRevision(revision));
             state.take(&from.name, news)
@@ -71,7 +71,7 @@
                 .service_answered_at
                 .map(|at| at.elapsed().as_millis() as u64),
             version: state.table.version(),
-            news,
+            updates: news,
             agent_parts,
         }))
     }
--- a/crates/control/src/spread.rs
+++ b/crates/control/src/spread.rs
@@ -14,7 +14,7 @@
 use flamingowheel_config::effective::ConfigRevision;
 use flamingowheel_config::store::Store;
 use flamingowheel_protocol::peer::{
-    AgentRecord, Heartbeat, MemberState, News, PeerAnswer, PeerRequest,
+    AgentRecord, Heartbeat, MemberState, MembershipUpdate, PeerAnswer, PeerRequest,
 };
 use futures_util::StreamExt;
 use futures_util::future::join_all;
@@ -229,7 +229,7 @@
             return;
         }
         let mut heartbeat = self.node.heartbeat(Some(name), Duration::ZERO);
-        heartbeat.news = News { agents: lacking, ..News::default() };
+        heartbeat.updates = MembershipUpdate { agents: lacking, ..MembershipUpdate::default() };
         heartbeat.agent_digests.clear();
         let request = PeerRequest::Heartbeat(Box::new(heartbeat));
         let _ = timeout(self.timing.answer_limit, self.peers.ask(peer, request)).await;
--- a/crates/control/tests/membership.rs
+++ b/crates/control/tests/membership.rs
@@ -6,7 +6,7 @@
 use flamingowheel_control::membership::{FORGET_AFTER, Table};
 use flamingowheel_control::node::MemberView;
 use flamingowheel_protocol::id::Incarnation;
-use flamingowheel_protocol::peer::{MemberState, News};
+use flamingowheel_protocol::peer::{MemberState, MembershipUpdate};
 use std::collections::BTreeSet;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -169,7 +169,7 @@
     let mut old = record(0, 1);
     old.version = 9;
     old.state = MemberState::Silent;
-    peer.merge(News { records: vec![old], ..News::default() }, now);
+    peer.merge(MembershipUpdate { records: vec![old], ..MembershipUpdate::default() }, now);
     let mut own = record(0, 1);
     own.incarnation = Incarnation(77);
     let mut fresh = Table::new(own, now);
@@ -198,7 +198,10 @@
         records.rotate_left(turn);
         let mut table = Table::new(record(1, 1), now);
         for record in records.iter().chain(records.iter().rev()) {
-            table.merge(News { records: vec![record.clone()], ..News::default() }, now);
+            table.merge(
+                MembershipUpdate { records: vec![record.clone()], ..MembershipUpdate::default() },
+                now,
+            );
         }
         assert_eq!(table.member("entry-0").unwrap().record.state, MemberState::Leaving);
     }
--- a/crates/control/tests/websocket.rs
+++ b/crates/control/tests/websocket.rs
@@ -8,7 +8,7 @@
 use flamingowheel_control::websocket::{WebSocketPeers, serve};
 use flamingowheel_observe::recorder::Recorder;
 use flamingowheel_protocol::auth::FleetKey;
-use flamingowheel_protocol::link::Keeping;
+use flamingowheel_protocol::link::LinkOptions;
 use flamingowheel_protocol::message::{Hello, Role};
 use flamingowheel_protocol::peer::{PeerAnswer, PeerRequest};
 use flamingowheel_protocol::websocket::Identity;
@@ -27,7 +27,7 @@
         data_centre: record.data_centre,
         role: Role::Entry,
     };
-    Identity { hello, key: FleetKey::new([key; 32]), keeping: Keeping::default() }
+    Identity { hello, key: FleetKey::new([key; 32]), link_options: LinkOptions::default() }
 }
 
 async fn start(number: usize) -> (SocketAddr, Node, CancellationToken) {
--- a/crates/entry/src/archive.rs
+++ b/crates/entry/src/archive.rs
@@ -3,7 +3,7 @@
 //! Absence, an error or a slow service mean that nothing is known, as if nobody had looked.
 
 use flamingowheel_backing::kv::{KeyValue, Operation, Transaction};
-use flamingowheel_protocol::archive::{self, Trace};
+use flamingowheel_protocol::archive::{self, ArchiveLookup};
 use flamingowheel_protocol::id::Fingerprint;
 use flamingowheel_protocol::ticket::Ticket;
 use std::sync::Arc;
@@ -33,18 +33,20 @@
 
     /// What an agent process that ended left of a ticket. An answer to another request than this one
     /// tells nothing.
-    pub async fn trace(&self, ticket: &Ticket, fingerprint: Fingerprint) -> Trace {
+    pub async fn trace(&self, ticket: &Ticket, fingerprint: Fingerprint) -> ArchiveLookup {
         let trace = timeout(LOOKUP_LIMIT, self.read(ticket)).await.ok().flatten();
         match trace {
-            Some(Trace::Answer(answer)) if answer.fingerprint != fingerprint => Trace::None,
+            Some(ArchiveLookup::Answer(answer)) if answer.fingerprint != fingerprint => {
+                ArchiveLookup::Unknown
+            }
             Some(trace) => trace,
-            None => Trace::None,
+            None => ArchiveLookup::Unknown,
         }
     }
 
     /// One read of both keys: of two reads, the seal's could come before the bucket was written or
     /// after it was gone.
-    async fn read(&self, ticket: &Ticket) -> Option<Trace> {
+    async fn read(&self, ticket: &Ticket) -> Option<ArchiveLookup> {
         let _place = self.places.acquire().await.ok()?;
         let bucket = archive::key(ticket.incarnation, archive::bucket(ticket.number));
         let seal = archive::seal_key(ticket.incarnation);
@@ -54,6 +56,6 @@
         let [bucket, seal] = answer.reads.try_into().ok()?;
         let bucket = bucket.as_ref().map(|entry| &entry.value[..]);
         let seal = seal.as_ref().map(|entry| &entry.value[..]);
-        Some(archive::trace(bucket, seal, ticket.number, ticket.window))
+        Some(archive::lookup(bucket, seal, ticket.number, ticket.window))
     }
 }
--- a/crates/entry/src/dispatch/keys.rs
+++ b/crates/entry/src/dispatch/keys.rs
@@ -10,7 +10,7 @@
 use crate::request::Request;
 use crate::stream::Answer;
 use flamingowheel_backing::BoxFuture;
-use flamingowheel_protocol::archive::{ArchivedAnswer, Trace};
+use flamingowheel_protocol::archive::{ArchiveLookup, ArchivedAnswer};
 use flamingowheel_protocol::message::Refusal;
 use flamingowheel_protocol::ticket::Ticket;
 use std::time::Duration;
@@ -39,7 +39,11 @@
 /// Where a key's record and the archived answers are.
 pub trait KeyHome: Sync {
     /// What an agent process that ended left of the ticket.
-    fn trace<'a>(&'a self, request: &'a Request, ticket: &'a Ticket) -> BoxFuture<'a, Trace>;
+    fn trace<'a>(
+        &'a self,
+        request: &'a Request,
+        ticket: &'a Ticket,
+    ) -> BoxFuture<'a, ArchiveLookup>;
 
     /// Binds the key to `minted` in the place of `old`; gives what it stands for now.
     fn rebind<'a>(
@@ -122,9 +126,9 @@
         match verdict {
             Verdict::Unknown(why) if why.is_home_gone() => {
                 match home.trace(request, ticket).await {
-                    Trace::Answer(answer) => Fate::Archived(answer),
-                    Trace::NeverRan if may_rebind => self.replacement(journey, None).await,
-                    Trace::NeverRan | Trace::None => Fate::Told,
+                    ArchiveLookup::Answer(answer) => Fate::Archived(answer),
+                    ArchiveLookup::NeverRan if may_rebind => self.replacement(journey, None).await,
+                    ArchiveLookup::NeverRan | ArchiveLookup::Unknown => Fate::Told,
                 }
             }
             Verdict::NotRun(why) if may_rebind && helps_elsewhere(why) => {
--- a/crates/entry/src/http/keys.rs
+++ b/crates/entry/src/http/keys.rs
@@ -11,7 +11,7 @@
 use axum::response::Response;
 use flamingowheel_backing::BoxFuture;
 use flamingowheel_observe::event::Event;
-use flamingowheel_protocol::archive::Trace;
+use flamingowheel_protocol::archive::ArchiveLookup;
 use flamingowheel_protocol::ticket::Ticket;
 use std::sync::Arc;
 
@@ -76,7 +76,11 @@
 }
 
 impl KeyHome for Home<'_> {
-    fn trace<'a>(&'a self, request: &'a Request, ticket: &'a Ticket) -> BoxFuture<'a, Trace> {
+    fn trace<'a>(
+        &'a self,
+        request: &'a Request,
+        ticket: &'a Ticket,
+    ) -> BoxFuture<'a, ArchiveLookup> {
         Box::pin(self.state.archive.trace(ticket, request.fingerprint))
     }
 
--- a/crates/entry/src/http/services.rs
+++ b/crates/entry/src/http/services.rs
@@ -13,7 +13,7 @@
 use axum::http::{HeaderMap, Method, Uri, header};
 use axum::response::Response;
 use flamingowheel_observe::event::Event;
-use flamingowheel_protocol::archive::Trace;
+use flamingowheel_protocol::archive::ArchiveLookup;
 use flamingowheel_protocol::id::RequestId;
 use flamingowheel_protocol::ticket::Ticket;
 use std::sync::Arc;
@@ -86,16 +86,16 @@
         && why.is_home_gone()
     {
         match state.archive.trace(&ticket, fingerprint).await {
-            Trace::Answer(answer) => {
+            ArchiveLookup::Answer(answer) => {
                 let ticket = ticket.number.to_string().into();
                 state.recorder.record_about(&subject, Event::TicketReplayed { ticket });
                 return give_archived(answer, &told);
             }
-            Trace::NeverRan => {
+            ArchiveLookup::NeverRan => {
                 let verdict = NotRun::HomeEnded.into();
                 return give_verdict(&verdict, Some(told.request), None);
             }
-            Trace::None => {}
+            ArchiveLookup::Unknown => {}
         }
     }
     respond(result, told, state, hold).await
--- a/crates/entry/src/http/tickets.rs
+++ b/crates/entry/src/http/tickets.rs
@@ -11,7 +11,7 @@
 use axum::http::{HeaderMap, StatusCode};
 use axum::response::{IntoResponse, Response};
 use bytes::Bytes;
-use flamingowheel_protocol::archive::Trace;
+use flamingowheel_protocol::archive::ArchiveLookup;
 use flamingowheel_protocol::id::{Fingerprint, RequestId};
 use flamingowheel_protocol::ticket::Ticket;
 use serde::{Deserialize, Serialize};
@@ -71,7 +71,7 @@
     let mut verdict = state.dispatcher.void(request, &ticket).await;
     if let Verdict::Unknown(why) = &verdict
         && why.is_home_gone()
-        && state.archive.trace(&ticket, Fingerprint(0)).await == Trace::NeverRan
+        && state.archive.trace(&ticket, Fingerprint(0)).await == ArchiveLookup::NeverRan
     {
         verdict = NotRun::HomeEnded.into();
     }
--- a/crates/flamingowheeld/src/agent.rs
+++ b/crates/flamingowheeld/src/agent.rs
@@ -15,7 +15,7 @@
 use flamingowheel_observe::event::Event;
 use flamingowheel_observe::metrics::{Metrics, Occupancy};
 use flamingowheel_observe::recorder::Recorder;
-use flamingowheel_protocol::link::{Keeping, Timing};
+use flamingowheel_protocol::link::{LinkOptions, Timing};
 use flamingowheel_protocol::message::{BackendProfile, ExpertShape, Serves};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -68,7 +68,8 @@
             version: env!("CARGO_PKG_VERSION").into(),
             incarnation: uuid::Uuid::from_u64_pair(0, config.incarnation.0),
         });
-        let keeping = Keeping { timing: Timing::default(), stamps: Arc::new(recorder.clone()) };
+        let keeping =
+            LinkOptions { timing: Timing::default(), logical_clock: Arc::new(recorder.clone()) };
         let key = crate::entry::fleet_key(settings);
         let identity = serve::identity(&config, key, keeping);
         let incarnation = config.incarnation;
--- a/crates/flamingowheeld/src/entry.rs
+++ b/crates/flamingowheeld/src/entry.rs
@@ -40,7 +40,7 @@
 use flamingowheel_observe::recorder::Recorder;
 use flamingowheel_policy::key::EntryKey;
 use flamingowheel_protocol::auth::FleetKey;
-use flamingowheel_protocol::link::{Keeping, Timing};
+use flamingowheel_protocol::link::{LinkOptions, Timing};
 use flamingowheel_protocol::message::{Hello, Role as PeerRole};
 use flamingowheel_protocol::peer::{MemberRecord, MemberState};
 use flamingowheel_protocol::websocket::Identity;
@@ -257,7 +257,8 @@
     recorder: &Recorder,
     operators: SocketAddr,
 ) -> Identity {
-    let keeping = Keeping { timing: Timing::default(), stamps: Arc::new(recorder.clone()) };
+    let keeping =
+        LinkOptions { timing: Timing::default(), logical_clock: Arc::new(recorder.clone()) };
     let hello = Hello {
         name: config.name.clone(),
         incarnation: config.incarnation,
@@ -266,7 +267,7 @@
         operators: Some(operators),
         role: PeerRole::Entry,
     };
-    Identity { hello, key: config.fleet_key.clone(), keeping }
+    Identity { hello, key: config.fleet_key.clone(), link_options: keeping }
 }
 
 fn member_record(
--- a/crates/flamingowheeld/tests/discovery.rs
+++ b/crates/flamingowheeld/tests/discovery.rs
@@ -17,7 +17,7 @@
     AgentMessage, BackendProfile, EntryMessage, Hello, Load, Role, Serves,
 };
 use flamingowheel_protocol::peer::{
-    Heartbeat, MemberRecord, MemberState, News, PeerRequest, Sender,
+    Heartbeat, MemberRecord, MemberState, MembershipUpdate, PeerRequest, Sender,
 };
 use flamingowheel_protocol::websocket::HandshakeError;
 use std::collections::HashMap;
@@ -145,14 +145,16 @@
 async fn node_of(number: usize) -> Node {
     let node = Node::new(record(&entry_name(number)), Recorder::for_tests("entry"));
     let others = (0..LARGE).filter(|other| *other != number);
-    let news =
-        News { records: others.map(|o| record(&entry_name(o))).collect(), ..News::default() };
+    let news = MembershipUpdate {
+        records: others.map(|o| record(&entry_name(o))).collect(),
+        ..MembershipUpdate::default()
+    };
     let heartbeat = Heartbeat {
         from: Sender { name: entry_name(LARGE), incarnation: Incarnation(1) },
         revision: 0,
         after: 0,
         hold_ms: 0,
-        news,
+        updates: news,
         agent_digests: Vec::new(),
     };
     node.answer(PeerRequest::Heartbeat(Box::new(heartbeat))).await;
--- a/crates/flamingowheeld/tests/keys.rs
+++ b/crates/flamingowheeld/tests/keys.rs
@@ -10,7 +10,7 @@
 use flamingowheel_observe::recorder::Recorder;
 use flamingowheel_protocol::auth::FleetKey;
 use flamingowheel_protocol::id::Incarnation;
-use flamingowheel_protocol::link::Keeping;
+use flamingowheel_protocol::link::LinkOptions;
 use flamingowheel_protocol::message::{Hello, Role};
 use flamingowheel_protocol::peer::{MemberRecord, MemberState, PeerRequest, StoredValue};
 use flamingowheel_protocol::websocket::Identity;
@@ -46,7 +46,7 @@
         operators: None,
         role: Role::Entry,
     };
-    Identity { hello, key: FleetKey::new([1; 32]), keeping: Keeping::default() }
+    Identity { hello, key: FleetKey::new([1; 32]), link_options: LinkOptions::default() }
 }
 
 struct Binder(Claims);
--- a/crates/gateway/src/feed/groups.rs
+++ b/crates/gateway/src/feed/groups.rs
@@ -3,7 +3,7 @@
 //! An entry of many has few requests in a group, and its own tell little of how the ranks are loaded. The
 //! followers hear from the agents that coordinate, and the other entries from one of their sources.
 
-use flamingowheel_protocol::ranks::{AgentRequest, GroupStatus, RankUpdate, Telling};
+use flamingowheel_protocol::ranks::{AgentRequest, GroupStatus, RankUpdate, Subscription};
 use flamingowheel_protocol::websocket::{Identity, connect};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -126,7 +126,7 @@
     loop {
         match connect::<AgentRequest, RankUpdate>(agent, &identity).await {
             Ok(mut link) => {
-                let asked = link.sender.send(AgentRequest::Tell(Telling::Group)).await;
+                let asked = link.sender.send(AgentRequest::Tell(Subscription::Group)).await;
                 while let (Ok(()), Some(update)) = (&asked, link.receiver.recv().await) {
                     if let RankUpdate::Group(status) = update {
                         note_status(&statuses, Dated::arrived(status));
--- a/crates/observe/src/recorder.rs
+++ b/crates/observe/src/recorder.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::sync::Arc;
 
-use flamingowheel_protocol::link::Stamps;
+use flamingowheel_protocol::link::LogicalClock;
 
 use crate::api::{EventQuery, EventsAnswer, ProcessInfo};
 use crate::clock::{HybridClock, Stamp, SystemClock};
@@ -156,7 +156,7 @@
     }
 }
 
-impl Stamps for Recorder {
+impl LogicalClock for Recorder {
     fn stamp(&self) -> u64 {
         Recorder::stamp(self).packed()
     }
--- a/crates/proof/benches/capacity/directory.rs
+++ b/crates/proof/benches/capacity/directory.rs
@@ -5,7 +5,7 @@
 use flamingowheel_protocol::codec::encode;
 use flamingowheel_protocol::id::Incarnation;
 use flamingowheel_protocol::message::Serves;
-use flamingowheel_protocol::peer::{AgentRecord, MemberState, News};
+use flamingowheel_protocol::peer::{AgentRecord, MemberState, MembershipUpdate};
 use std::net::{Ipv4Addr, SocketAddr};
 use tokio::time::Instant;
 
@@ -41,7 +41,7 @@
 }
 
 fn news_bytes(agents: Vec<AgentRecord>) -> Result<usize, Failure> {
-    Ok(encode(0, &[News { agents, ..News::default() }])?.len())
+    Ok(encode(0, &[MembershipUpdate { agents, ..MembershipUpdate::default() }])?.len())
 }
 
 pub fn measure() -> Result<(), Failure> {
--- a/crates/proof/benches/capacity/links.rs
+++ b/crates/proof/benches/capacity/links.rs
@@ -12,7 +12,7 @@
 use flamingowheel_policy::key::Fingerprint;
 use flamingowheel_protocol::auth::FleetKey;
 use flamingowheel_protocol::id::{ExecutionKey, Incarnation};
-use flamingowheel_protocol::link::{Keeping, Link};
+use flamingowheel_protocol::link::{Link, LinkOptions};
 use flamingowheel_protocol::message::{
     AgentMessage, BackendProfile, EntryMessage, Hello, Role, Serves,
 };
@@ -44,7 +44,7 @@
         operators: None,
         role,
     };
-    Identity { hello, key: FleetKey::new([7; 32]), keeping: Keeping::default() }
+    Identity { hello, key: FleetKey::new([7; 32]), link_options: LinkOptions::default() }
 }
 
 type EntryEnd = Link<EntryMessage, AgentMessage>;
--- a/crates/proof/benches/capacity/membership.rs
+++ b/crates/proof/benches/capacity/membership.rs
@@ -8,7 +8,9 @@
 use flamingowheel_control::node::{Asked, Node};
 use flamingowheel_observe::recorder::Recorder;
 use flamingowheel_protocol::id::Incarnation;
-use flamingowheel_protocol::peer::{MemberRecord, MemberState, News, PeerAnswer, PeerRequest};
+use flamingowheel_protocol::peer::{
+    MemberRecord, MemberState, MembershipUpdate, PeerAnswer, PeerRequest,
+};
 use stats_alloc::Region;
 use tokio::time::Instant;
 
@@ -37,9 +39,9 @@
     let others = Node::new(member(count), Recorder::for_tests("other"));
     let records: Vec<MemberRecord> =
         (0..count).filter(|number| *number != own).map(member).collect();
-    let news = News { records, ..News::default() };
+    let news = MembershipUpdate { records, ..MembershipUpdate::default() };
     let mut heartbeat = others.heartbeat(None, Duration::ZERO);
-    heartbeat.news = news;
+    heartbeat.updates = news;
     node.answer(PeerRequest::Heartbeat(Box::new(heartbeat))).await;
     node
 }
@@ -69,12 +71,18 @@
     let both_ends = (thread_cpu_ns()? - before) / 1_000.0 / f64::from(ROUNDS);
     print("membership_heartbeat_cpu_us_both_ends", both_ends);
     let mut table = Table::new(member(1), Instant::now());
-    let news = News { records: (0..ENTRIES).map(member).collect(), ..News::default() };
+    let news = MembershipUpdate {
+        records: (0..ENTRIES).map(member).collect(),
+        ..MembershipUpdate::default()
+    };
     table.merge(news, Instant::now());
     let duties_us = cpu_us_each(200, |_| drop(std::hint::black_box(Duties::new(&table))))?;
     print("membership_duties_cpu_us_per_change_of_members", duties_us);
     let links = |own: usize| -> usize {
-        let news = News { records: (0..ENTRIES).map(member).collect(), ..News::default() };
+        let news = MembershipUpdate {
+            records: (0..ENTRIES).map(member).collect(),
+            ..MembershipUpdate::default()
+        };
         let mut table = Table::new(member(own), Instant::now());
         table.merge(news, Instant::now());
         let duties = Duties::new(&table);
--- a/crates/proof/src/network.rs
+++ b/crates/proof/src/network.rs
@@ -9,7 +9,7 @@
 use flamingowheel_backing::BoxFuture;
 use flamingowheel_entry::connector::{AgentLink, Connector};
 use flamingowheel_protocol::id::ExecutionKey;
-use flamingowheel_protocol::link::{Keeping, Link};
+use flamingowheel_protocol::link::{Link, LinkOptions};
 use flamingowheel_protocol::message::{AgentMessage, EntryMessage, Hello};
 use flamingowheel_protocol::websocket::HandshakeError;
 use futures_util::{Sink, Stream, sink, stream};
@@ -175,13 +175,13 @@
             self.hello.clone(),
             into_sink(agent_out),
             into_stream(agent_source),
-            Keeping::default(),
+            LinkOptions::default(),
         );
         let entry_side = Link::start(
             endpoint.hello.clone(),
             into_sink(entry_out),
             into_stream(entry_source),
-            Keeping::default(),
+            LinkOptions::default(),
         );
         let relay = Relay {
             network: self.network.clone(),
--- a/crates/proof/tests/decoders/mod.rs
+++ b/crates/proof/tests/decoders/mod.rs
@@ -11,8 +11,8 @@
 };
 use flamingowheel_protocol::message::{AgentMessage, Dispatch, EntryMessage, Failure, Serves};
 use flamingowheel_protocol::peer::{
-    AgentRecord, Heartbeat, MemberRecord, MemberState, News, PeerAnswer, PeerFrame, PeerRequest,
-    Sender, StoredValue,
+    AgentRecord, Heartbeat, MemberRecord, MemberState, MembershipUpdate, PeerAnswer, PeerFrame,
+    PeerRequest, Sender, StoredValue,
 };
 
 /// Number of the archived ticket.
@@ -26,8 +26,8 @@
     let _ = decode::<Reply>(bytes);
     let _ = decode::<Proof>(bytes);
     let _ = decode::<PeerFrame>(bytes);
-    let _ = archive::trace(Some(bytes), None, NUMBER, Window(3));
-    let _ = archive::trace(None, Some(bytes), NUMBER, Window(3));
+    let _ = archive::lookup(Some(bytes), None, NUMBER, Window(3));
+    let _ = archive::lookup(None, Some(bytes), NUMBER, Window(3));
     let _ = serde_json::from_slice::<Change>(bytes);
     let _ = serde_json::from_slice::<Bucket>(bytes);
 }
@@ -118,7 +118,11 @@
         revision: 3,
         after: 2,
         hold_ms: 1_000,
-        news: News { records: vec![record], leaving_vms: vec!["vm-2".to_owned()], agents },
+        updates: MembershipUpdate {
+            records: vec![record],
+            leaving_vms: vec!["vm-2".to_owned()],
+            agents,
+        },
         agent_digests: vec![1, 2],
     };
     let request = PeerRequest::Heartbeat(Box::new(heartbeat));
--- a/crates/protocol/src/archive.rs
+++ b/crates/protocol/src/archive.rs
@@ -73,13 +73,13 @@
 
 /// What an archive says of a ticket.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Trace {
+pub enum ArchiveLookup {
     /// It ran, and this is its answer.
     Answer(ArchivedAnswer),
     /// Proof that it never ran: the only process that would have run it has ended.
     NeverRan,
     /// Nothing is known.
-    None,
+    Unknown,
 }
 
 /// The key of one agent process's seal.
@@ -107,27 +107,32 @@
 /// read proves nothing.
 ///
 /// ```
-/// use flamingowheel_protocol::archive::{Seal, Trace, encode, trace};
+/// use flamingowheel_protocol::archive::{ArchiveLookup, Seal, encode, lookup};
 /// use flamingowheel_protocol::id::Window;
 /// let (number, seal) = (uuid::Uuid::now_v7(), encode(&Seal::default()));
-/// assert_eq!(trace(None, Some(&seal), number, Window(3)), Trace::NeverRan);
-/// assert_eq!(trace(None, None, number, Window(3)), Trace::None);
+/// assert_eq!(lookup(None, Some(&seal), number, Window(3)), ArchiveLookup::NeverRan);
+/// assert_eq!(lookup(None, None, number, Window(3)), ArchiveLookup::Unknown);
 /// ```
-pub fn trace(bucket: Option<&[u8]>, seal: Option<&[u8]>, number: Uuid, window: Window) -> Trace {
+pub fn lookup(
+    bucket: Option<&[u8]>,
+    seal: Option<&[u8]>,
+    number: Uuid,
+    window: Window,
+) -> ArchiveLookup {
     let answers = match bucket.map(ciborium::from_reader::<Vec<ArchivedAnswer>, _>) {
         None => None,
         Some(Ok(answers)) => Some(answers),
-        Some(Err(_)) => return Trace::None,
+        Some(Err(_)) => return ArchiveLookup::Unknown,
     };
     let has_bucket = answers.is_some();
     let found = answers.into_iter().flatten().find(|answer| answer.number == number);
     if let Some(answer) = found {
-        return Trace::Answer(answer);
+        return ArchiveLookup::Answer(answer);
     }
     let seal = seal.and_then(|seal| ciborium::from_reader::<Seal, _>(seal).ok());
     match seal {
-        Some(seal) if seal.proves_never_ran(number, window, has_bucket) => Trace::NeverRan,
-        _ => Trace::None,
+        Some(seal) if seal.proves_never_ran(number, window, has_bucket) => ArchiveLookup::NeverRan,
+        _ => ArchiveLookup::Unknown,
     }
 }
 
--- a/crates/protocol/src/link.rs
+++ b/crates/protocol/src/link.rs
@@ -50,7 +50,7 @@
 }
 
 /// Stamps batches with a logical time, so that what a message causes sorts after its sending.
-pub trait Stamps: Send + Sync + 'static {
+pub trait LogicalClock: Send + Sync + 'static {
     /// The time to send with a batch.
     fn stamp(&self) -> u64;
 
@@ -60,9 +60,9 @@
 
 /// Keeps no time; for tests that don't look at the order of events.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct NoStamps;
+pub struct NoClock;
 
-impl Stamps for NoStamps {
+impl LogicalClock for NoClock {
     fn stamp(&self) -> u64 {
         0
     }
@@ -72,22 +72,22 @@
 
 /// How a connection is kept.
 #[derive(Clone)]
-pub struct Keeping {
+pub struct LinkOptions {
     /// Heartbeat and silence limit.
     pub timing: Timing,
     /// Logical time of batches.
-    pub stamps: Arc<dyn Stamps>,
+    pub logical_clock: Arc<dyn LogicalClock>,
 }
 
-impl Default for Keeping {
+impl Default for LinkOptions {
     fn default() -> Self {
-        Self { timing: Timing::default(), stamps: Arc::new(NoStamps) }
+        Self { timing: Timing::default(), logical_clock: Arc::new(NoClock) }
     }
 }
 
-impl std::fmt::Debug for Keeping {
+impl std::fmt::Debug for LinkOptions {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Keeping").field("timing", &self.timing).finish_non_exhaustive()
+        f.debug_struct("LinkOptions").field("timing", &self.timing).finish_non_exhaustive()
     }
 }
 
@@ -131,7 +131,7 @@
     In: DeserializeOwned + Send + 'static,
 {
     /// Starts the tasks that carry messages over a transport. Both end when either does.
-    pub fn start<W, R>(peer: Hello, sink: W, stream: R, keeping: Keeping) -> Self
+    pub fn start<W, R>(peer: Hello, sink: W, stream: R, options: LinkOptions) -> Self
     where
         W: Sink<Bytes> + Send + Unpin + 'static,
         R: Stream<Item = Bytes> + Send + Unpin + 'static,
@@ -141,8 +141,8 @@
         let name = peer.name.clone();
         tokio::spawn(async move {
             let end = tokio::select! {
-                end = write(outgoing, sink, &keeping) => end,
-                end = read(incoming, stream, &keeping, &name) => end,
+                end = write(outgoing, sink, &options) => end,
+                end = read(incoming, stream, &options, &name) => end,
             };
             match end {
                 Err(LinkError::Closed) | Ok(()) => {
@@ -159,13 +159,13 @@
 async fn write<M, W>(
     mut outgoing: mpsc::Receiver<M>,
     mut sink: W,
-    keeping: &Keeping,
+    options: &LinkOptions,
 ) -> Result<(), LinkError>
 where
     M: Serialize,
     W: Sink<Bytes> + Unpin,
 {
-    let timing = keeping.timing;
+    let timing = options.timing;
     let mut batch = Vec::with_capacity(MAX_BATCH_MESSAGES);
     loop {
         batch.clear();
@@ -173,7 +173,7 @@
         if let Ok(0) = timeout(timing.heartbeat, received).await {
             return Ok(());
         }
-        let bytes = Bytes::from(encode(keeping.stamps.stamp(), &batch)?);
+        let bytes = Bytes::from(encode(options.logical_clock.stamp(), &batch)?);
         // A peer that vanished leaves the socket's buffer full for as long as TCP retries, which
         // is minutes. Requests behind it would wait that long; the limit frees them to move on.
         match timeout(timing.stuck_limit, sink.send(bytes)).await {
@@ -188,14 +188,14 @@
 async fn read<M, R>(
     incoming: mpsc::Sender<M>,
     mut stream: R,
-    keeping: &Keeping,
+    options: &LinkOptions,
     peer: &str,
 ) -> Result<(), LinkError>
 where
     M: DeserializeOwned,
     R: Stream<Item = Bytes> + Unpin,
 {
-    let timing = keeping.timing;
+    let timing = options.timing;
     loop {
         // Something between the two ends may have lost track of the connection: it stays open
         // and delivers nothing. The peer sends heartbeats, so silence tells.
@@ -205,7 +205,7 @@
             Err(_) => return Err(LinkError::Silent { limit_ms: millis(timing.silence_limit) }),
         };
         let (stamp, batch) = decode(&bytes)?;
-        keeping.stamps.observe(peer, stamp);
+        options.logical_clock.observe(peer, stamp);
         for message in batch {
             if incoming.send(message).await.is_err() {
                 return Ok(());
--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -115,8 +115,8 @@
     #[serde(rename = "h")]
     pub hold_ms: u32,
     /// What the sender learnt since the peer last answered.
-    #[serde(rename = "n", default, skip_serializing_if = "News::is_empty")]
-    pub news: News,
+    #[serde(rename = "n", default, skip_serializing_if = "MembershipUpdate::is_empty")]
+    pub updates: MembershipUpdate,
     /// Digests of the sender's directory of agents. With them the answer holds what differs;
     /// without, what is newer than `after`.
     #[serde(rename = "g", default, skip_serializing_if = "Vec::is_empty")]
@@ -140,8 +140,8 @@
     #[serde(rename = "v")]
     pub version: u64,
     /// What it learnt since the version asked for.
-    #[serde(rename = "n", default, skip_serializing_if = "News::is_empty")]
-    pub news: News,
+    #[serde(rename = "n", default, skip_serializing_if = "MembershipUpdate::is_empty")]
+    pub updates: MembershipUpdate,
     /// The parts of the directory of agents whose digests differ.
     #[serde(rename = "g", default, skip_serializing_if = "Vec::is_empty")]
     pub agent_parts: Vec<u8>,
@@ -149,7 +149,7 @@
 
 /// Changes of the table of members.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct News {
+pub struct MembershipUpdate {
     /// Records.
     pub records: Vec<MemberRecord>,
     /// VMs that the VM list calls leaving.
@@ -159,12 +159,12 @@
     pub agents: Vec<AgentRecord>,
 }
 
-impl News {
+impl MembershipUpdate {
     /// Whether there is nothing in it.
     ///
     /// ```
-    /// use flamingowheel_protocol::peer::News;
-    /// assert!(News::default().is_empty());
+    /// use flamingowheel_protocol::peer::MembershipUpdate;
+    /// assert!(MembershipUpdate::default().is_empty());
     /// ```
     pub fn is_empty(&self) -> bool {
         self.records.is_empty() && self.leaving_vms.is_empty() && self.agents.is_empty()
--- a/crates/protocol/src/ranks.rs
+++ b/crates/protocol/src/ranks.rs
@@ -95,19 +95,19 @@
 /// In full, ten times a second from 31 agents, counts need some 0.8 of a link of 8 Mbit/s by their
 /// size, and bursts of them come late.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Choices {
+pub struct ExpertCounts {
     /// Ranks whose choices these are; 0 if there are none.
     pub ranks: u16,
     scale: u32,
     parts: Packed,
 }
 
-impl Choices {
+impl ExpertCounts {
     /// Packs the counts of one rank; exact up to 255, and to a 255th of the largest one above.
     ///
     /// ```
-    /// use flamingowheel_protocol::ranks::Choices;
-    /// assert_eq!(Choices::pack(&[0, 3, 200]).unpack(), Some(vec![0, 3, 200]));
+    /// use flamingowheel_protocol::ranks::ExpertCounts;
+    /// assert_eq!(ExpertCounts::pack(&[0, 3, 200]).unpack(), Some(vec![0, 3, 200]));
     /// ```
     pub fn pack(counts: &[u32]) -> Self {
         Self::pack_in_steps(counts, 1, STEPS)
@@ -116,8 +116,8 @@
     /// Packs the summed counts of several ranks.
     ///
     /// ```
-    /// use flamingowheel_protocol::ranks::Choices;
-    /// assert_eq!(Choices::pack_sum(&[0, 3, 60], 2).unpack(), Some(vec![0, 3, 60]));
+    /// use flamingowheel_protocol::ranks::ExpertCounts;
+    /// assert_eq!(ExpertCounts::pack_sum(&[0, 3, 60], 2).unpack(), Some(vec![0, 3, 60]));
     /// ```
     pub fn pack_sum(counts: &[u32], ranks: u16) -> Self {
         Self::pack_in_steps(counts, ranks, SUM_STEPS)
@@ -174,9 +174,9 @@
         experts: Packed,
     },
     /// How often the rank's requests chose each expert since this was told last.
-    Choices(Choices),
+    Choices(ExpertCounts),
     /// The same of several ranks.
-    Sum(Choices),
+    Sum(ExpertCounts),
     /// How the group stands; from the agent that coordinates it.
     Group(GroupStatus),
 }
@@ -201,7 +201,7 @@
 
 /// What an agent tells on a connection.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Telling {
+pub enum Subscription {
     /// How its rank stands.
     #[default]
     State,
@@ -217,7 +217,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AgentRequest {
     /// Tell this on the connection.
-    Tell(Telling),
+    Tell(Subscription),
     /// Sum up the choices told by the agents at these addresses.
     Collect(Packed),
     /// Bring the rank to a target.
--- a/crates/protocol/src/websocket.rs
+++ b/crates/protocol/src/websocket.rs
@@ -3,7 +3,7 @@
 use crate::auth::{FleetKey, Opening, Proof, Reply, Side, Transcript, VERSION};
 use crate::codec::{MAX_BATCH_BYTES, decode, encode};
 use crate::id::Incarnation;
-use crate::link::{Keeping, Link, NoStamps, Timing};
+use crate::link::{Link, LinkOptions, NoClock, Timing};
 use crate::message::{Hello, Role};
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt, future};
@@ -71,7 +71,7 @@
     /// The fleet's key.
     pub key: FleetKey,
     /// How connections are kept.
-    pub keeping: Keeping,
+    pub link_options: LinkOptions,
 }
 
 impl Identity {
@@ -92,8 +92,8 @@
             operators: None,
             role,
         };
-        let keeping = Keeping { timing, stamps: Arc::new(NoStamps) };
-        Self { hello, key: FleetKey::new([0; FleetKey::TAG_BYTES]), keeping }
+        let link_options = LinkOptions { timing, logical_clock: Arc::new(NoClock) };
+        Self { hello, key: FleetKey::new([0; FleetKey::TAG_BYTES]), link_options }
     }
 }
 
@@ -115,7 +115,7 @@
                 .await
                 .map_err(Box::new)?;
         let peer = prove(&mut socket, identity).await?;
-        Ok(start(peer, socket, identity.keeping.clone()))
+        Ok(start(peer, socket, identity.link_options.clone()))
     };
     timeout(HANDSHAKE_LIMIT, opening).await.map_err(|_| HandshakeError::TimedOut)?
 }
@@ -184,7 +184,7 @@
             .await
             .map_err(Box::new)?;
         let peer = check(&mut socket, identity).await?;
-        Ok(start(peer, socket, identity.keeping.clone()))
+        Ok(start(peer, socket, identity.link_options.clone()))
     };
     timeout(HANDSHAKE_LIMIT, accepting).await.map_err(|_| HandshakeError::TimedOut)?
 }
@@ -262,7 +262,7 @@
 fn start<Out, In>(
     peer: Hello,
     socket: WebSocketStream<TcpStream>,
-    keeping: Keeping,
+    options: LinkOptions,
 ) -> Link<Out, In>
 where
     Out: Serialize + Send + Sync + 'static,
@@ -275,7 +275,7 @@
     let stream = stream
         .take_while(|item| future::ready(item.is_ok()))
         .filter_map(|item| future::ready(item.ok().and_then(batch_bytes)));
-    Link::start(peer, sink, stream, keeping)
+    Link::start(peer, sink, stream, options)
 }
 
 fn batch_bytes(message: Message) -> Option<Bytes> {
--- a/crates/protocol/tests/link.rs
+++ b/crates/protocol/tests/link.rs
@@ -4,7 +4,7 @@
 use flamingowheel_protocol::auth::FleetKey;
 use flamingowheel_protocol::codec::encode;
 use flamingowheel_protocol::id::Incarnation;
-use flamingowheel_protocol::link::{Keeping, Link};
+use flamingowheel_protocol::link::{Link, LinkOptions};
 use flamingowheel_protocol::message::{Hello, Role};
 use flamingowheel_protocol::websocket::{HandshakeError, Identity, accept, connect};
 use futures_channel::mpsc;
@@ -30,13 +30,17 @@
 }
 
 fn identity(name: &str, key: u8) -> Identity {
-    Identity { hello: hello(name), key: FleetKey::new([key; 32]), keeping: Keeping::default() }
+    Identity {
+        hello: hello(name),
+        key: FleetKey::new([key; 32]),
+        link_options: LinkOptions::default(),
+    }
 }
 
 fn start() -> (TestLink, mpsc::Receiver<Bytes>, mpsc::Sender<Bytes>) {
     let (to_peer, peer_reads) = mpsc::channel(0);
     let (peer_writes, from_peer) = mpsc::channel(8);
-    let link = Link::start(hello("peer"), to_peer, from_peer, Keeping::default());
+    let link = Link::start(hello("peer"), to_peer, from_peer, LinkOptions::default());
     (link, peer_reads, peer_writes)
 }
 
@@ -71,8 +75,8 @@
 async fn link_idle_stays_open() {
     let (to_b, from_a) = mpsc::channel(8);
     let (to_a, from_b) = mpsc::channel(8);
-    let mut a: TestLink = Link::start(hello("b"), to_b, from_b, Keeping::default());
-    let b: TestLink = Link::start(hello("a"), to_a, from_a, Keeping::default());
+    let mut a: TestLink = Link::start(hello("b"), to_b, from_b, LinkOptions::default());
+    let b: TestLink = Link::start(hello("a"), to_a, from_a, LinkOptions::default());
     sleep(Duration::from_secs(3600)).await;
     b.sender.send("still here".to_owned()).await.unwrap();
     assert_eq!(a.receiver.recv().await.as_deref(), Some("still here"));
--- a/crates/protocol/tests/targets.rs
+++ b/crates/protocol/tests/targets.rs
@@ -1,6 +1,6 @@
 //! Targets on a connection between the agents of a group.
 
-use flamingowheel_protocol::ranks::{Choices, Map, RankTarget};
+use flamingowheel_protocol::ranks::{ExpertCounts, Map, RankTarget};
 use flamingowheel_protocol::targets::{TargetDecoder, TargetEncoder, TargetMessage};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -73,14 +73,14 @@
 #[test]
 fn unpack_small_counts_exact() {
     let counts = [0, 1, 17, 255];
-    assert_eq!(Choices::pack(&counts).unpack(), Some(counts.to_vec()));
+    assert_eq!(ExpertCounts::pack(&counts).unpack(), Some(counts.to_vec()));
 }
 
 /// Counts of a busy window exceed a byte. What the planner needs are their shares.
 #[test]
 fn unpack_large_counts_close() {
     let counts = [0, 400, 10_000, 90_000];
-    for (count, unpacked) in counts.into_iter().zip(Choices::pack(&counts).unpack().unwrap()) {
+    for (count, unpacked) in counts.into_iter().zip(ExpertCounts::pack(&counts).unpack().unwrap()) {
         assert!(count.abs_diff(unpacked) <= 90_000 / 255, "{count} became {unpacked}");
     }
 }
--- a/crates/ranks/src/agent.rs
+++ b/crates/ranks/src/agent.rs
@@ -2,7 +2,7 @@
 
 use crate::engine::Latest;
 use flamingowheel_protocol::link::Link;
-use flamingowheel_protocol::ranks::{AgentRequest, RankTarget, RankUpdate, Telling};
+use flamingowheel_protocol::ranks::{AgentRequest, RankTarget, RankUpdate, Subscription};
 use flamingowheel_protocol::targets::TargetDecoder;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -31,7 +31,7 @@
             }
         }
         let mut decoder = TargetDecoder::default();
-        let mut telling = Telling::State;
+        let mut telling = Subscription::State;
         let mut has_members = false;
         loop {
             tokio::select! {
@@ -82,13 +82,13 @@
     }
 }
 
-fn is_wanted(update: &RankUpdate, telling: Telling) -> bool {
+fn is_wanted(update: &RankUpdate, telling: Subscription) -> bool {
     match update {
-        RankUpdate::Choices(_) => telling == Telling::Choices,
-        RankUpdate::Sum(_) => telling == Telling::Sums,
-        RankUpdate::Group(_) => telling == Telling::Group,
+        RankUpdate::Choices(_) => telling == Subscription::Choices,
+        RankUpdate::Sum(_) => telling == Subscription::Sums,
+        RankUpdate::Group(_) => telling == Subscription::Group,
         RankUpdate::State(_) | RankUpdate::Progress(_) | RankUpdate::Experts { .. } => {
-            telling != Telling::Group
+            telling != Subscription::Group
         }
     }
 }
--- a/crates/ranks/src/collect.rs
+++ b/crates/ranks/src/collect.rs
@@ -8,7 +8,7 @@
 use crate::engine::COUNTS_INTERVAL;
 use crate::peers::{AgentLink, Wanted, keep_connected};
 use flamingowheel_protocol::packed::Packed;
-use flamingowheel_protocol::ranks::{AgentRequest, Choices, RankUpdate, Telling};
+use flamingowheel_protocol::ranks::{AgentRequest, ExpertCounts, RankUpdate, Subscription};
 use flamingowheel_protocol::websocket::Identity;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -56,14 +56,14 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Part {
     /// What it tells the coordinator.
-    pub telling: Telling,
+    pub telling: Subscription,
     /// The agents that it collects from.
     pub members: Arc<Vec<SocketAddr>>,
 }
 
 impl Part {
     /// What has to be asked of the agent, after it was asked for `told`.
-    pub fn requests(&self, told: &(Telling, Arc<Vec<SocketAddr>>)) -> Vec<AgentRequest> {
+    pub fn requests(&self, told: &(Subscription, Arc<Vec<SocketAddr>>)) -> Vec<AgentRequest> {
         let mut requests = Vec::new();
         if self.members != told.1
             && let Some(packed) = Packed::pack(&*self.members)
@@ -86,13 +86,13 @@
     ///
     /// ```
     /// use flamingowheel_ranks::collect::Assignment;
-    /// use flamingowheel_protocol::ranks::Telling;
+    /// use flamingowheel_protocol::ranks::Subscription;
     /// let agents: Vec<_> = (1..96).map(|rank| ("a", rank)).collect();
     /// let address = |rank: usize| std::net::SocketAddr::from(([10, 0, 0, rank as u8], 7_000));
     /// let agents = agents.into_iter().map(|(dc, rank)| (dc.into(), rank, address(rank))).collect();
     /// let assignment = Assignment::deal(agents, 16);
-    /// assert_eq!(assignment.of(address(1)).telling, Telling::Sums);
-    /// assert_eq!(assignment.of(address(2)).telling, Telling::State);
+    /// assert_eq!(assignment.of(address(1)).telling, Subscription::Sums);
+    /// assert_eq!(assignment.of(address(2)).telling, Subscription::State);
     /// ```
     pub fn deal(agents: Vec<(Arc<str>, usize, SocketAddr)>, most_direct: usize) -> Self {
         let mut assignment = Self::default();
@@ -122,9 +122,10 @@
     /// The part of one agent.
     pub fn of(&self, agent: SocketAddr) -> Part {
         if let Some(members) = self.collectors.get(&agent) {
-            return Part { telling: Telling::Sums, members: Arc::clone(members) };
+            return Part { telling: Subscription::Sums, members: Arc::clone(members) };
         }
-        let telling = if self.direct.contains(&agent) { Telling::Choices } else { Telling::State };
+        let telling =
+            if self.direct.contains(&agent) { Subscription::Choices } else { Subscription::State };
         Part { telling, members: Arc::default() }
     }
 
@@ -203,7 +204,7 @@
         &self,
         members: &[SocketAddr],
         connected: &mut HashMap<SocketAddr, CancellationToken>,
-        choices: &mpsc::Sender<Choices>,
+        choices: &mpsc::Sender<ExpertCounts>,
     ) {
         connected.retain(|agent, stop| {
             let is_member = members.contains(agent);
@@ -228,8 +229,8 @@
     }
 }
 
-async fn take_choices(mut link: AgentLink, choices: mpsc::Sender<Choices>) -> Wanted {
-    if link.sender.send(AgentRequest::Tell(Telling::Choices)).await.is_err() {
+async fn take_choices(mut link: AgentLink, choices: mpsc::Sender<ExpertCounts>) -> Wanted {
+    if link.sender.send(AgentRequest::Tell(Subscription::Choices)).await.is_err() {
         return Wanted::Yes;
     }
     while let Some(update) = link.receiver.recv().await {
@@ -253,16 +254,16 @@
     /// Adds what was told. Choices of another shape begin a new sum: the group has formed anew.
     ///
     /// ```
-    /// use flamingowheel_protocol::ranks::Choices;
+    /// use flamingowheel_protocol::ranks::ExpertCounts;
     /// use flamingowheel_ranks::collect::Sum;
     /// let mut sum = Sum::default();
-    /// sum.add(&Choices::pack(&[1, 5]));
-    /// sum.add(&Choices::pack(&[2, 0]));
+    /// sum.add(&ExpertCounts::pack(&[1, 5]));
+    /// sum.add(&ExpertCounts::pack(&[2, 0]));
     /// let taken = sum.take().unwrap();
     /// assert_eq!((taken.ranks, taken.unpack()), (2, Some(vec![3, 5])));
     /// assert!(sum.take().is_none());
     /// ```
-    pub fn add(&mut self, choices: &Choices) {
+    pub fn add(&mut self, choices: &ExpertCounts) {
         let Some(counts) = choices.unpack() else {
             tracing::warn!("choices can't be read");
             return;
@@ -278,8 +279,8 @@
     }
 
     /// The sum since the last call, if anything was added.
-    pub fn take(&mut self) -> Option<Choices> {
+    pub fn take(&mut self) -> Option<ExpertCounts> {
         let sum = std::mem::take(self);
-        (sum.ranks > 0).then(|| Choices::pack_sum(&sum.counts, sum.ranks))
+        (sum.ranks > 0).then(|| ExpertCounts::pack_sum(&sum.counts, sum.ranks))
     }
 }
--- a/crates/ranks/src/engine.rs
+++ b/crates/ranks/src/engine.rs
@@ -4,7 +4,7 @@
 use flamingowheel_fleet::engine::{EngineReport, GroupState, MapOrder, OrderAnswer};
 use flamingowheel_platform::EngineClient;
 use flamingowheel_protocol::packed::Packed;
-use flamingowheel_protocol::ranks::{Choices, Progress, RankState, RankTarget, RankUpdate};
+use flamingowheel_protocol::ranks::{ExpertCounts, Progress, RankState, RankTarget, RankUpdate};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -319,7 +319,7 @@
         let choices = self.last_counts.as_ref().and_then(|last| difference(last, &counted));
         self.last_counts = Some(counted);
         if let Some(choices) = choices.filter(|choices| choices.iter().any(|count| *count > 0)) {
-            self.tell(RankUpdate::Choices(Choices::pack(&choices)));
+            self.tell(RankUpdate::Choices(ExpertCounts::pack(&choices)));
         }
     }
 }
--- a/crates/ranks/src/group.rs
+++ b/crates/ranks/src/group.rs
@@ -5,7 +5,7 @@
 use crate::peers::PeerUpdate;
 use crate::switch::{FIRST_PASSES_AHEAD, passes_ahead};
 use flamingowheel_policy::experts::{self, ChangeTimes, Demand, Map, Shape, StepLimits};
-use flamingowheel_protocol::ranks::{Choices, Progress, RankState, RankUpdate};
+use flamingowheel_protocol::ranks::{ExpertCounts, Progress, RankState, RankUpdate};
 use std::collections::{BTreeMap, HashSet};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -161,7 +161,7 @@
         }
     }
 
-    fn take_choices(&mut self, choices: &Choices) {
+    fn take_choices(&mut self, choices: &ExpertCounts) {
         let Some(choices) = choices.unpack() else {
             tracing::warn!("choices can't be read");
             return;
--- a/crates/ranks/src/peers.rs
+++ b/crates/ranks/src/peers.rs
@@ -4,7 +4,7 @@
 use flamingowheel_backing::kv::{KeyValue, KeyValueError};
 use flamingowheel_platform::{SERVERS_PREFIX, servers};
 use flamingowheel_protocol::link::Link;
-use flamingowheel_protocol::ranks::{AgentRequest, RankTarget, RankUpdate, Telling};
+use flamingowheel_protocol::ranks::{AgentRequest, RankTarget, RankUpdate, Subscription};
 use flamingowheel_protocol::targets::{EncodingCache, TargetEncoder};
 use flamingowheel_protocol::websocket::{Identity, connect};
 use std::collections::HashSet;
@@ -126,7 +126,7 @@
         assignment.mark_changed();
         let data_centre: Arc<str> = link.peer.data_centre.as_str().into();
         let mut encoder = TargetEncoder::new(Arc::clone(&self.encodings));
-        let mut told = (Telling::State, Arc::default());
+        let mut told = (Subscription::State, Arc::default());
         let mut is_member = false;
         loop {
             tokio::select! {
--- a/crates/ranks/tests/group.rs
+++ b/crates/ranks/tests/group.rs
@@ -3,7 +3,7 @@
 use flamingowheel_fleet::EngineParameters;
 use flamingowheel_policy::experts::Shape;
 use flamingowheel_protocol::packed::Packed;
-use flamingowheel_protocol::ranks::{Choices, Map, RankState, RankUpdate};
+use flamingowheel_protocol::ranks::{ExpertCounts, Map, RankState, RankUpdate};
 use flamingowheel_ranks::group::Group;
 use flamingowheel_ranks::lookup::ServiceParameters;
 use flamingowheel_ranks::peers::PeerUpdate;
@@ -34,10 +34,10 @@
 const MOSTLY_ON_RANK_1: [usize; 4] = [1, 5, 9, 2];
 
 /// Choices of one rank's requests, in which a few experts are liked most.
-fn choices(favourites: [usize; 4]) -> Choices {
+fn choices(favourites: [usize; 4]) -> ExpertCounts {
     let count = |e: usize| if favourites.contains(&e) { 200 } else { 20 };
     let set: Vec<u32> = (0..SHAPE.experts).map(count).collect();
-    Choices::pack(&[set.clone(), set].concat())
+    ExpertCounts::pack(&[set.clone(), set].concat())
 }
 
 /// All ranks tell of a pass under the first map.
--- a/crates/ranks/tests/load.rs
+++ b/crates/ranks/tests/load.rs
@@ -3,7 +3,7 @@
 use flamingowheel_policy::experts::Shape;
 use flamingowheel_protocol::codec::encode;
 use flamingowheel_protocol::ranks::{
-    AgentRequest, Choices, Progress, RankTarget, RankUpdate, Telling,
+    AgentRequest, ExpertCounts, Progress, RankTarget, RankUpdate, Subscription,
 };
 use flamingowheel_protocol::targets::{EncodingCache, TargetEncoder};
 use flamingowheel_ranks::collect::{Assignment, Sum, most_direct};
@@ -40,12 +40,12 @@
 }
 
 /// One rank's choices in a window of a busy group: some experts are liked ten times as much as others.
-fn choices(counts: usize, rng: &mut ChaCha8Rng) -> Choices {
+fn choices(counts: usize, rng: &mut ChaCha8Rng) -> ExpertCounts {
     let count = |_| {
         let mean: f64 = 4.0 / rng.random_range(0.05_f64..1.0);
         (mean * rng.random_range(0.5..1.5)) as u32
     };
-    Choices::pack(&(0..counts).map(count).collect::<Vec<u32>>())
+    ExpertCounts::pack(&(0..counts).map(count).collect::<Vec<u32>>())
 }
 
 fn size_bytes(update: &RankUpdate) -> f64 {
@@ -134,12 +134,12 @@
         all.filter(|(_, _, address)| Some(*address) != without).collect()
     };
     let before = Assignment::deal(agents(None), 10);
-    let gone = (1..96).map(agent).find(|a| before.of(*a).telling == Telling::Sums).unwrap();
+    let gone = (1..96).map(agent).find(|a| before.of(*a).telling == Subscription::Sums).unwrap();
     let after = Assignment::deal(agents(Some(gone)), 10);
     let told_by = |address: SocketAddr| {
         let collects = |a: &usize| after.of(agent(*a)).members.contains(&address);
-        after.of(address).telling == Telling::Sums || (1..96).any(|a| collects(&a))
+        after.of(address).telling == Subscription::Sums || (1..96).any(|a| collects(&a))
     };
     assert!(before.of(gone).members.iter().all(|member| told_by(*member)));
-    assert_eq!(after.of(gone).telling, Telling::State);
+    assert_eq!(after.of(gone).telling, Subscription::State);
 }
