--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -1,8 +1,8 @@
-//! The agent's decision about each request: start, queue or refuse at once.
+//! The agent's decision about each request: start, queue or refuse it.
 //!
-//! An early refusal is proof that the request did not run and carries the load as of now, so one
-//! more try elsewhere is safe for every kind of request and better informed. Only a last
-//! try may wait for longer. When the queue is full the lowest priority goes first.
+//! An early refusal proves that the request did not run and carries the current load, so a retry on
+//! another server is safe for every kind of request and better informed. Only a last try may wait
+//! for longer. When the queue is full, requests of the lowest priority are shed first.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 
 use crate::load::Load;
 
-/// Priority of a request; a higher number goes first.
+/// Priority of a request; higher numbers are served first.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -21,14 +21,15 @@
 /// Settings of an agent's admission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AdmissionConfig {
-    /// Requests that the engine runs at once.
+    /// Number of requests that the engine may run concurrently.
     pub places: u16,
-    /// Requests of the same or a higher priority that a try which is not the last may wait behind.
+    /// Most requests of the same or a higher priority that a try other than the last may wait
+    /// behind.
     pub early_queue: usize,
-    /// Requests that may wait in all.
+    /// Most requests that may wait in total.
     pub max_queue: usize,
-    /// Requests of this priority or above start at once, up to `urgent_places` beyond `places`:
-    /// the engine batches continuously, so one more in the batch slows the others a little.
+    /// Requests of this priority or above start immediately, up to `urgent_places` beyond `places`:
+    /// the engine batches continuously, so one more request slows the others only a little.
     pub urgent: Priority,
     /// Extra places for urgent requests.
     pub urgent_places: u16,
@@ -40,34 +41,34 @@
     }
 }
 
-/// A request as admission sees it.
+/// A request that is offered for admission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Offer<Id> {
-    /// Names the request in later calls.
+    /// Identifies the request in later calls.
     pub id: Id,
-    /// Its priority.
+    /// Its place in the queue order and whether it counts as urgent.
     pub priority: Priority,
-    /// The entry won't try elsewhere: queue it rather than refuse it early.
+    /// The entry won't try another server: queue the request rather than refuse it early.
     pub last_try: bool,
-    /// When the caller stops waiting.
+    /// Time at which the caller stops waiting.
     pub deadline: Duration,
 }
 
-/// What becomes of an offer.
+/// Decision about an offered request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionDecision<Id> {
-    /// It holds a place: start it.
+    /// It occupies a place now: start it.
     Start,
-    /// It waits. A request of lower priority that had to give way was removed: refuse it as full.
+    /// It waits in the queue.
     Queued {
-        /// The request that gave way.
+        /// The request of lower priority that was removed to make room: refuse it as full.
         shed: Option<Id>,
     },
-    /// It did not and won't run here; the load is as of now.
+    /// It did not run and won't run here. Carries the current load.
     Full(Load),
 }
 
-/// Queue order: higher priority first, then first come.
+/// Queue order: higher priority first, then in order of arrival.
 type Rank = (std::cmp::Reverse<Priority>, u64);
 
 #[derive(Clone, Copy, Debug)]
@@ -79,7 +80,9 @@
 /// Places and queue of one backend server.
 ///
 /// ```
-/// use flamingowheel_policy::admission::{Admission, AdmissionConfig, AdmissionDecision, Offer, Priority};
+/// use flamingowheel_policy::admission::{
+///     Admission, AdmissionConfig, AdmissionDecision, Offer, Priority,
+/// };
 /// use std::time::Duration;
 /// let config = AdmissionConfig { places: 1, early_queue: 0, ..AdmissionConfig::default() };
 /// let mut admission = Admission::new(config);
@@ -98,11 +101,11 @@
     alone: Alone<Id>,
 }
 
-/// The one suspect that an agent deals with at a time.
+/// State of the suspect that must run alone; there is at most one at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Alone<Id> {
     None,
-    /// Nothing else is started until it has run.
+    /// No other request is started until it has run.
     Waiting {
         id: Id,
         deadline: Duration,
@@ -114,7 +117,7 @@
 where
     Id: Copy + Eq,
 {
-    /// No request yet.
+    /// Starts without requests.
     #[must_use]
     pub fn new(config: AdmissionConfig) -> Self {
         Self {
@@ -127,7 +130,7 @@
         }
     }
 
-    /// The load as of now, for reports, refusals and chunks.
+    /// The current load, for reports, refusals and chunks.
     #[must_use]
     pub fn load(&self) -> Load {
         Load {
@@ -142,7 +145,7 @@
         self.queue.len() + usize::from(matches!(self.alone, Alone::Waiting { .. }))
     }
 
-    /// Decides about a request.
+    /// Starts, queues or refuses a request.
     pub fn offer(&mut self, offer: Offer<Id>) -> AdmissionDecision<Id> {
         if self.has_place(offer.priority) && self.ahead_of(offer.priority) == 0 {
             self.running += 1;
@@ -165,8 +168,8 @@
         AdmissionDecision::Queued { shed }
     }
 
-    /// Decides about a suspect, which may only run while nothing else does. A second one is refused
-    /// meanwhile: each would drain the backend server once more.
+    /// Starts, queues or refuses a suspect, which may only run while no other request runs. A
+    /// second suspect is refused meanwhile: each one makes the backend server drain once more.
     pub fn offer_alone(&mut self, offer: Offer<Id>) -> AdmissionDecision<Id> {
         if self.alone != Alone::None {
             return AdmissionDecision::Full(self.load());
@@ -180,8 +183,8 @@
         AdmissionDecision::Queued { shed: None }
     }
 
-    /// Notes that a started request has ended after holding its place for `held`, and returns the
-    /// next request to start, if any.
+    /// Records that a started request has ended after occupying its place for `held`, and returns
+    /// the next request to start, if any.
     pub fn finish(&mut self, held: Duration) -> Option<Id> {
         self.running = self.running.saturating_sub(1);
         if self.alone == Alone::Running {
@@ -193,8 +196,8 @@
         self.start_next()
     }
 
-    /// Starts the next waiting request if it may have a place. Call it again until `None` after a
-    /// change of `places`.
+    /// Starts the next waiting request if a place is free for it. After a change of `places`, call
+    /// this until it returns `None`.
     pub fn start_next(&mut self) -> Option<Id> {
         if let Alone::Waiting { id, .. } = self.alone {
             return (self.running == 0).then(|| {
@@ -211,7 +214,8 @@
         self.queue.pop_first().map(|(_, waiting)| waiting.id)
     }
 
-    /// Removes a waiting request; then call [`Admission::start_next`]. False when it does not wait here (any more).
+    /// Removes a waiting request; then call [`Admission::start_next`]. False when the request is
+    /// not waiting here.
     pub fn cancel(&mut self, id: Id) -> bool {
         if matches!(self.alone, Alone::Waiting { id: waiting, .. } if waiting == id) {
             self.alone = Alone::None;
@@ -221,8 +225,8 @@
         found.is_some_and(|rank| self.queue.remove(&rank).is_some())
     }
 
-    /// Removes and returns the waiting requests whose callers have stopped waiting. Where one of
-    /// them was to run alone, others may start now: call [`Admission::start_next`].
+    /// Removes and returns the waiting requests whose deadline has passed. If one of them was to
+    /// run alone, others may start now: call [`Admission::start_next`].
     pub fn expire(&mut self, now: Duration) -> Vec<Id> {
         let mut expired = Vec::new();
         if let Alone::Waiting { id, deadline } = self.alone
@@ -241,7 +245,7 @@
         expired
     }
 
-    /// Changes the number of places, as when the engine reports another one.
+    /// Changes the number of places, for example when the engine reports a different one.
     pub fn set_places(&mut self, places: u16) {
         self.config.places = places;
     }
@@ -258,7 +262,7 @@
         self.queue.range(..(std::cmp::Reverse(priority), u64::MAX)).count()
     }
 
-    /// Removes the last of the queue if its priority is lower.
+    /// Removes the last request of the queue if its priority is lower.
     fn shed_below(&mut self, priority: Priority) -> Option<Id> {
         let last = self.queue.last_entry()?;
         (last.key().0.0 < priority).then(|| last.remove().id)
--- a/crates/policy/src/demand.rs
+++ b/crates/policy/src/demand.rs
@@ -1,56 +1,57 @@
-//! What requests want of each expert, learnt from short windows of counts.
+//! Estimates the demand for each expert from counts over short windows.
 //!
-//! Demand jumps within a pass and then stays for seconds. Windows of about one pass vary by chance;
-//! how much depends on the group: a window of 8 ranks moves by 0.13 of all choices, one of 32 ranks
-//! by 0.04, while a jump moves it by 0.3 and by 0.2. So a jump is told from chance by what windows
-//! of this group usually move. Judged by one fixed bound, jumps of large groups went unnoticed: the
-//! mean crept after them for a second, and maps were planned for what nobody wanted any more.
+//! Demand shifts within a pass and then stays the same for seconds. Windows of about one pass also
+//! vary at random, by an amount that depends on the group: in a group of 8 ranks a window differs
+//! from the mean in 0.13 of all choices, in one of 32 ranks in 0.04, while a shift changes 0.3 and
+//! 0.2 of them. So a shift is detected relative to the usual variation of this group's windows.
+//! With one fixed threshold, shifts in large groups went undetected: the mean lagged behind for a
+//! second, and maps were planned for outdated demand.
 
 use crate::experts::Shape;
 
-/// Weight of the newest window in the mean while demand stays as it is: the mean of the last few
-/// windows predicts the next best.
+/// Weight of the newest window in the mean while demand doesn't shift: the mean of the last few
+/// windows is the best prediction of the next one.
 const NEWEST_WEIGHT: f64 = 0.25;
 
-/// How much more than usual a window must have moved for demand to count as shifted. Of a calm
-/// group's windows one in 50 moves as much by chance, and is soon outweighed.
-const SHIFTED_RATIO: f64 = 1.9;
+/// Ratio of a window's distance to the usual one above which demand counts as shifted. Without a
+/// shift one window in 50 exceeds it at random, which later windows soon correct.
+const SHIFT_RATIO: f64 = 1.9;
 
-/// Part of the choices that must have moved in any case: less is not worth a new map.
-const MIN_SHIFTED_SHARE: f64 = 0.08;
+/// Smallest distance that counts as a shift: less is not worth a new map.
+const MIN_SHIFT_DISTANCE: f64 = 0.08;
 
-/// What windows are taken to move by chance before it is known: as in small groups.
-const FIRST_NOISE: f64 = 0.13;
+/// Initial estimate of the usual distance, as in small groups.
+const INITIAL_NOISE: f64 = 0.13;
 
-/// Weight of the newest window in what windows usually move: some two seconds.
+/// Weight of the newest window in the usual distance; averages over about two seconds.
 const NOISE_WEIGHT: f64 = 0.05;
 
-/// Choices below which a window says nothing by itself.
+/// Windows with fewer choices than this are too noisy and are ignored.
 const MIN_WINDOW_CHOICES: u64 = 2_000;
 
-/// What requests want of each expert.
+/// Estimated share of the requests' choices that each expert gets.
 #[derive(Clone, Debug)]
 pub struct Demand {
     shape: Shape,
-    /// Shares by set and expert, in one row; each set sums to 1.
+    /// Shares by set and expert, flattened; each set sums to 1.
     mean: Vec<f64>,
     is_known: Vec<bool>,
-    /// Part of the choices by which windows differ from the mean while nothing shifts.
+    /// Usual distance of a window from the mean while demand doesn't shift.
     noise: f64,
-    /// Windows in the mean.
+    /// Windows in the mean since the last shift.
     windows: u32,
 }
 
 impl Demand {
-    /// Nothing known.
+    /// No windows observed yet.
     pub fn new(shape: Shape) -> Self {
         let mean = vec![0.0; shape.sets * shape.experts];
         let is_known = vec![false; shape.sets];
-        Self { shape, mean, is_known, noise: FIRST_NOISE, windows: 0 }
+        Self { shape, mean, is_known, noise: INITIAL_NOISE, windows: 0 }
     }
 
-    /// Takes in how often each expert was chosen in a window, by set and expert in one row.
-    /// Returns whether demand has shifted; the first window is a shift.
+    /// Records how often each expert was chosen in a window, by set and expert, flattened.
+    /// Returns whether demand has shifted; the first window counts as a shift.
     ///
     /// ```
     /// use flamingowheel_policy::experts::{Demand, Shape};
@@ -71,14 +72,14 @@
             return false;
         }
         let is_new = windows.iter().any(|(set, _)| !self.is_known[*set]);
-        let moved: f64 = windows.iter().map(|(set, shares)| self.moved(*set, shares)).sum();
-        let moved = moved / windows.len() as f64;
+        let distance: f64 = windows.iter().map(|(set, shares)| self.distance(*set, shares)).sum();
+        let distance = distance / windows.len() as f64;
         let has_shifted =
-            is_new || (moved > MIN_SHIFTED_SHARE && moved > SHIFTED_RATIO * self.noise);
+            is_new || (distance > MIN_SHIFT_DISTANCE && distance > SHIFT_RATIO * self.noise);
         if has_shifted {
             self.windows = 0;
         } else {
-            self.noise += NOISE_WEIGHT * (moved - self.noise);
+            self.noise += NOISE_WEIGHT * (distance - self.noise);
         }
         self.windows += 1;
         let weight = (1.0 / f64::from(self.windows)).max(NEWEST_WEIGHT);
@@ -93,23 +94,23 @@
         has_shifted
     }
 
-    /// Whether anything is known of every set.
+    /// Whether every set has been observed at least once.
     pub fn is_known(&self) -> bool {
         self.is_known.iter().all(|known| *known)
     }
 
-    /// The sizes of the map that this is the demand on.
+    /// The sizes of the expert map that the counts refer to.
     pub fn shape(&self) -> Shape {
         self.shape
     }
 
-    /// The experts' shares in a set.
+    /// The experts' shares within a set.
     pub(crate) fn of_set(&self, set: usize) -> &[f64] {
         &self.mean[set * self.shape.experts..(set + 1) * self.shape.experts]
     }
 
-    /// The part of a set's choices that would have to be others for the window to be as the mean.
-    fn moved(&self, set: usize, shares: &[f64]) -> f64 {
+    /// Distance of a window from the mean: the part of the set's choices that differ.
+    fn distance(&self, set: usize, shares: &[f64]) -> f64 {
         let differences = self.of_set(set).iter().zip(shares).map(|(mean, share)| mean - share);
         differences.map(f64::abs).sum::<f64>() / 2.0
     }
--- a/crates/policy/src/key.rs
+++ b/crates/policy/src/key.rs
@@ -1,7 +1,7 @@
-//! Compact keys of the things that decisions are about.
+//! 64-bit keys of servers, entries, workspaces, regions and scopes.
 //!
-//! Decisions compare and hash keys far more often than they show them, so names are hashed once to
-//! 64 bits. Among 10,000 names a collision has a chance of about 3 in 10^12.
+//! Decisions compare and hash keys far more often than they print them, so names are hashed once to
+//! 64 bits. The probability of any collision among 10,000 names is about 3 in 10^12.
 
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::{Xxh3, xxh3_64};
@@ -39,7 +39,7 @@
 key!(ScopeKey, "a pool of backend servers: one model within one region");
 
 impl ScopeKey {
-    /// The part of a scope that one region holds.
+    /// Key of the part of this scope that lies in one region.
     ///
     /// ```
     /// use flamingowheel_policy::key::{RegionKey, ScopeKey};
@@ -53,7 +53,7 @@
     }
 }
 
-/// Hash of what a request asks for. A resend under a new request id has the same fingerprint.
+/// Hash of a request's content. A resend under a new request id has the same fingerprint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Fingerprint(pub u128);
@@ -61,8 +61,8 @@
 impl Fingerprint {
     /// Hashes workspace, route and body.
     ///
-    /// The seed is secret to the fleet: without it a caller could craft a body that collides with
-    /// another one and have that one refused as a suspect.
+    /// The seed is a secret of the fleet. Otherwise a caller could craft a body that collides with
+    /// another caller's request and get that request refused as a suspect.
     ///
     /// ```
     /// use flamingowheel_policy::key::{Fingerprint, WorkspaceKey};
@@ -81,13 +81,13 @@
         Self(hasher.digest128())
     }
 
-    /// The low half, for draws that need a seed.
+    /// Low 64 bits, used as the seed of rendezvous hashing.
     pub(crate) fn seed(self) -> u64 {
         self.0 as u64
     }
 }
 
-/// Mixes two words to one that depends on every bit of both.
+/// Hashes two 64-bit values into one.
 pub(crate) fn mix(left: u64, right: u64) -> u64 {
     let mut bytes = [0; 16];
     bytes[..8].copy_from_slice(&left.to_le_bytes());
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,8 +1,9 @@
-//! Pure decisions: routing, limits, retries, subsets, suspicion and the rebalancing of experts.
+//! Decisions as pure functions: routing, admission, limits, retries, subsets, crash suspects and
+//! rebalancing of experts.
 //!
-//! Nothing here does I/O or reads a clock. Time is passed in as a [`std::time::Duration`] since an
-//! origin of the process's own choice, so that the same code runs in the daemon, under a paused
-//! clock and in the benches.
+//! Nothing here does I/O or reads a clock. Callers pass the time as a [`std::time::Duration`] since
+//! an origin that each process picks, so the same code runs in the daemon, under a paused clock and
+//! in the benches.
 
 pub mod admission;
 pub mod batch;
--- a/crates/policy/src/load.rs
+++ b/crates/policy/src/load.rs
@@ -1,9 +1,9 @@
-//! What an entry knows of each backend server's load, and how old that knowledge is.
+//! Load of each backend server as an entry knows it, and the age of that information.
 //!
-//! Knowledge comes from periodic reports (late), and from every frame an agent sends on a running
-//! stream, an acceptance or a refusal (fresh as of now). Own sends and finishes that a report can't
-//! know of yet are added on top. With age an estimate drifts towards the mean of all known servers,
-//! and its spread grows.
+//! Loads arrive in periodic reports, which lag, and with every acceptance, refusal and stream frame
+//! of an agent, which are current. Requests that this entry has sent or finished since the last
+//! update are added on top. With age an estimate decays towards the mean of all known servers, and
+//! its variance grows.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -12,35 +12,35 @@
 
 use crate::key::ServerKey;
 
-/// Most backend servers that one book keeps; further ones are refused by [`LoadTracker::insert`].
+/// Most backend servers in one tracker; [`LoadTracker::insert`] refuses further ones.
 pub const MAX_SERVERS: usize = 8_192;
-/// Own sends and finishes kept per server, the oldest dropped first.
+/// Sends and finishes of this entry kept per server; the oldest are dropped first.
 const MAX_OWN_EVENTS: usize = 64;
 /// Assumed until an agent has reported its own mean.
-const DEFAULT_SERVICE: Duration = Duration::from_secs(2);
+const DEFAULT_SERVICE_TIME: Duration = Duration::from_secs(2);
 /// Assumed until an agent has reported its places.
 const DEFAULT_PLACES: u16 = 8;
 
-/// Load of one backend server as its agent sees it. It travels with every heartbeat, so its names
-/// on the wire are short.
+/// Load of one backend server as reported by its agent. Sent with every heartbeat, so its field
+/// names on the wire are short.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    /// Requests that the engine runs now.
+    /// Requests running in the engine.
     #[serde(rename = "r")]
     pub running: u16,
-    /// Requests that wait in the agent's queue.
+    /// Requests waiting in the agent's queue.
     #[serde(rename = "w")]
     pub waiting: u16,
-    /// Requests that the engine can run at once; zero while it is down.
+    /// Number of requests the engine can run concurrently; zero while it is down.
     #[serde(rename = "p")]
     pub places: u16,
-    /// Mean time a request holds a place; zero where the agent has not measured one.
+    /// Mean time a request occupies a place; zero until the agent has measured it.
     #[serde(rename = "s")]
     pub service_ms: u32,
 }
 
 impl Load {
-    /// Requests running or waiting.
+    /// Number of requests running or waiting.
     ///
     /// ```
     /// use flamingowheel_policy::load::Load;
@@ -52,9 +52,9 @@
         self.running.saturating_add(self.waiting)
     }
 
-    /// The two counts in two bytes, for chunks: waiting above running, each at most 255. Their sum
-    /// alone would hide which backend servers have extra places in use, and urgent requests would
-    /// all go to the same one.
+    /// Both counts packed into two bytes, for chunks: waiting in the high byte, running in the low
+    /// byte, each capped at 255. Their sum alone would hide which backend servers have extra places
+    /// in use, and urgent requests would all go to the same one.
     ///
     /// ```
     /// use flamingowheel_policy::load::Load;
@@ -71,12 +71,12 @@
 /// Whether a backend server may get new work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Availability {
-    /// Takes new work.
+    /// It may get new work.
     #[default]
     Available,
-    /// Finishes what it has.
+    /// It finishes its requests and gets no new ones.
     Leaving,
-    /// Its connection is silent or its backend server is down.
+    /// The connection to its agent is silent, or the backend server is down.
     Suspect,
 }
 
@@ -89,19 +89,19 @@
     pub waiting: f64,
     /// Standard deviation of `occupied`.
     pub deviation: f64,
-    /// Age of the newest knowledge it rests on.
+    /// Age of the newest load that the estimate is based on.
     pub age: Duration,
-    /// Requests that the engine can run at once.
+    /// Number of requests the engine can run concurrently.
     pub places: u16,
-    /// Mean time a request holds a place.
+    /// Mean time a request occupies a place.
     pub service: Duration,
 }
 
 impl Estimate {
     /// Expected wait of one more request.
     ///
-    /// The expected number of requests ahead of it is the mean of the part of a normal
-    /// distribution above the last free place, taken by its softplus approximation.
+    /// The expected number of requests ahead of it is the partial mean of a normal distribution
+    /// above the last free place, computed by its softplus approximation.
     ///
     /// ```
     /// use flamingowheel_policy::load::Estimate;
@@ -123,7 +123,7 @@
         self.wait_behind(self.occupied)
     }
 
-    /// Expected wait of one more request that overtakes all waiting ones.
+    /// Expected wait of one more request that overtakes all waiting requests.
     #[must_use]
     pub fn urgent_wait(&self) -> Duration {
         self.wait_behind(self.occupied - self.waiting)
@@ -138,11 +138,11 @@
     }
 }
 
-/// Matches a softplus to the partial mean of a unit normal at its centre (0.399 / ln 2).
+/// Makes the softplus equal to the partial mean of a unit normal at its centre (0.399 / ln 2).
 const SOFTPLUS_WIDTH: f64 = 0.576;
-/// Keeps the division defined for knowledge of no age.
+/// Avoids a division by zero for estimates of age zero, whose deviation is zero.
 const MIN_WIDTH: f64 = 0.05;
-/// Beyond it softplus equals its argument to the last bit that matters.
+/// Above this softplus equals its argument within floating-point precision.
 const SOFTPLUS_LINEAR: f64 = 30.0;
 
 fn softplus(x: f64) -> f64 {
@@ -152,7 +152,7 @@
     x.exp().ln_1p()
 }
 
-/// An own send (+1) or finish (-1) that older knowledge doesn't include.
+/// A send (+1) or finish (-1) of this entry that the last known load doesn't include.
 #[derive(Clone, Copy, Debug)]
 struct OwnEvent {
     at: Duration,
@@ -163,27 +163,27 @@
 struct ServerLoad {
     load: Load,
     as_of: Option<Duration>,
-    own: VecDeque<OwnEvent>,
+    own_events: VecDeque<OwnEvent>,
     availability: Availability,
 }
 
 impl ServerLoad {
-    fn learn(&mut self, load: Load, as_of: Duration) {
-        if self.as_of.is_some_and(|known| known > as_of) {
+    fn update(&mut self, load: Load, as_of: Duration) {
+        if self.as_of.is_some_and(|last| last > as_of) {
             return;
         }
         self.load = load;
         self.as_of = Some(as_of);
-        while self.own.front().is_some_and(|event| event.at <= as_of) {
-            self.own.pop_front();
+        while self.own_events.front().is_some_and(|event| event.at <= as_of) {
+            self.own_events.pop_front();
         }
     }
 
-    fn note(&mut self, at: Duration, change: i8) {
-        if self.own.len() == MAX_OWN_EVENTS {
-            self.own.pop_front();
+    fn push_own_event(&mut self, at: Duration, change: i8) {
+        if self.own_events.len() == MAX_OWN_EVENTS {
+            self.own_events.pop_front();
         }
-        self.own.push_back(OwnEvent { at, change });
+        self.own_events.push_back(OwnEvent { at, change });
     }
 
     fn places(&self) -> u16 {
@@ -192,40 +192,40 @@
 
     fn service(&self) -> Duration {
         if self.load.service_ms == 0 {
-            return DEFAULT_SERVICE;
+            return DEFAULT_SERVICE_TIME;
         }
         Duration::from_millis(u64::from(self.load.service_ms))
     }
 }
 
-/// Knowledge of all backend servers that one entry may send to.
+/// Loads of all backend servers that one entry may send to.
 ///
 /// ```
 /// use flamingowheel_policy::key::ServerKey;
 /// use flamingowheel_policy::load::{Load, LoadTracker};
 /// use std::time::Duration;
 /// let server = ServerKey::from_name("runner-1");
-/// let mut book = LoadTracker::default();
-/// book.insert(server);
+/// let mut tracker = LoadTracker::default();
+/// tracker.insert(server);
 /// let load = Load { running: 3, waiting: 0, places: 8, service_ms: 2_000 };
-/// book.on_current_load(server, load, Duration::from_secs(1));
-/// book.on_sent(server, Duration::from_secs(2));
-/// let estimate = book.estimate(server, Duration::from_secs(2)).unwrap();
+/// tracker.on_current_load(server, load, Duration::from_secs(1));
+/// tracker.on_sent(server, Duration::from_secs(2));
+/// let estimate = tracker.estimate(server, Duration::from_secs(2)).unwrap();
 /// assert!(estimate.occupied > 3.5 && estimate.occupied < 4.5);
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct LoadTracker {
     servers: HashMap<ServerKey, ServerLoad>,
-    /// Decayed mean of `occupied / places` over what was learned.
+    /// Decayed mean of `occupied / places` over all loads received.
     mean_share: f64,
-    learned: u64,
+    received: u64,
 }
 
-/// Weight of one piece of knowledge in the decayed mean.
+/// Weight of one received load in the decayed mean.
 const MEAN_WEIGHT: f64 = 0.01;
 
 impl LoadTracker {
-    /// Adds a backend server of which nothing is known. False when the book is full.
+    /// Adds a backend server without a known load. False when the tracker is full.
     pub fn insert(&mut self, server: ServerKey) -> bool {
         if self.servers.contains_key(&server) {
             return true;
@@ -233,28 +233,28 @@
         if self.servers.len() >= MAX_SERVERS {
             return false;
         }
-        let fresh = ServerLoad {
+        let server_load = ServerLoad {
             load: Load::default(),
             as_of: None,
-            own: VecDeque::new(),
+            own_events: VecDeque::new(),
             availability: Availability::Available,
         };
-        self.servers.insert(server, fresh);
+        self.servers.insert(server, server_load);
         true
     }
 
-    /// Forgets a backend server.
+    /// Removes a backend server.
     pub fn remove(&mut self, server: ServerKey) {
         self.servers.remove(&server);
     }
 
-    /// Backend servers known.
+    /// Number of backend servers.
     #[must_use]
     pub fn len(&self) -> usize {
         self.servers.len()
     }
 
-    /// Whether no backend server is known.
+    /// Whether there is no backend server.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.servers.is_empty()
@@ -262,84 +262,88 @@
 
     /// Sets whether a backend server may get new work.
     pub fn set_availability(&mut self, server: ServerKey, availability: Availability) {
-        if let Some(known) = self.servers.get_mut(&server) {
-            known.availability = availability;
+        if let Some(server_load) = self.servers.get_mut(&server) {
+            server_load.availability = availability;
         }
     }
 
     /// Whether a backend server may get new work; `None` for an unknown one.
     #[must_use]
     pub fn availability(&self, server: ServerKey) -> Option<Availability> {
-        self.servers.get(&server).map(|known| known.availability)
+        self.servers.get(&server).map(|server_load| server_load.availability)
     }
 
-    /// Whether a backend server may get new work and, as far as is known, its engine is up.
+    /// Whether a backend server may get new work and its last known load does not report the engine
+    /// as down.
     #[must_use]
     pub fn is_usable(&self, server: ServerKey) -> bool {
-        self.servers.get(&server).is_some_and(|known| {
-            let is_down = known.as_of.is_some() && known.load.places == 0;
-            known.availability == Availability::Available && !is_down
+        self.servers.get(&server).is_some_and(|server_load| {
+            let is_down = server_load.as_of.is_some() && server_load.load.places == 0;
+            server_load.availability == Availability::Available && !is_down
         })
     }
 
-    /// Takes in a periodic report that was true at `as_of`. One older than what is known is dropped.
+    /// Records a periodic report of the load at `as_of`. A report older than the last known load is
+    /// dropped.
     pub fn on_report(&mut self, server: ServerKey, load: Load, as_of: Duration) {
-        let Some(known) = self.servers.get_mut(&server) else { return };
-        known.learn(load, as_of);
-        let share = f64::from(load.occupied()) / f64::from(known.places());
-        self.learned += 1;
-        let weight = (1.0 / self.learned as f64).max(MEAN_WEIGHT);
+        let Some(server_load) = self.servers.get_mut(&server) else { return };
+        server_load.update(load, as_of);
+        let share = f64::from(load.occupied()) / f64::from(server_load.places());
+        self.received += 1;
+        let weight = (1.0 / self.received as f64).max(MEAN_WEIGHT);
         self.mean_share += (share - self.mean_share) * weight;
     }
 
-    /// Takes in the load carried by an acceptance, a refusal or a chunk: true as of now.
+    /// Records the current load, as carried by an acceptance, a refusal or a chunk.
     pub fn on_current_load(&mut self, server: ServerKey, load: Load, now: Duration) {
         self.on_report(server, load, now);
     }
 
-    /// Takes in the short form carried by a chunk, made by [`Load::hint`].
+    /// Records the current load in the packed form of [`Load::hint`], as carried by a chunk.
     pub fn on_hint(&mut self, server: ServerKey, hint: u16, now: Duration) {
-        let Some(known) = self.servers.get(&server) else { return };
+        let Some(server_load) = self.servers.get(&server) else { return };
         let [waiting, running] = hint.to_be_bytes().map(u16::from);
-        let load = Load { running, waiting, ..known.load };
+        let load = Load { running, waiting, ..server_load.load };
         self.on_current_load(server, load, now);
     }
 
-    /// Notes that a request was sent.
+    /// Records that this entry sent a request.
     pub fn on_sent(&mut self, server: ServerKey, now: Duration) {
-        if let Some(known) = self.servers.get_mut(&server) {
-            known.note(now, 1);
+        if let Some(server_load) = self.servers.get_mut(&server) {
+            server_load.push_own_event(now, 1);
         }
     }
 
-    /// Notes that a request which was sent has ended or was refused.
+    /// Records that a request of this entry has ended or was refused.
     pub fn on_ended(&mut self, server: ServerKey, now: Duration) {
-        if let Some(known) = self.servers.get_mut(&server) {
-            known.note(now, -1);
+        if let Some(server_load) = self.servers.get_mut(&server) {
+            server_load.push_own_event(now, -1);
         }
     }
 
     /// Expected load of a backend server now; `None` for an unknown one.
     #[must_use]
     pub fn estimate(&self, server: ServerKey, now: Duration) -> Option<Estimate> {
-        let known = self.servers.get(&server)?;
-        let places = known.places();
-        let service = known.service();
-        let age = now.saturating_sub(known.as_of.unwrap_or_default());
+        let server_load = self.servers.get(&server)?;
+        let places = server_load.places();
+        let service = server_load.service();
+        let age = now.saturating_sub(server_load.as_of.unwrap_or_default());
         let mean = self.mean_share * f64::from(places);
-        let kept = match known.as_of {
+        let decay = match server_load.as_of {
             Some(_) => (-age.as_secs_f64() / service.as_secs_f64()).exp(),
             None => 0.0,
         };
-        let own: f64 = known.own.iter().map(|event| f64::from(event.change)).sum();
-        let occupied = (mean + (f64::from(known.load.occupied()) - mean) * kept + own).max(0.0);
-        // Occupancy relaxes like an Ornstein-Uhlenbeck process whose variance at rest is about
+        let own_change: f64 =
+            server_load.own_events.iter().map(|event| f64::from(event.change)).sum();
+        let occupied =
+            (mean + (f64::from(server_load.load.occupied()) - mean) * decay + own_change).max(0.0);
+        // Occupancy behaves like an Ornstein-Uhlenbeck process whose stationary variance is about
         // that of a busy engine.
-        let variance = f64::from(places) * REST_VARIANCE_PER_PLACE * (1.0 - kept * kept);
-        let waiting = f64::from(known.load.waiting) * kept;
+        let variance = f64::from(places) * STATIONARY_VARIANCE_PER_PLACE * (1.0 - decay * decay);
+        let waiting = f64::from(server_load.load.waiting) * decay;
         Some(Estimate { occupied, waiting, deviation: variance.sqrt(), age, places, service })
     }
 }
 
-/// Variance of the occupancy of a busy engine, per place, measured by the routing bench.
-const REST_VARIANCE_PER_PLACE: f64 = 0.3;
+/// Variance of the occupancy of a busy engine, per place, from the routing bench.
+const STATIONARY_VARIANCE_PER_PLACE: f64 = 0.3;
--- a/crates/policy/src/prefix.rs
+++ b/crates/policy/src/prefix.rs
@@ -1,9 +1,9 @@
-//! What is known of each backend server's prefix cache.
+//! Index of the blocks in each backend server's prefix cache.
 //!
-//! Engines publish numbered cache events late and with gaps. Events that come out of order wait
-//! for the missing ones; when those don't come, the gap is skipped and what is known of that
-//! server loses weight with time, until a snapshot makes it whole. A wrong guess costs prefill time
-//! and never correctness, so memory is bounded by forgetting the blocks used longest ago.
+//! Engines publish numbered cache events late and with gaps. Events that arrive out of order wait
+//! for the missing ones. When those don't arrive, the gap is skipped and the index of that server
+//! loses weight with time, until a snapshot completes it. A wrong entry costs prefill time but
+//! never correctness, so memory is bounded by evicting the least recently used blocks.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::Duration;
@@ -13,14 +13,14 @@
 
 use crate::key::ServerKey;
 
-/// Settings of prefix knowledge.
+/// Settings of a [`PrefixIndex`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PrefixConfig {
-    /// Blocks remembered per backend server.
+    /// Most blocks kept per backend server.
     pub max_blocks: usize,
-    /// Events per backend server that wait for missing ones.
+    /// Most events per backend server that wait for missing ones before the gap is skipped.
     pub max_pending: usize,
-    /// Time in which knowledge with a gap loses two thirds of its weight.
+    /// Time in which the index of a server with a gap loses two thirds of its weight.
     pub gap_decay: Duration,
     /// Time an engine takes to prefill one block.
     pub prefill_per_block: Duration,
@@ -37,7 +37,7 @@
     }
 }
 
-/// Bytes that make one block, unless a deployment says otherwise.
+/// Default block size, unless a deployment configures another one.
 pub const BLOCK_SIZE_BYTES: usize = 256;
 
 /// Hash of a block of a prompt and of all blocks before it.
@@ -45,8 +45,8 @@
 #[serde(transparent)]
 pub struct BlockHash(pub u64);
 
-/// Cuts a prompt into blocks, each hashed with all before it; a last part that fills no block is
-/// left out, as engines cache whole blocks only.
+/// Splits a prompt into blocks and hashes each together with all blocks before it. An incomplete
+/// last block is left out, as engines cache whole blocks only.
 ///
 /// ```
 /// use flamingowheel_policy::prefix::block_hashes;
@@ -66,28 +66,28 @@
         .collect()
 }
 
-/// A change of a backend server's cache.
+/// A change to the contents of a backend server's cache.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CacheChange {
     /// These blocks are cached now.
     Stored(Vec<BlockHash>),
     /// These blocks are no longer cached.
     Removed(Vec<BlockHash>),
-    /// Exactly these blocks are cached: all that was known before is void.
+    /// Exactly these blocks are cached; replaces all earlier events.
     Snapshot(Vec<BlockHash>),
 }
 
-/// A numbered change.
+/// A cache change with its sequence number.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Counts up by one within one life of the engine.
+    /// Sequence number, incremented by one per event; restarts with the engine.
     pub number: u64,
-    /// What changed.
+    /// The change to apply.
     pub change: CacheChange,
 }
 
-/// Two generations of blocks: lookups search both, and when the newer one is full the older one
-/// goes. That forgets the blocks used longest ago without a list of uses.
+/// Two generations of blocks: lookups search both, and when the newer one is full the older one is
+/// dropped. This approximates LRU eviction without a list of uses.
 #[derive(Clone, Debug, Default)]
 struct Blocks {
     newer: HashSet<BlockHash>,
@@ -120,7 +120,7 @@
 #[derive(Clone, Debug, Default)]
 struct ServerCache {
     blocks: Blocks,
-    next: Option<u64>,
+    next_number: Option<u64>,
     pending: BTreeMap<u64, CacheChange>,
     gap_since: Option<Duration>,
 }
@@ -128,40 +128,40 @@
 impl ServerCache {
     fn on_event(&mut self, config: &PrefixConfig, event: CacheEvent, now: Duration) {
         if matches!(event.change, CacheChange::Snapshot(_)) {
-            self.start_over(config, event);
+            self.apply_snapshot(config, event);
             return;
         }
-        let next = *self.next.get_or_insert(event.number);
+        let next = *self.next_number.get_or_insert(event.number);
         if event.number < next {
-            // It was skipped as missing; applied now it could undo a later one.
+            // It was skipped as missing; applied now, it could undo a later event.
             return;
         }
         self.pending.insert(event.number, event.change);
         self.apply_ready(config);
         if self.pending.len() > config.max_pending {
             self.gap_since.get_or_insert(now);
-            self.next = self.pending.keys().next().copied();
+            self.next_number = self.pending.keys().next().copied();
             self.apply_ready(config);
         }
     }
 
-    fn start_over(&mut self, config: &PrefixConfig, event: CacheEvent) {
-        if self.next.is_some_and(|next| event.number < next) && self.gap_since.is_none() {
+    fn apply_snapshot(&mut self, config: &PrefixConfig, event: CacheEvent) {
+        if self.next_number.is_some_and(|next| event.number < next) && self.gap_since.is_none() {
             return;
         }
         self.blocks = Blocks::default();
         self.gap_since = None;
         self.pending = self.pending.split_off(&(event.number + 1));
-        self.next = Some(event.number + 1);
+        self.next_number = Some(event.number + 1);
         self.apply(config, event.change);
         self.apply_ready(config);
     }
 
     fn apply_ready(&mut self, config: &PrefixConfig) {
-        while let Some(next) = self.next {
+        while let Some(next) = self.next_number {
             let Some(change) = self.pending.remove(&next) else { return };
             self.apply(config, change);
-            self.next = Some(next + 1);
+            self.next_number = Some(next + 1);
         }
     }
 
@@ -176,7 +176,7 @@
         }
     }
 
-    /// Falls from 1 towards 0 while events are missing.
+    /// Confidence in the index: decays from 1 towards 0 while events are missing.
     fn weight(&self, config: &PrefixConfig, now: Duration) -> f64 {
         let Some(since) = self.gap_since else { return 1.0 };
         let age = now.saturating_sub(since).as_secs_f64();
@@ -184,7 +184,7 @@
     }
 }
 
-/// Prefix-cache knowledge of the backend servers of an entry's cells.
+/// Contents of the prefix caches of the backend servers in an entry's cells.
 ///
 /// ```
 /// use flamingowheel_policy::key::ServerKey;
@@ -192,11 +192,11 @@
 ///     CacheChange, CacheEvent, PrefixIndex, PrefixConfig, block_hashes,
 /// };
 /// use std::time::Duration;
-/// let mut book = PrefixIndex::new(PrefixConfig::default());
+/// let mut index = PrefixIndex::new(PrefixConfig::default());
 /// let prompt = block_hashes(b"abcdefgh", 4);
 /// let stored = CacheChange::Stored(prompt[..1].to_vec());
-/// book.on_event(ServerKey(1), CacheEvent { number: 1, change: stored }, Duration::ZERO);
-/// assert_eq!(book.prefill_time(ServerKey(1), &prompt, Duration::ZERO), Duration::from_millis(10));
+/// index.on_event(ServerKey(1), CacheEvent { number: 1, change: stored }, Duration::ZERO);
+/// assert_eq!(index.prefill_time(ServerKey(1), &prompt, Duration::ZERO), Duration::from_millis(10));
 /// ```
 #[derive(Clone, Debug)]
 pub struct PrefixIndex {
@@ -205,49 +205,52 @@
 }
 
 impl PrefixIndex {
-    /// Nothing known.
+    /// An empty index.
     #[must_use]
     pub fn new(config: PrefixConfig) -> Self {
         Self { config, servers: HashMap::new() }
     }
 
-    /// Takes in a cache event.
+    /// Applies a cache event, or keeps it until the events before it have arrived.
     pub fn on_event(&mut self, server: ServerKey, event: CacheEvent, now: Duration) {
         self.servers.entry(server).or_default().on_event(&self.config, event, now);
     }
 
-    /// Forgets a backend server, as when its engine starts anew and counts from the beginning.
+    /// Removes a backend server, for example when its engine restarts and numbers events anew.
     pub fn remove(&mut self, server: ServerKey) {
         self.servers.remove(&server);
     }
 
-    /// Leading blocks of the prompt that the server probably has, less while events are missing.
+    /// Expected number of leading blocks of the prompt in the server's cache; reduced while events
+    /// are missing.
     #[must_use]
     pub fn covered_blocks(&self, server: ServerKey, prompt: &[BlockHash], now: Duration) -> f64 {
         let Some(cache) = self.servers.get(&server) else { return 0.0 };
-        let known = prompt.iter().take_while(|block| cache.blocks.contains(**block)).count();
-        known as f64 * cache.weight(&self.config, now)
+        let cached = prompt.iter().take_while(|block| cache.blocks.contains(**block)).count();
+        cached as f64 * cache.weight(&self.config, now)
     }
 
-    /// Time the server would need to prefill what its cache does not cover.
+    /// Time the server would need to prefill the blocks that its cache does not cover.
     #[must_use]
     pub fn prefill_time(&self, server: ServerKey, prompt: &[BlockHash], now: Duration) -> Duration {
         let uncovered = prompt.len() as f64 - self.covered_blocks(server, prompt, now);
         self.config.prefill_per_block.mul_f64(uncovered.max(0.0))
     }
 
-    /// What each of these servers would prefill beyond the one that has most of the prompt.
+    /// Prefill time of each of these servers beyond that of the server which has most of the
+    /// prompt.
     ///
-    /// Only differences matter for a choice. Taken from the best, they are all zero if nobody has
-    /// any of the prompt, and the choice is then as quick and as spread as without a prompt.
+    /// Only differences matter for a choice. Relative to the best server they are all zero if no
+    /// server has any of the prompt, and the choice is then as fast and as evenly spread as without
+    /// a prompt.
     ///
     /// ```
     /// use flamingowheel_policy::key::ServerKey;
     /// use flamingowheel_policy::prefix::{PrefixIndex, PrefixConfig, block_hashes};
     /// use std::time::Duration;
-    /// let book = PrefixIndex::new(PrefixConfig::default());
+    /// let index = PrefixIndex::new(PrefixConfig::default());
     /// let prompt = block_hashes(b"abcdefgh", 4);
-    /// let extra = book.extra_prefill(&[ServerKey(1)], &prompt, Duration::ZERO);
+    /// let extra = index.extra_prefill(&[ServerKey(1)], &prompt, Duration::ZERO);
     /// assert_eq!(extra.of(ServerKey(1)), Duration::ZERO);
     /// assert!(!extra.is_covered(ServerKey(1)));
     /// ```
@@ -260,15 +263,15 @@
     ) -> ExtraPrefill {
         let per_block = self.config.prefill_per_block;
         if prompt.is_empty() {
-            return ExtraPrefill { per_block, most: 0.0, covered: Vec::new() };
+            return ExtraPrefill { per_block, max_covered: 0.0, covered: Vec::new() };
         }
         let covered = servers.iter().map(|server| {
             let blocks = self.covered_blocks(*server, prompt, now);
             (*server, blocks)
         });
         let covered: Vec<_> = covered.filter(|(_, blocks)| *blocks > 0.0).collect();
-        let most = covered.iter().map(|(_, blocks)| *blocks).fold(0.0, f64::max);
-        ExtraPrefill { per_block, most, covered }
+        let max_covered = covered.iter().map(|(_, blocks)| *blocks).fold(0.0, f64::max);
+        ExtraPrefill { per_block, max_covered, covered }
     }
 
     /// Whether events of this server are missing.
@@ -277,27 +280,27 @@
         self.servers.get(&server).is_some_and(|cache| cache.gap_since.is_some())
     }
 
-    /// Blocks remembered in all.
+    /// Blocks in the index, over all backend servers.
     #[must_use]
     pub fn block_count(&self) -> usize {
         self.servers.values().map(|cache| cache.blocks.len()).sum()
     }
 }
 
-/// How much longer each server would prefill one prompt than the server that has most of it.
+/// Prefill time of each server for one prompt, relative to the server that has most of it.
 #[derive(Clone, Debug)]
 pub struct ExtraPrefill {
     per_block: Duration,
-    most: f64,
-    /// The servers that have some of the prompt, which are few.
+    max_covered: f64,
+    /// The few servers that have some of the prompt, with the number of blocks covered.
     covered: Vec<(ServerKey, f64)>,
 }
 
 impl ExtraPrefill {
-    /// The extra time of one server.
+    /// Extra prefill time of one server.
     #[must_use]
     pub fn of(&self, server: ServerKey) -> Duration {
-        self.per_block.mul_f64(self.most - self.covered_blocks(server))
+        self.per_block.mul_f64(self.max_covered - self.covered_blocks(server))
     }
 
     /// Whether the server probably has any of the prompt.
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -1,8 +1,8 @@
-//! Whether a request that failed may be sent again.
+//! Decides whether a failed request may be retried.
 //!
-//! Without a budget an outage multiplies the load on what is left by the number of tries, and the
-//! rest goes down too; one would see tries per request climb while goodput falls. The budget is a
-//! token bucket paid by successes, so retries stay a fixed share of what still works.
+//! Without a budget, an outage multiplies the load on the remaining servers by the number of tries
+//! and overloads those too; tries per request climb while goodput falls. The budget is a token
+//! bucket that successes refill, so retries stay a fixed share of the successful requests.
 
 use std::time::Duration;
 
@@ -11,11 +11,11 @@
 /// Settings of a workspace's retry budget.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryConfig {
-    /// Retries that one success pays for.
+    /// Retries added to the budget by one success.
     pub retries_per_success: f64,
-    /// Most retries that can be saved up.
+    /// Capacity of the budget, in retries.
     pub max_retries_saved: f64,
-    /// Shortest remaining deadline worth another try.
+    /// Shortest remaining time to the deadline for which a retry is worthwhile.
     pub min_remaining: Duration,
 }
 
@@ -29,12 +29,12 @@
     }
 }
 
-/// What is known of the last try.
+/// Whether the previous try may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TryOutcome {
-    /// It is proved that it did not run. Safe for every kind of request.
+    /// It provably did not run, so a retry is safe for every kind of request.
     NotRun,
-    /// Nobody can know whether it ran.
+    /// It is impossible to know whether it ran.
     Unknown,
 }
 
@@ -43,27 +43,27 @@
 pub struct RetryRequest {
     /// Running it twice does no harm.
     pub idempotent: bool,
-    /// What is known of the last try.
+    /// Outcome of the previous try.
     pub last_outcome: TryOutcome,
-    /// The caller already has a part of the answer.
+    /// The caller already received a part of the answer.
     pub answer_started: bool,
-    /// Time the caller still waits.
+    /// Time left until the caller's deadline.
     pub remaining: Duration,
 }
 
-/// Why a request is not sent again.
+/// Why a request is not retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum RetryRefusal {
-    /// It may have run, and running it twice would do harm.
+    /// It may have run and is not idempotent.
     #[error("the request may have run and is not idempotent")]
     NotIdempotent,
-    /// The caller holds a part of another answer.
+    /// The caller already received a part of the answer, which another run could contradict.
     #[error("part of the answer was delivered")]
     AnswerStarted,
-    /// The caller's deadline is too near.
+    /// Less than [`RetryConfig::min_remaining`] is left until the deadline.
     #[error("too little time remains")]
     TooLate,
-    /// Failures outnumber what successes paid for.
+    /// The budget holds less than one retry.
     #[error("the retry budget is spent")]
     BudgetSpent,
 }
@@ -90,23 +90,23 @@
 }
 
 impl RetryBudget {
-    /// A full budget, so that the first failures after a start can be retried.
+    /// Starts with a full budget, so that the first failures after a start can be retried.
     #[must_use]
     pub fn new(config: RetryConfig) -> Self {
         Self { config, saved: config.max_retries_saved }
     }
 
-    /// Pays for a part of a later retry.
+    /// Refills the budget by [`RetryConfig::retries_per_success`].
     pub fn on_success(&mut self) {
         self.saved =
             (self.saved + self.config.retries_per_success).min(self.config.max_retries_saved);
     }
 
-    /// Takes one retry from the budget, if the request may be sent again at all.
+    /// Takes one retry from the budget if the request may be retried.
     ///
     /// # Errors
     ///
-    /// When sending it again would be unsafe, too late, or is not paid for.
+    /// When a retry would be unsafe or too late, or the budget is exhausted.
     pub fn try_retry(&mut self, request: &RetryRequest) -> Result<(), RetryRefusal> {
         may_retry(&self.config, request)?;
         if self.saved < 1.0 {
@@ -116,7 +116,7 @@
         Ok(())
     }
 
-    /// Retries that are paid for now.
+    /// Retries currently in the budget.
     #[must_use]
     pub fn saved(&self) -> f64 {
         self.saved
--- a/crates/policy/src/subset.rs
+++ b/crates/policy/src/subset.rs
@@ -1,28 +1,28 @@
-//! Which entries stand before which backend servers, and which entries a workspace uses.
+//! Assignment of entries to backend servers, and of entries to workspaces.
 //!
-//! The backend servers of a scope are cut into cells of about 64, each behind about 8 entries. The
-//! cut is a binary trie over hashed keys: a cell that grows past its bound splits in two, so a join
-//! or leave moves nothing but itself, save when a bound is crossed. Entries are given to cells by
-//! weighted rendezvous hashing with a bound on cells per entry. Everything is a pure function of
-//! the membership, so processes agree without talking; views that differ for a while cost only
-//! efficiency, for every entry serves every workspace.
+//! The backend servers of a scope are partitioned into cells of about 64, each served by about 8
+//! entries. The partition is a binary trie over hashed keys: a cell that grows past its limit
+//! splits in two, so a server that joins or leaves moves no other server unless a limit is crossed.
+//! Entries are assigned to cells by weighted rendezvous hashing with a limit on cells per entry.
+//! Everything is a pure function of the membership, so processes agree without communication. Views
+//! that differ temporarily only cost efficiency, since every entry serves every workspace.
 
 use std::collections::{BTreeMap, HashMap};
 
 use crate::key::{DataCentreKey, EntryKey, RegionKey, ScopeKey, ServerKey, WorkspaceKey, mix};
 
-/// An entry as the subset choice sees it.
+/// An entry as input to the assignment.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EntryInfo {
-    /// The entry.
+    /// Key of the entry's name.
     pub key: EntryKey,
-    /// Its data centre.
+    /// Data centre that the entry runs in.
     pub data_centre: DataCentreKey,
-    /// The region of that.
+    /// Region of the data centre.
     pub region: RegionKey,
-    /// Share of work relative to other entries; not above zero means none.
+    /// Share of work relative to other entries; an entry at or below zero gets none.
     pub weight: f64,
-    /// It is leaving and must not appear in any answer.
+    /// The entry is shutting down and must not be assigned.
     pub leaving: bool,
 }
 
@@ -32,25 +32,26 @@
     }
 }
 
-/// Bounds of a cell and of a workspace's subset.
+/// Limits of a cell and of a workspace's subset.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SubsetConfig {
-    /// A cell with more servers is split.
+    /// Most backend servers of a cell; a larger cell is split.
     pub max_servers: usize,
-    /// Backend servers per entry that a cell aims at.
+    /// Target number of backend servers per entry in a cell.
     pub servers_per_entry: usize,
-    /// Fewest entries before a cell, as far as there are that many.
+    /// Fewest entries of a cell, if the fleet has that many.
     pub min_entries: usize,
-    /// Most entries before a cell.
+    /// Most entries of a cell, except where all entries are assigned.
     pub max_entries: usize,
-    /// Requests a second that one more entry in a workspace's subset is worth.
+    /// Request rate of a workspace for which its subset gets one entry.
     pub rate_per_entry_per_s: f64,
     /// Fewest entries of a workspace's subset.
     pub min_subset: usize,
 }
 
 impl SubsetConfig {
-    /// Whether a fleet of this many entries, of which so many are usable, stands before all cells.
+    /// Whether all entries are assigned to every cell, for a fleet of `fleet` entries of which
+    /// `usable` can get work.
     #[must_use]
     pub fn uses_all_entries(&self, usable: usize, fleet: usize) -> bool {
         usable <= self.max_entries && fleet <= 2 * self.max_entries
@@ -70,20 +71,20 @@
     }
 }
 
-/// Backend servers and the entries before them.
+/// A group of backend servers and the entries that serve them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Cell {
-    /// Hash of the scope and the cell's place in the trie.
+    /// Hash of the scope and the cell's path in the trie.
     pub id: u64,
-    /// Its backend servers, sorted.
+    /// Backend servers of the cell, sorted.
     pub servers: Vec<ServerKey>,
-    /// Only entries of this region stand before it, if there are any.
+    /// Only entries of this region are assigned, if there are any.
     pub region: Option<RegionKey>,
-    /// Its entries, in the order of its slots.
+    /// Assigned entries, in the order of the cell's slots.
     pub entries: Vec<EntryKey>,
 }
 
-/// The cells of all scopes.
+/// The cells of all scopes, with their entries.
 ///
 /// ```
 /// use flamingowheel_policy::key::{
@@ -111,13 +112,13 @@
 pub struct Cells {
     config: SubsetConfig,
     entries: BTreeMap<EntryKey, EntryInfo>,
-    /// Entries of the fleet, those that get no work included.
+    /// Number of entries in the fleet, including those that get no work.
     fleet: usize,
     scopes: BTreeMap<ScopeKey, Vec<Cell>>,
 }
 
 impl Cells {
-    /// Cuts every scope's backend servers into cells and gives each its entries.
+    /// Partitions every scope's backend servers into cells and assigns entries to each.
     #[must_use]
     pub fn build(
         config: SubsetConfig,
@@ -125,10 +126,11 @@
         entries: &[EntryInfo],
     ) -> Self {
         let anywhere = scopes.iter().map(|(scope, servers)| (*scope, None, servers.as_slice()));
-        Self::cut(config, anywhere, entries)
+        Self::build_cells(config, anywhere, entries)
     }
 
-    /// The same for scopes that each lie within a region, so that links between regions are rare.
+    /// Like [`Cells::build`] for scopes that each lie in one region, so that links between regions
+    /// are rare.
     #[must_use]
     pub fn build_within(
         config: SubsetConfig,
@@ -138,10 +140,10 @@
         let within = scopes
             .iter()
             .map(|(scope, region, servers)| (*scope, Some(*region), servers.as_slice()));
-        Self::cut(config, within, entries)
+        Self::build_cells(config, within, entries)
     }
 
-    fn cut<'a, I>(config: SubsetConfig, scopes: I, entries: &[EntryInfo]) -> Self
+    fn build_cells<'a, I>(config: SubsetConfig, scopes: I, entries: &[EntryInfo]) -> Self
     where
         I: Iterator<Item = (ScopeKey, Option<RegionKey>, &'a [ServerKey])>,
     {
@@ -149,13 +151,13 @@
         let usable = entries.iter().filter(|entry| entry.is_usable());
         let entries: BTreeMap<EntryKey, EntryInfo> =
             usable.map(|entry| (entry.key, *entry)).collect();
-        let mut cut: BTreeMap<ScopeKey, Vec<Cell>> = BTreeMap::new();
+        let mut cells_by_scope: BTreeMap<ScopeKey, Vec<Cell>> = BTreeMap::new();
         for (scope, region, servers) in scopes {
-            let mut cells = cut_scope(&config, scope, servers);
+            let mut cells = split_scope(&config, scope, servers);
             cells.iter_mut().for_each(|cell| cell.region = region);
-            cut.insert(scope, cells);
+            cells_by_scope.insert(scope, cells);
         }
-        let mut cells = Self { config, entries, fleet, scopes: cut };
+        let mut cells = Self { config, entries, fleet, scopes: cells_by_scope };
         cells.assign_entries();
         cells
     }
@@ -165,7 +167,7 @@
         self.scopes.values().flatten()
     }
 
-    /// The cells that an entry stands before; empty for one that is leaving.
+    /// The cells that an entry serves; empty for one that is leaving.
     pub fn cells_of(&self, entry: EntryKey) -> impl Iterator<Item = &Cell> {
         self.iter().filter(move |cell| cell.entries.contains(&entry))
     }
@@ -176,7 +178,7 @@
         self.scopes.get(&scope)?.iter().find(|cell| cell.servers.binary_search(&server).is_ok())
     }
 
-    /// The cells a workspace's requests to a scope are routed over, the preferred one first.
+    /// The cells that serve a workspace's requests to a scope, the preferred one first.
     #[must_use]
     pub fn cells_for(
         &self,
@@ -191,7 +193,7 @@
         ranked
     }
 
-    /// The entries that make up a workspace's subset, whatever the caller's data centre.
+    /// The entries of a workspace's subset, independent of the caller's data centre.
     #[must_use]
     pub fn subset(
         &self,
@@ -216,8 +218,9 @@
         subset
     }
 
-    /// The answer to the address question: the subset, own data centre first, and last an address
-    /// in another data centre for the case that the own one is gone.
+    /// The entries whose addresses a caller in data centre `own` gets: the subset, entries of that
+    /// data centre first, and an entry of another data centre last, if there is one, in case the
+    /// whole data centre fails.
     #[must_use]
     pub fn entries_for(
         &self,
@@ -226,27 +229,27 @@
         rate_per_s: f64,
         own: DataCentreKey,
     ) -> Vec<EntryKey> {
-        let mut answer = self.subset(workspace, scopes, rate_per_s);
+        let mut entries = self.subset(workspace, scopes, rate_per_s);
         let at = self.entries.values().find(|entry| entry.data_centre == own);
         let region = at.map(|entry| entry.region);
-        answer.sort_by_key(|entry| {
+        entries.sort_by_key(|entry| {
             let entry = &self.entries[entry];
             (entry.data_centre != own, Some(entry.region) != region)
         });
         let is_elsewhere = |entry: &EntryKey| self.entries[entry].data_centre != own;
-        if answer.iter().any(is_elsewhere) {
-            return answer;
+        if entries.iter().any(is_elsewhere) {
+            return entries;
         }
         let mut elsewhere: Vec<EntryKey> =
             self.entries.keys().copied().filter(is_elsewhere).collect();
         self.rank(workspace.0, &mut elsewhere);
-        answer.extend(elsewhere.first());
-        answer
+        entries.extend(elsewhere.first());
+        entries
     }
 
-    /// The entries of a workspace's cells, ranked by the slots that they fill, so that an entry
-    /// which takes another one's slot takes its workspaces too and no others. Where every entry is
-    /// in, none takes another one's place, and the entries themselves are ranked.
+    /// The entries of a workspace's cells, ranked by their slots, so that an entry that replaces
+    /// another one in a slot gets exactly its workspaces. Where all entries are assigned, none
+    /// replaces another, and the entries themselves are ranked.
     fn members(&self, workspace: WorkspaceKey, scope: ScopeKey, rate_per_s: f64) -> Vec<EntryKey> {
         let cells = self.cells_for(workspace, scope, rate_per_s);
         let slots = cells.iter().flat_map(|cell| {
@@ -282,17 +285,17 @@
         let mut scopes = std::mem::take(&mut self.scopes);
         let wanted: usize = scopes.values().flatten().map(|cell| self.wanted_entries(cell)).sum();
         let mean = wanted.div_ceil(self.entries.len().max(1));
-        let mut room: HashMap<EntryKey, usize> =
-            self.entries.keys().map(|entry| (*entry, mean + CELLS_ABOVE_MEAN)).collect();
+        let mut capacity: HashMap<EntryKey, usize> =
+            self.entries.keys().map(|entry| (*entry, mean + MAX_CELLS_ABOVE_MEAN)).collect();
         for cell in scopes.values_mut().flatten() {
-            cell.entries = self.choose_entries(cell, &mut room);
+            cell.entries = self.choose_entries(cell, &mut capacity);
         }
         self.scopes = scopes;
     }
 
-    /// A small fleet has nothing to choose: each cell is before all entries. While a small fleet
-    /// is replaced it counts twice; an entry that is cut off from a large one must not take all
-    /// backend servers for its own.
+    /// Whether the fleet is so small that every entry serves every cell. The limit on the fleet's
+    /// size is twice that on usable entries, since a small fleet that is being replaced counts
+    /// twice. An entry that is partitioned from a large fleet must not serve all backend servers.
     #[must_use]
     pub fn uses_all_entries(&self) -> bool {
         self.config.uses_all_entries(self.entries.len(), self.fleet)
@@ -306,10 +309,14 @@
         by_size.clamp(self.config.min_entries, self.config.max_entries)
     }
 
-    /// Fills the cell's slots one by one, each by a ranking of its own, evenly over data centres and
-    /// none beyond its room. With one ranking for all slots, an entry that leaves would shift the
-    /// slots behind it, and with them the workspaces that use those.
-    fn choose_entries(&self, cell: &Cell, room: &mut HashMap<EntryKey, usize>) -> Vec<EntryKey> {
+    /// Fills the cell's slots one by one, each by its own ranking, evenly over data centres and
+    /// within each entry's capacity. With one ranking for all slots, an entry that leaves would
+    /// shift all later slots, and with them the workspaces that use those.
+    fn choose_entries(
+        &self,
+        cell: &Cell,
+        capacity: &mut HashMap<EntryKey, usize>,
+    ) -> Vec<EntryKey> {
         let wanted = self.wanted_entries(cell);
         let is_local = |entry: &EntryInfo| cell.region.is_none_or(|region| entry.region == region);
         let has_local = self.entries.values().any(is_local);
@@ -322,16 +329,17 @@
                 is_near(entry)
                     && !chosen.contains(&entry.key)
                     && quota[&entry.data_centre] > 0
-                    && room[&entry.key] > 0
+                    && capacity[&entry.key] > 0
             };
-            // A small data centre can't fill its share: then others do, and room yields to
-            // redundancy. So does the region.
-            let is_left = |entry: &EntryInfo| !chosen.contains(&entry.key);
+            // If a small data centre can't fill its share, others do. Redundancy takes precedence
+            // over the entries' capacity, and over staying within the region.
+            let is_unchosen = |entry: &EntryInfo| !chosen.contains(&entry.key);
             let best = self.best(seed, is_open);
-            let best = best.or_else(|| self.best(seed, |entry| is_near(entry) && is_left(entry)));
-            let Some(best) = best.or_else(|| self.best(seed, is_left)) else { break };
+            let best =
+                best.or_else(|| self.best(seed, |entry| is_near(entry) && is_unchosen(entry)));
+            let Some(best) = best.or_else(|| self.best(seed, is_unchosen)) else { break };
             quota.entry(best.data_centre).and_modify(|left| *left = left.saturating_sub(1));
-            room.entry(best.key).and_modify(|left| *left = left.saturating_sub(1));
+            capacity.entry(best.key).and_modify(|left| *left = left.saturating_sub(1));
             chosen.push(best.key);
         }
         chosen
@@ -366,15 +374,15 @@
     -weight / unit(mix(seed, key)).ln()
 }
 
-/// How many cells above the mean an entry may stand before.
-const CELLS_ABOVE_MEAN: usize = 2;
+/// How many more cells than the mean an entry may serve.
+const MAX_CELLS_ABOVE_MEAN: usize = 2;
 
 /// Maps a hash to the open interval from 0 to 1.
 fn unit(hash: u64) -> f64 {
     ((hash >> 11) as f64 + 0.5) / (1u64 << 53) as f64
 }
 
-fn cut_scope(config: &SubsetConfig, scope: ScopeKey, servers: &[ServerKey]) -> Vec<Cell> {
+fn split_scope(config: &SubsetConfig, scope: ScopeKey, servers: &[ServerKey]) -> Vec<Cell> {
     let mut hashed: Vec<(u64, ServerKey)> =
         servers.iter().map(|server| (mix(scope.0, server.0), *server)).collect();
     hashed.sort_unstable();
@@ -384,7 +392,8 @@
     cells
 }
 
-/// Cuts the sorted hashes that share their first `depth` bits; `path` is those bits behind a one.
+/// Splits the sorted hashes that share their first `depth` bits into cells. `path` consists of
+/// these bits after a leading one.
 fn split(
     max_servers: usize,
     scope: ScopeKey,
@@ -408,7 +417,7 @@
     split(max_servers, scope, &hashed[middle..], depth + 1, path << 1 | 1, cells);
 }
 
-/// The lower half of a split keeps the id of the whole, so that only the upper half moves.
+/// The lower half of a split keeps the id of the split cell, so that only the upper half moves.
 fn cell_id(scope: ScopeKey, path: u64) -> u64 {
     mix(scope.0, path >> path.trailing_zeros())
 }
--- a/crates/policy/src/topology.rs
+++ b/crates/policy/src/topology.rs
@@ -1,55 +1,55 @@
-//! Who watches whom, computed by every process alone from its table.
+//! Which entries poll which others. Every process computes it from its own member table.
 //!
-//! The entries of a data centre stand in an order by the hash of their names. The first
-//! [`WATCHERS`] watch the key-value service. Everyone else polls two parents further up, so that
-//! one of them may fail. The watchers of a data centre poll those of every other, for news of
-//! members. Where two processes' tables differ, a few links are missing or too many for a while;
-//! nothing else depends on the order.
+//! The entries of a data centre are ordered by the hash of their names. The first [`WATCHERS`]
+//! watch the key-value service. Every other entry polls two parents earlier in the order, so that
+//! one of them may fail. The watchers of a data centre poll those of every other data centre for
+//! membership changes. While the tables of two processes differ, a few links are missing or
+//! redundant; nothing else depends on the order.
 
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Entries of a data centre that watch the key-value service.
 pub const WATCHERS: usize = 2;
-/// Children of one parent, for each of its two ranks as parent.
+/// Children of each entry as a first parent, and again as a second parent.
 pub const FANOUT: usize = 4;
 
-/// Entries that follow the key-value service for the whole fleet, where each call to it is paid for:
-/// one may be cut off and another stand still.
+/// Entries that watch the key-value service for the whole fleet, where each call to it is charged:
+/// one may be partitioned and another one stopped.
 pub const FOLLOWERS: usize = 3;
 
-/// One entry as the topology sees it.
+/// Name and data centre of one entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EntryRef<'a> {
-    /// Its data centre.
+    /// Name of its data centre.
     pub data_centre: &'a str,
-    /// Its name.
+    /// Name of the entry; its hash determines the order.
     pub name: &'a str,
 }
 
-/// The order of all entries, by data centre.
+/// All entries in polling order, by data centre.
 #[derive(Clone, Debug, Default)]
 pub struct Topology<'a> {
     orders: BTreeMap<&'a str, Vec<&'a str>>,
 }
 
 impl<'a> Topology<'a> {
-    /// Orders the entries.
+    /// Orders the entries by the hash of their names; duplicates are ignored.
     ///
     /// ```
     /// use flamingowheel_policy::topology::{EntryRef, Topology};
     /// let names: Vec<String> = (0..9).map(|number| format!("e{number}")).collect();
-    /// let places = names.iter().map(|name| EntryRef { data_centre: "macon-1", name });
-    /// let topology = Topology::new(places);
+    /// let entries = names.iter().map(|name| EntryRef { data_centre: "macon-1", name });
+    /// let topology = Topology::new(entries);
     /// assert_eq!(names.iter().filter(|name| topology.is_watcher("macon-1", name)).count(), 2);
     /// ```
-    pub fn new<I>(places: I) -> Self
+    pub fn new<I>(entries: I) -> Self
     where
         I: IntoIterator<Item = EntryRef<'a>>,
     {
         let mut orders: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
-        for place in places {
-            orders.entry(place.data_centre).or_default().push(place.name);
+        for entry in entries {
+            orders.entry(entry.data_centre).or_default().push(entry.name);
         }
         for order in orders.values_mut() {
             order.sort_by_key(|name| (xxh3_64(name.as_bytes()), *name));
@@ -65,50 +65,55 @@
 
     /// Whether this entry reads the VM list: the watchers of one data centre do so for the fleet.
     pub fn reads_vm_list(&self, data_centre: &str, name: &str) -> bool {
-        let first = self.orders.keys().min_by_key(|own| (xxh3_64(own.as_bytes()), **own));
+        let first = self.orders.keys().min_by_key(|centre| (xxh3_64(centre.as_bytes()), **centre));
         first == Some(&data_centre) && self.is_watcher(data_centre, name)
     }
 
-    /// The entries that this one polls.
+    /// The entries that this one polls. An entry not in the table polls its data centre's watchers.
     pub fn poll_targets(&self, data_centre: &str, name: &str) -> Vec<&'a str> {
         let order = self.order(data_centre);
-        let Some(rank) = order.iter().position(|other| *other == name) else {
+        let Some(position) = order.iter().position(|other| *other == name) else {
             return self.watchers(data_centre).to_vec();
         };
-        let mut polled: Vec<&str> =
-            parents(rank, order.len()).filter_map(|parent| order.get(parent).copied()).collect();
-        if rank < WATCHERS {
-            polled.extend(self.remote_watchers(data_centre, rank));
+        let mut polled: Vec<&str> = parents(position, order.len())
+            .filter_map(|parent| order.get(parent).copied())
+            .collect();
+        if position < WATCHERS {
+            polled.extend(self.remote_watchers(data_centre, position));
         }
         polled
     }
 
-    /// The watcher of the same rank in every other data centre, or its only one.
-    fn remote_watchers(&self, data_centre: &str, rank: usize) -> impl Iterator<Item = &'a str> {
+    /// The watcher at the same position in every other data centre, or its only one.
+    fn remote_watchers(&self, data_centre: &str, position: usize) -> impl Iterator<Item = &'a str> {
         let others = self.orders.iter().filter(move |(other, _)| **other != data_centre);
-        others.filter_map(move |(_, order)| order.get(rank).or(order.first()).copied())
+        others.filter_map(move |(_, order)| order.get(position).or(order.first()).copied())
     }
 
-    /// The entries that poll this one, all of which it watches in turn.
+    /// The entries that poll this one. It monitors all of them in turn.
     pub fn pollers(&self, data_centre: &str, name: &str) -> Vec<&'a str> {
         let order = self.order(data_centre);
-        let Some(rank) = order.iter().position(|other| *other == name) else { return Vec::new() };
+        let Some(position) = order.iter().position(|other| *other == name) else {
+            return Vec::new();
+        };
         let children = order.iter().enumerate();
-        let own = children.filter(|(child, _)| parents(*child, order.len()).any(|p| p == rank));
-        let mut pollers: Vec<&str> = own.map(|(_, child)| *child).collect();
-        if rank < WATCHERS {
-            pollers.extend(self.remote_watchers(data_centre, rank));
+        let own_children =
+            children.filter(|(child, _)| parents(*child, order.len()).any(|p| p == position));
+        let mut pollers: Vec<&str> = own_children.map(|(_, child)| *child).collect();
+        if position < WATCHERS {
+            pollers.extend(self.remote_watchers(data_centre, position));
         }
         pollers
     }
 
-    /// The entries that follow the key-value service for all others: the first of as many data
-    /// centres, and further ones of each where there are few data centres.
+    /// The [`FOLLOWERS`] entries that watch the key-value service for all others: the first entry
+    /// of each data centre in hash order, and further entries of each if there are too few data
+    /// centres.
     ///
     /// ```
     /// use flamingowheel_policy::topology::{EntryRef, Topology};
-    /// let place = |data_centre, name| EntryRef { data_centre, name };
-    /// let topology = Topology::new([place("a", "x"), place("a", "y"), place("b", "z")]);
+    /// let entry = |data_centre, name| EntryRef { data_centre, name };
+    /// let topology = Topology::new([entry("a", "x"), entry("a", "y"), entry("b", "z")]);
     /// assert_eq!(topology.followers().len(), 3);
     /// ```
     pub fn followers(&self) -> Vec<&'a str> {
@@ -116,19 +121,19 @@
             self.orders.iter().map(|(centre, order)| (*centre, order)).collect();
         centres.sort_by_key(|(centre, _)| (xxh3_64(centre.as_bytes()), *centre));
         let longest = centres.iter().map(|(_, order)| order.len()).max().unwrap_or(0);
-        let by_rank = (0..longest)
-            .flat_map(|rank| centres.iter().filter_map(move |(_, order)| order.get(rank)));
-        by_rank.take(FOLLOWERS).copied().collect()
+        let by_position = (0..longest)
+            .flat_map(|position| centres.iter().filter_map(move |(_, order)| order.get(position)));
+        by_position.take(FOLLOWERS).copied().collect()
     }
 
-    /// The entries from which one learns what the service says, the nearest first: the first of its data
-    /// centre, so that most bytes stay there, and all followers.
+    /// The entries from which this one receives the service's contents, nearest first: the first
+    /// entry of its data centre, so that most traffic stays there, and all followers.
     pub fn sources(&self, data_centre: &str, name: &str) -> Vec<&'a str> {
         let followers = self.followers();
-        // Followers only watch over each other.
-        let head = self.order(data_centre).first().filter(|_| !followers.contains(&name));
+        // Followers use only each other as sources.
+        let nearest = self.order(data_centre).first().filter(|_| !followers.contains(&name));
         let mut sources: Vec<&str> = Vec::new();
-        for source in head.into_iter().chain(&followers) {
+        for source in nearest.into_iter().chain(&followers) {
             if *source != name && !sources.contains(source) {
                 sources.push(source);
             }
@@ -146,17 +151,19 @@
     }
 }
 
-/// Ranks of the parents of a rank. The watchers are each other's parent.
-fn parents(rank: usize, count: usize) -> impl Iterator<Item = usize> {
-    let (first, second) = match rank {
+/// Positions of the parents of a position. The two watchers are each other's parent.
+fn parents(position: usize, count: usize) -> impl Iterator<Item = usize> {
+    let (first, second) = match position {
         0 => (1, None),
         1 => (0, None),
         _ => {
-            let first = (rank - WATCHERS) / FANOUT;
+            let first = (position - WATCHERS) / FANOUT;
             (first, Some(first + 1))
         }
     };
-    std::iter::once(first).chain(second).filter(move |parent| *parent != rank && *parent < count)
+    std::iter::once(first)
+        .chain(second)
+        .filter(move |parent| *parent != position && *parent < count)
 }
 
 #[cfg(test)]
@@ -167,10 +174,10 @@
     fn poll_targets_bounded_and_connected() {
         let names: Vec<String> = (0..380).map(|number| format!("entry-{number}")).collect();
         let centres: Vec<String> = (0..5).map(|number| format!("dc-{number}")).collect();
-        let place = |at: usize| EntryRef { data_centre: &centres[at % 5], name: &names[at] };
-        let topology = Topology::new((0..380).map(place));
+        let entry = |at: usize| EntryRef { data_centre: &centres[at % 5], name: &names[at] };
+        let topology = Topology::new((0..380).map(entry));
         for at in 0..380 {
-            let EntryRef { data_centre, name } = place(at);
+            let EntryRef { data_centre, name } = entry(at);
             let links = topology.poll_targets(data_centre, name).len()
                 + topology.pollers(data_centre, name).len();
             assert!(links <= 2 + 2 * FANOUT + 2 * 4, "{links}");
@@ -179,27 +186,27 @@
     }
 
     #[test]
-    fn parents_lead_up_to_the_watchers() {
-        for rank in WATCHERS..100 {
-            assert!(parents(rank, 100).all(|parent| parent < rank), "{rank}");
-            assert_eq!(parents(rank, 100).count(), 2, "{rank}");
+    fn parents_precede_their_children() {
+        for position in WATCHERS..100 {
+            assert!(parents(position, 100).all(|parent| parent < position), "{position}");
+            assert_eq!(parents(position, 100).count(), 2, "{position}");
         }
     }
 
-    /// All entries learn from three, which must not stand in one data centre.
+    /// All entries depend on the followers, so these must be spread over data centres.
     #[test]
     fn followers_in_several_data_centres() {
         let names: Vec<String> = (0..149).map(|number| format!("entry-{number}")).collect();
         let centres: Vec<String> = (0..5).map(|number| format!("dc-{number}")).collect();
-        let place = |at: usize| EntryRef { data_centre: &centres[at % 5], name: &names[at] };
-        let topology = Topology::new((0..149).map(place));
+        let entry = |at: usize| EntryRef { data_centre: &centres[at % 5], name: &names[at] };
+        let topology = Topology::new((0..149).map(entry));
         let followers = topology.followers();
         let data_centre = |name: &&str| names.iter().position(|n| n == name).unwrap() % 5;
         let distinct: std::collections::HashSet<usize> =
             followers.iter().map(data_centre).collect();
         assert_eq!((followers.len(), distinct.len()), (FOLLOWERS, FOLLOWERS));
         for at in 0..149 {
-            let EntryRef { data_centre, name } = place(at);
+            let EntryRef { data_centre, name } = entry(at);
             let sources = topology.sources(data_centre, name);
             assert!(sources.len() >= 2 && !sources.contains(&name));
         }
@@ -208,10 +215,10 @@
     #[test]
     fn watchers_change_little() {
         let names: Vec<String> = (0..20).map(|number| format!("e{number}")).collect();
-        let place = |name| EntryRef { data_centre: "a", name };
-        let all = Topology::new(names.iter().map(|name| place(name)));
+        let entry = |name| EntryRef { data_centre: "a", name };
+        let all = Topology::new(names.iter().map(|name| entry(name)));
         for gone in &names {
-            let rest = Topology::new(names.iter().filter(|n| *n != gone).map(|name| place(name)));
+            let rest = Topology::new(names.iter().filter(|n| *n != gone).map(|name| entry(name)));
             let kept = names.iter().filter(|n| *n != gone && all.is_watcher("a", n));
             assert!(kept.clone().all(|n| rest.is_watcher("a", n)), "{gone}");
         }
