--- a/crates/fleet/src/configuration.rs
+++ b/crates/fleet/src/configuration.rs
@@ -57,7 +57,7 @@
     /// The services that serve it, by weight.
     pub splits: Vec<Split>,
     /// What may be repeated.
-    pub repeat: Repeat,
+    pub retry_policy: RetryPolicy,
     /// Whether answers are event streams.
     pub is_stream: bool,
     /// Longest time to an answer's end, in milliseconds; 0 sets no limit.
@@ -85,7 +85,7 @@
 
 /// What may be sent to a backend server once more after it may have run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Repeat {
+pub enum RetryPolicy {
     /// Nothing: at most one run.
     #[default]
     Never,
@@ -118,19 +118,19 @@
     /// Added to a step by each request that is generating, in milliseconds.
     pub per_sequence_ms: f64,
     /// Added to a step by 1,000 tokens of context, in milliseconds.
-    pub per_context_k_ms: f64,
+    pub per_1k_context_ms: f64,
     /// Prompt tokens read in a millisecond.
     pub prefill_tokens_per_ms: f64,
     /// Added to reading by a million pairs of tokens, in milliseconds.
-    pub per_pair_m_ms: f64,
+    pub per_million_pairs_ms: f64,
     /// Most prompt tokens read in one step.
     pub chunk_tokens: u32,
     /// Steps in a pass; an event of a stream holds as many tokens.
     pub steps_per_pass: u32,
     /// Mean tokens of a prompt.
-    pub usual_prompt_tokens: f64,
+    pub mean_prompt_tokens: f64,
     /// Mean tokens of an answer.
-    pub usual_answer_tokens: f64,
+    pub mean_answer_tokens: f64,
     /// Sets of layers that share one placement of experts.
     pub expert_sets: usize,
     /// Experts in each set.
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -9,7 +9,9 @@
 pub mod server;
 pub mod settings;
 
-pub use configuration::{Configuration, EngineParameters, Limits, Repeat, Route, Service, Split};
+pub use configuration::{
+    Configuration, EngineParameters, Limits, RetryPolicy, Route, Service, Split,
+};
 pub use engine::{EngineReport, ExpertCounts, ExpertMap, GroupMembership, GroupState, MapOrder};
 pub use server::{BackendServer, ServerId};
 pub use settings::ProcessSettings;
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -4,7 +4,7 @@
 use crate::relay::AnswerBody;
 use crate::server::Server;
 use bytes::Bytes;
-use flamingowheel_fleet::configuration::{Repeat, Route, Workspace};
+use flamingowheel_fleet::configuration::{RetryPolicy, Route, Workspace};
 use flamingowheel_platform::headers::{self, ForwardHead, RequestHead};
 use http::{HeaderMap, Method, Request, Response, Uri};
 use http_body_util::Full;
@@ -57,9 +57,9 @@
 impl Exchange {
     /// The word for metrics.
     pub fn kind(&self) -> &'static str {
-        match (self.route.is_stream, self.route.repeat) {
+        match (self.route.is_stream, self.route.retry_policy) {
             (true, _) => "stream",
-            (false, Repeat::Never) => "once",
+            (false, RetryPolicy::Never) => "once",
             (false, _) => "idempotent",
         }
     }
@@ -91,7 +91,7 @@
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
         let mut headers = self.headers.clone();
-        headers::forward(&mut headers, &head);
+        headers::rewrite_for_backend(&mut headers, &head);
         *request.headers_mut() = headers;
         request
     }
@@ -129,7 +129,7 @@
 
     /// Whether the request may run once more.
     pub fn can_repeat(&self, exchange: &Exchange) -> bool {
-        exchange.route.repeat != Repeat::Never && self.runs < exchange.route.max_attempts
+        exchange.route.retry_policy != RetryPolicy::Never && self.runs < exchange.route.max_attempts
     }
 
     /// The final answer when no further send is possible.
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -13,7 +13,7 @@
 use crate::silence::Watcher;
 use crate::view::{View, Views};
 use bytes::Bytes;
-use flamingowheel_fleet::configuration::{Repeat, Route};
+use flamingowheel_fleet::configuration::{RetryPolicy, Route};
 use flamingowheel_platform::headers::{self, AnswerHead, RequestHead};
 use flamingowheel_policy::passes;
 use http::{Request, Response, StatusCode};
@@ -110,7 +110,7 @@
         arrived: Instant,
     ) -> Result<Exchange, (Refusal, RequestHead)> {
         let (parts, body) = request.into_parts();
-        let head = headers::request(&parts.headers);
+        let head = headers::parse_request(&parts.headers);
         let view = self.view();
         let Some(configuration) = &view.configuration else {
             let refusal = Refusal::no_configuration(self.started_at.elapsed(), rand::random());
@@ -268,7 +268,7 @@
         let mut in_flight = server.begin(group);
         let sent_at = Instant::now();
         let sending = self.send_on_connection(exchange, server, last_event_id);
-        let can_resume = exchange.route.repeat == Repeat::Resume;
+        let can_resume = exchange.route.retry_policy == RetryPolicy::Resume;
         let watcher = self.watcher(Arc::clone(server), group.cloned());
         let result = tokio::select! {
             result = timeout_at(exchange.deadline, sending) => {
@@ -280,7 +280,7 @@
             Ok((response, connection)) => {
                 in_flight.note_answered(Instant::now());
                 let id = &exchange.head.attempt_id;
-                let answer = headers::answer(response.headers(), response.status(), id);
+                let answer = headers::parse_answer(response.headers(), response.status(), id);
                 if !answer.is_for_attempt {
                     // An earlier request's second answer; whatever follows on this connection
                     // can't be told apart.
@@ -321,7 +321,7 @@
     ) -> Result<(Response<Incoming>, Connection), SendFailure> {
         // What may run once only goes out on a new connection: on a used one, the server's closing
         // or a late second answer would leave its outcome unknown.
-        let may_reuse = exchange.route.repeat != Repeat::Never;
+        let may_reuse = exchange.route.retry_policy != RetryPolicy::Never;
         let idle = may_reuse.then(|| server.take_idle(Instant::now())).flatten();
         if let Some(mut connection) = idle {
             match connection.send(exchange.outgoing(server, last_event_id)).await {
--- a/crates/gateway/src/info.rs
+++ b/crates/gateway/src/info.rs
@@ -47,7 +47,7 @@
 
 /// Names all live entries, those of the caller's data centre first.
 async fn resolve(State(info): State<Info>, RawQuery(query): RawQuery) -> Response {
-    let question = directory::question(query.as_deref().unwrap_or(""));
+    let question = directory::parse_query(query.as_deref().unwrap_or(""));
     let view = info.views.load();
     let mut entries: Vec<_> = view
         .entries
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -8,7 +8,7 @@
 use crate::forward::{Gateway, SendFailure, keep_connection};
 use crate::server::{InFlight, Server};
 use bytes::Bytes;
-use flamingowheel_fleet::configuration::Repeat;
+use flamingowheel_fleet::configuration::RetryPolicy;
 use futures_util::stream;
 use http_body::Frame;
 use http_body_util::combinators::UnsyncBoxBody;
@@ -120,7 +120,7 @@
     async fn step(&mut self) -> Step {
         let (server, group) = (self.in_flight.server(), self.in_flight.group());
         let watcher = self.gateway.watcher(Arc::clone(server), group.cloned());
-        let can_resume = self.exchange.route.repeat == Repeat::Resume
+        let can_resume = self.exchange.route.retry_policy == RetryPolicy::Resume
             && self.runs < self.exchange.route.max_attempts;
         let last_at = self.last_event_at.unwrap_or_else(Instant::now);
         loop {
@@ -170,7 +170,7 @@
         self.splitter.drop_pending();
         let server = self.in_flight.server();
         server.note_answer(self.exchange.arrived.elapsed(), true);
-        if self.exchange.route.repeat != Repeat::Resume {
+        if self.exchange.route.retry_policy != RetryPolicy::Resume {
             return false;
         }
         let last_event_id = self.splitter.last_id().or(self.exchange.head.last_event_id);
--- a/crates/ranks/src/agent.rs
+++ b/crates/ranks/src/agent.rs
@@ -1,6 +1,6 @@
 //! What this agent does for those that connect to it: coordinators, collectors and entries.
 
-use crate::engine::Latest;
+use crate::engine::RankSnapshot;
 use flamingowheel_protocol::link::Link;
 use flamingowheel_protocol::ranks::{AgentRequest, RankTarget, RankUpdate, Subscription};
 use flamingowheel_protocol::targets::TargetDecoder;
@@ -18,12 +18,12 @@
     /// What is told of the rank and of its group.
     pub updates: broadcast::Sender<RankUpdate>,
     /// What is known of the rank, for whoever connects.
-    pub latest: watch::Receiver<Latest>,
+    pub snapshot: watch::Receiver<RankSnapshot>,
 }
 
 impl Agent {
     /// Serves a coordinator or a collector: sends it this rank's updates and does what it asks for.
-    pub async fn attend(self, mut link: Link<RankUpdate, AgentRequest>) {
+    pub async fn serve(self, mut link: Link<RankUpdate, AgentRequest>) {
         let mut updates = self.updates.subscribe();
         for update in self.first_updates() {
             if link.sender.send(update).await.is_err() {
@@ -75,7 +75,7 @@
 
     /// What whoever connects is told at first.
     fn first_updates(&self) -> Vec<RankUpdate> {
-        let Latest { state, experts } = self.latest.borrow().clone();
+        let RankSnapshot { state, experts } = self.snapshot.borrow().clone();
         let experts =
             experts.map(|(map_version, experts)| RankUpdate::Experts { map_version, experts });
         state.map(RankUpdate::State).into_iter().chain(experts).collect()
--- a/crates/ranks/src/collect.rs
+++ b/crates/ranks/src/collect.rs
@@ -6,7 +6,7 @@
 //! few ranks are missing, which changes the shares of experts little, and no order is late.
 
 use crate::engine::COUNTS_INTERVAL;
-use crate::peers::{AgentLink, Wanted, keep_connected};
+use crate::peers::{AgentLink, Reconnect, keep_connected};
 use flamingowheel_protocol::packed::Packed;
 use flamingowheel_protocol::ranks::{AgentRequest, ExpertCounts, RankUpdate, Subscription};
 use flamingowheel_protocol::websocket::Identity;
@@ -26,7 +26,7 @@
 
 /// Longest wait for the rest of a window's choices after the first of them. Ranks do each pass together, so
 /// that their agents tell of it at nearly the same time.
-pub const REST_LIMIT: Duration = Duration::from_millis(40);
+pub const FLUSH_TIMEOUT: Duration = Duration::from_millis(40);
 
 /// Sums that may wait for the collector.
 const CHOICES_CAPACITY: usize = 64;
@@ -34,11 +34,11 @@
 /// How many agents' counts, of `counts` numbers each, a link of `link_bytes_per_s` carries beside the rest.
 ///
 /// ```
-/// use flamingowheel_ranks::collect::most_direct;
-/// assert!(most_direct(288, 2_500_000) > 12);
-/// assert!(most_direct(3_072, 750_000) < 95);
+/// use flamingowheel_ranks::collect::max_direct_agents;
+/// assert!(max_direct_agents(288, 2_500_000) > 12);
+/// assert!(max_direct_agents(3_072, 750_000) < 95);
 /// ```
-pub fn most_direct(counts: usize, link_bytes_per_s: u64) -> usize {
+pub fn max_direct_agents(counts: usize, link_bytes_per_s: u64) -> usize {
     let each_bytes_per_s = counts.max(1) as f64 * COUNT_BYTES / COUNTS_INTERVAL.as_secs_f64();
     (link_bytes_per_s as f64 * LINK_SHARE / each_bytes_per_s) as usize
 }
@@ -54,14 +54,14 @@
 
 /// One agent's part in an assignment.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Part {
+pub struct AgentAssignment {
     /// What it tells the coordinator.
     pub telling: Subscription,
     /// The agents that it collects from.
     pub members: Arc<Vec<SocketAddr>>,
 }
 
-impl Part {
+impl AgentAssignment {
     /// What has to be asked of the agent, after it was asked for `told`.
     pub fn requests(&self, told: &(Subscription, Arc<Vec<SocketAddr>>)) -> Vec<AgentRequest> {
         let mut requests = Vec::new();
@@ -81,7 +81,7 @@
     /// Deals the agents of a group out, those of each data centre among themselves: bytes between
     /// data centres are paid for. `agents` are those that are heard, by data centre and rank.
     ///
-    /// Up to `most_direct` agents tell the coordinator themselves. Of more, some sum up the choices of up to
+    /// Up to `max_direct_agents` agents tell the coordinator themselves. Of more, some sum up the choices of up to
     /// the root of twice their number, so that these hear about as many as the coordinator.
     ///
     /// ```
@@ -90,13 +90,16 @@
     /// let agents: Vec<_> = (1..96).map(|rank| ("a", rank)).collect();
     /// let address = |rank: usize| std::net::SocketAddr::from(([10, 0, 0, rank as u8], 7_000));
     /// let agents = agents.into_iter().map(|(dc, rank)| (dc.into(), rank, address(rank))).collect();
-    /// let assignment = Assignment::deal(agents, 16);
-    /// assert_eq!(assignment.of(address(1)).telling, Subscription::Sums);
-    /// assert_eq!(assignment.of(address(2)).telling, Subscription::State);
+    /// let assignment = Assignment::distribute(agents, 16);
+    /// assert_eq!(assignment.for_agent(address(1)).telling, Subscription::Sums);
+    /// assert_eq!(assignment.for_agent(address(2)).telling, Subscription::State);
     /// ```
-    pub fn deal(agents: Vec<(Arc<str>, usize, SocketAddr)>, most_direct: usize) -> Self {
+    pub fn distribute(
+        agents: Vec<(Arc<str>, usize, SocketAddr)>,
+        max_direct_agents: usize,
+    ) -> Self {
         let mut assignment = Self::default();
-        if agents.len() <= most_direct {
+        if agents.len() <= max_direct_agents {
             assignment.direct = agents.into_iter().map(|(_, _, agent)| agent).collect();
             return assignment;
         }
@@ -120,17 +123,17 @@
     }
 
     /// The part of one agent.
-    pub fn of(&self, agent: SocketAddr) -> Part {
+    pub fn for_agent(&self, agent: SocketAddr) -> AgentAssignment {
         if let Some(members) = self.collectors.get(&agent) {
-            return Part { telling: Subscription::Sums, members: Arc::clone(members) };
+            return AgentAssignment { telling: Subscription::Sums, members: Arc::clone(members) };
         }
         let telling =
             if self.direct.contains(&agent) { Subscription::Choices } else { Subscription::State };
-        Part { telling, members: Arc::default() }
+        AgentAssignment { telling, members: Arc::default() }
     }
 
     /// Most agents that one agent collects from.
-    pub fn most_members(&self) -> usize {
+    pub fn max_members(&self) -> usize {
         self.collectors.values().map(|members| members.len()).max().unwrap_or(0)
     }
 
@@ -157,7 +160,7 @@
         let (sender, mut told) = mpsc::channel(CHOICES_CAPACITY);
         let mut own = self.updates.subscribe();
         let mut connected: HashMap<SocketAddr, CancellationToken> = HashMap::new();
-        let mut sum = Sum::default();
+        let mut sum = ExpertCountSum::default();
         let mut flush_at = None;
         loop {
             let flush = async {
@@ -194,7 +197,7 @@
                     let _ = self.updates.send(RankUpdate::Sum(choices));
                 }
             } else if sum.ranks > 0 && flush_at.is_none() {
-                flush_at = Some(Instant::now() + REST_LIMIT);
+                flush_at = Some(Instant::now() + FLUSH_TIMEOUT);
             }
         }
     }
@@ -229,34 +232,34 @@
     }
 }
 
-async fn take_choices(mut link: AgentLink, choices: mpsc::Sender<ExpertCounts>) -> Wanted {
+async fn take_choices(mut link: AgentLink, choices: mpsc::Sender<ExpertCounts>) -> Reconnect {
     if link.sender.send(AgentRequest::Tell(Subscription::Choices)).await.is_err() {
-        return Wanted::Yes;
+        return Reconnect::Yes;
     }
     while let Some(update) = link.receiver.recv().await {
         if let RankUpdate::Choices(told) = update
             && choices.send(told).await.is_err()
         {
-            return Wanted::No;
+            return Reconnect::No;
         }
     }
-    Wanted::Yes
+    Reconnect::Yes
 }
 
 /// Choices of several ranks, summed up.
 #[derive(Clone, Debug, Default)]
-pub struct Sum {
+pub struct ExpertCountSum {
     ranks: u16,
     counts: Vec<u32>,
 }
 
-impl Sum {
+impl ExpertCountSum {
     /// Adds what was told. Choices of another shape begin a new sum: the group has formed anew.
     ///
     /// ```
     /// use flamingowheel_protocol::ranks::ExpertCounts;
-    /// use flamingowheel_ranks::collect::Sum;
-    /// let mut sum = Sum::default();
+    /// use flamingowheel_ranks::collect::ExpertCountSum;
+    /// let mut sum = ExpertCountSum::default();
     /// sum.add(&ExpertCounts::pack(&[1, 5]));
     /// sum.add(&ExpertCounts::pack(&[2, 0]));
     /// let taken = sum.take().unwrap();
--- a/crates/ranks/src/coordinator.rs
+++ b/crates/ranks/src/coordinator.rs
@@ -1,13 +1,13 @@
 //! Keeps the expert map of one group even; runs beside rank 0.
 
 use crate::collect::Assignment;
-use crate::far::FarRanks;
 use crate::group::Group;
-use crate::lookup::{Announcer, Found, Lookup};
-use crate::peers::{PeerUpdate, Peers};
+use crate::lookup::{GroupPublisher, Lookup, LookupResult};
+use crate::peers::{PeerConnector, PeerUpdate};
+use crate::remote::RemotePollers;
 use crate::switch::{
-    Arming, Holding, Leftover, Preparing, Released, Releasing, Switch, is_armed, leftover,
-    next_version,
+    Arming, Holding, Preparing, Released, Releasing, Switch, UnfinishedSwitch, find_unfinished,
+    is_armed, next_version,
 };
 use flamingowheel_backing::kv::KeyValue;
 use flamingowheel_fleet::engine::MapOrder;
@@ -62,31 +62,31 @@
     /// Finds the engines of the group.
     pub lookup: Lookup<K>,
     /// Tells entries of the group.
-    pub announcer: Announcer<K>,
+    pub publisher: GroupPublisher<K>,
     /// The rank's own engine.
-    pub own: EngineClient,
+    pub local_engine: EngineClient,
     /// The rank's own engine's address.
-    pub own_engine: SocketAddr,
+    pub local_address: SocketAddr,
     /// What all ranks are to be brought to.
     pub targets: watch::Sender<RankTarget>,
     /// Updates of the rank's own engine.
-    pub own_updates: broadcast::Receiver<RankUpdate>,
+    pub local_updates: broadcast::Receiver<RankUpdate>,
     /// Where the group's status goes.
     pub status: broadcast::Sender<RankUpdate>,
     /// Connections to the other ranks' agents; the group is filled in.
-    pub peers: Peers,
+    pub peers: PeerConnector,
     /// Who tells choices to whom.
     pub assignment: watch::Sender<Arc<Assignment>>,
     /// What the VM's link carries, in bytes a second.
     pub link_bytes_per_s: u64,
     /// Ranks that are seen to from here.
-    pub far: FarRanks,
+    pub remote_pollers: RemotePollers,
     /// Updates of the other ranks.
     pub peer_updates: mpsc::Receiver<PeerUpdate>,
     /// The version planned last.
     pub last_version: u64,
     /// Holds that were asked for and nothing was armed for, by epoch and pass.
-    pub asked_holds: HashSet<(u64, u64)>,
+    pub requested_holds: HashSet<(u64, u64)>,
 }
 
 #[derive(Debug, Default)]
@@ -132,7 +132,7 @@
         loop {
             let is_active = !matches!(phase, Phase::Watching);
             let is_due = tokio::select! {
-                update = self.own_updates.recv() => match update {
+                update = self.local_updates.recv() => match update {
                     Ok(update) => self.take_own(&mut group, update),
                     Err(broadcast::error::RecvError::Lagged(missed)) => {
                         tracing::debug!(missed, "updates of the own engine missed");
@@ -143,7 +143,7 @@
                 Some(told) = self.peer_updates.recv() => {
                     let is_news = matches!(told.update, RankUpdate::State(_));
                     if let Some(group) = &mut group {
-                        group.take(told);
+                        group.apply_update(told);
                     }
                     is_news
                 }
@@ -193,7 +193,11 @@
             }
         }
         if let Some(group) = group {
-            group.take(PeerUpdate { engine: self.own_engine, data_centre: None, update });
+            group.apply_update(PeerUpdate {
+                engine: self.local_address,
+                data_centre: None,
+                update,
+            });
         }
         is_news
     }
@@ -204,7 +208,7 @@
         self.find_ranks(group);
         self.announce(group);
         self.assign(group);
-        self.far.poll(&group.unattended(self.own_engine));
+        self.remote_pollers.poll(&group.engines_without_agent(self.local_address));
         match phase {
             Phase::Watching => self.watch(group),
             phase if has_shifted => self.drop_outdated(phase, group),
@@ -224,33 +228,34 @@
         self.lookup.start(group.parameters.is_none());
     }
 
-    fn take_found(&self, group: &mut Group, found: Found) {
+    fn take_found(&self, group: &mut Group, found: LookupResult) {
         if let Some(parameters) = found.parameters {
             group.parameters = Some(parameters);
         }
-        let peers = Peers { group: group.name.clone(), ..self.peers.clone() };
+        let peers = PeerConnector { group: group.name.clone(), ..self.peers.clone() };
         let stop = group.stop.clone();
-        peers.connect_to(&found.engines, self.own_engine.ip(), &mut group.connected, &stop);
+        peers.connect_to(&found.engines, self.local_address.ip(), &mut group.connected, &stop);
         group.listed = found.engines;
     }
 
     /// Tells entries which engines form the group, and which of them are slow.
     fn announce(&mut self, group: &mut Group) {
         if group.ranks.len() == group.size {
-            self.announcer.announce(&group.name, group.record());
+            self.publisher.publish(&group.name, group.record());
         }
     }
 
     /// Tells agents whose choices to sum up, when others are heard than before.
     fn assign(&self, group: &Group) {
-        let assignment = group.assignment(self.own_engine, self.peers.port, self.link_bytes_per_s);
+        let assignment =
+            group.assignment(self.local_address, self.peers.port, self.link_bytes_per_s);
         self.assignment.send_if_modified(|told| {
             let is_other = **told != assignment;
             if is_other {
                 tracing::info!(
                     group = group.name,
                     sources = assignment.sources(),
-                    most_members = assignment.most_members(),
+                    most_members = assignment.max_members(),
                     "choices assigned"
                 );
                 *told = Arc::new(assignment);
@@ -266,7 +271,7 @@
         let Phase::Preparing(switch, since) = phase else {
             return phase;
         };
-        let better = group.step_instead_of(&switch.map);
+        let better = group.replacement_step(&switch.map);
         let Some((step, states)) = better.zip(group.fresh_states(Instant::now())) else {
             return Phase::Preparing(switch, since);
         };
@@ -284,7 +289,7 @@
         let Some(states) = group.fresh_states(now) else {
             return Phase::Watching;
         };
-        if let Some(left) = leftover(&states) {
+        if let Some(left) = find_unfinished(&states) {
             tracing::info!(group = group.name, epoch = group.epoch, ?left, "change taken up");
             return into_phase(left, now);
         }
@@ -318,7 +323,7 @@
     /// change up. Nothing was armed for it, so it can be lifted whoever else is away.
     fn stray_hold(&self, group: &Group) -> Option<u64> {
         let pass = group.ranks.get(&0)?.state.held_pass?;
-        let is_unarmed = self.asked_holds.contains(&(group.epoch, pass));
+        let is_unarmed = self.requested_holds.contains(&(group.epoch, pass));
         is_unarmed.then_some(pass)
     }
 
@@ -354,7 +359,7 @@
             Phase::Arming(switch, armer) => match switch.advance(&states) {
                 Ok(releasing) => {
                     if let Some(asked_at) = armer.asked_at {
-                        group.note_arming(asked_at.elapsed());
+                        group.record_arming_time(asked_at.elapsed());
                     }
                     self.release(releasing).await
                 }
@@ -370,7 +375,7 @@
                 let has_begun = states.iter().all(|s| s.pass >= switch.pass());
                 if switch.is_done(&states) || (has_begun && switch.map.is_empty()) {
                     tracing::info!(group = group.name, version = switch.version, "map in use");
-                    group.note_switched(switch.version, &switch.map);
+                    group.record_switch(switch.version, &switch.map);
                     self.targets.send_replace(RankTarget::Idle);
                     return Phase::Watching;
                 }
@@ -381,19 +386,19 @@
 
     /// Asks another rank's agent for the hold.
     fn ask_for_hold(&mut self, switch: Switch<Holding>, group: &Group) -> Phase {
-        let by = group.hold_giver();
+        let by = group.hold_issuer();
         if let Some(target) = switch.target(by) {
             self.targets.send_replace(target);
         }
-        self.asked_holds.retain(|(epoch, _)| *epoch == switch.epoch);
-        self.asked_holds.insert((switch.epoch, switch.pass()));
+        self.requested_holds.retain(|(epoch, _)| *epoch == switch.epoch);
+        self.requested_holds.insert((switch.epoch, switch.pass()));
         Phase::Holding(switch, Holder { by, asked_at: Instant::now(), held_at: None })
     }
 
     async fn hold(&mut self, switch: Switch<Holding>, mut holder: Holder, group: &Group) -> Phase {
         let now = Instant::now();
         let pass = switch.pass();
-        let Ok(report) = self.own.report().await else {
+        let Ok(report) = self.local_engine.report().await else {
             return Phase::Holding(switch, holder);
         };
         if report.map_version == switch.version {
@@ -408,7 +413,7 @@
                 rank.state.gave_hold == Some(pass) && rank.seen_at >= held_at + HOLDER_PROOF
             });
             if is_alive {
-                self.asked_holds.remove(&(switch.epoch, pass));
+                self.requested_holds.remove(&(switch.epoch, pass));
                 let arming = switch.held();
                 self.targets.send_replace(arming.target());
                 let asked_at = Some(holder.asked_at);
@@ -423,7 +428,7 @@
         }
         if report.pass >= pass {
             return self
-                .ask_for_hold(switch.too_late(&states, report.pass, group.passes_ahead()), group);
+                .ask_for_hold(switch.postpone(&states, report.pass, group.passes_ahead()), group);
         }
         if now - holder.asked_at > ASK_LIMIT {
             tracing::warn!(pass, by = holder.by, "change given up: no hold");
@@ -435,8 +440,8 @@
 
     async fn release(&self, switch: Switch<Releasing>) -> Phase {
         let pass = switch.pass();
-        let answer = self.own.order(switch.epoch, &MapOrder::Release { pass }).await;
-        let report = self.own.report().await;
+        let answer = self.local_engine.send_order(switch.epoch, &MapOrder::Release { pass }).await;
+        let report = self.local_engine.report().await;
         tracing::info!(pass, ?answer, "release");
         match report {
             Ok(report) if report.held_pass.is_some() => Phase::Releasing(switch),
@@ -455,7 +460,7 @@
         let arm = |engine: SocketAddr| async move {
             match EngineClient::new(engine, DIRECT_AFTER.as_millis() as u64) {
                 Ok(client) => {
-                    let answer = client.order(epoch, &MapOrder::Arm { version, pass }).await;
+                    let answer = client.send_order(epoch, &MapOrder::Arm { version, pass }).await;
                     tracing::info!(%engine, version, pass, ?answer, "armed from rank 0");
                 }
                 Err(error) => tracing::warn!(%engine, %error, "engine's address can't be used"),
@@ -478,12 +483,12 @@
     }
 }
 
-fn into_phase(left: Leftover, now: Instant) -> Phase {
+fn into_phase(left: UnfinishedSwitch, now: Instant) -> Phase {
     match left {
-        Leftover::Armed { epoch, version, pass } => {
+        UnfinishedSwitch::Armed { epoch, version, pass } => {
             let armer = Armer { asked_at: None, direct_at: now + DIRECT_AFTER };
             Phase::Arming(Switch::resume(epoch, version, pass), armer)
         }
-        Leftover::Held { epoch, pass } => Phase::Releasing(Switch::abandoned(epoch, pass)),
+        UnfinishedSwitch::Held { epoch, pass } => Phase::Releasing(Switch::abandoned(epoch, pass)),
     }
 }
--- a/crates/ranks/src/engine.rs
+++ b/crates/ranks/src/engine.rs
@@ -41,17 +41,17 @@
 
 impl Polling {
     /// From the engine's own VM, where calls cost nothing.
-    pub const NEAR: Self =
+    pub const LOCAL: Self =
         Self { idle: Duration::from_millis(50), busy: Duration::from_millis(12), is_near: true };
 
     /// From another VM, in place of an agent that is not there.
-    pub const FAR: Self =
+    pub const REMOTE: Self =
         Self { idle: Duration::from_millis(400), busy: Duration::from_millis(60), is_near: false };
 }
 
 /// What is known of the rank, for whoever connects.
 #[derive(Clone, Debug, Default)]
-pub struct Latest {
+pub struct RankSnapshot {
     /// How it stands; `None` until its engine answered.
     pub state: Option<RankState>,
     /// Version of the map whose experts it holds, and these.
@@ -60,12 +60,12 @@
 
 /// The engine's poller.
 #[derive(Debug)]
-pub struct Engine {
+pub struct EnginePoller {
     client: EngineClient,
     polling: Polling,
     targets: watch::Receiver<RankTarget>,
     updates: broadcast::Sender<RankUpdate>,
-    latest: watch::Sender<Latest>,
+    snapshot: watch::Sender<RankSnapshot>,
     last_counts: Option<Counted>,
     counted_at: Option<Instant>,
     told_at: Option<Instant>,
@@ -86,7 +86,7 @@
     counts: Vec<u64>,
 }
 
-impl Engine {
+impl EnginePoller {
     /// A poller of the engine behind `client`.
     pub fn new(
         client: EngineClient,
@@ -99,7 +99,7 @@
             polling,
             targets,
             updates,
-            latest: watch::Sender::new(Latest::default()),
+            snapshot: watch::Sender::new(RankSnapshot::default()),
             last_counts: None,
             counted_at: None,
             told_at: None,
@@ -111,8 +111,8 @@
     }
 
     /// What is known of the rank, for whoever connects later.
-    pub fn latest(&self) -> watch::Receiver<Latest> {
-        self.latest.subscribe()
+    pub fn snapshot(&self) -> watch::Receiver<RankSnapshot> {
+        self.snapshot.subscribe()
     }
 
     /// Polls until dropped.
@@ -154,8 +154,8 @@
     fn tell_state(&mut self, last: &RankState, state: &RankState) {
         let now = Instant::now();
         let is_due = self.told_at.is_none_or(|at| now - at >= PROGRESS_INTERVAL);
-        self.latest.send_if_modified(|latest| {
-            latest.state = Some(state.clone());
+        self.snapshot.send_if_modified(|snapshot| {
+            snapshot.state = Some(state.clone());
             false
         });
         if is_news(last, state) {
@@ -194,8 +194,8 @@
             return;
         };
         self.listed = Some(map);
-        self.latest.send_if_modified(|latest| {
-            latest.experts = Some((map_version, experts.clone()));
+        self.snapshot.send_if_modified(|snapshot| {
+            snapshot.experts = Some((map_version, experts.clone()));
             false
         });
         self.tell(RankUpdate::Experts { map_version, experts });
@@ -214,7 +214,7 @@
         let Some((pass, since)) = self.stalled else {
             return;
         };
-        if now - since < rescue::patience(state.rank) {
+        if now - since < rescue::stall_timeout(state.rank) {
             return;
         }
         self.stalled = Some((pass, now));
@@ -228,7 +228,7 @@
             _ => return,
         };
         tracing::warn!(pass, rank = state.rank, "group stands still, looking for a hold");
-        tokio::spawn(rescue::finish(engines));
+        tokio::spawn(rescue::finish_switch(engines));
     }
 
     /// Gives the order that the target needs, if one is needed now. Returns whether the target
@@ -249,7 +249,7 @@
         if is_waiting {
             return false;
         }
-        let answer = self.client.order(epoch, &order).await;
+        let answer = self.client.send_order(epoch, &order).await;
         tracing::info!(
             order = order_name(&order),
             version = version_of(&order),
@@ -276,7 +276,7 @@
                 return false;
             }
         };
-        let answer = client.order(epoch, &MapOrder::Hold { pass }).await;
+        let answer = client.send_order(epoch, &MapOrder::Hold { pass }).await;
         tracing::info!(order = "hold", epoch, pass, ?answer, "order given");
         if matches!(answer, OrderAnswer::Taken | OrderAnswer::Conflict) {
             self.gave_hold = Some(pass);
--- a/crates/ranks/src/group.rs
+++ b/crates/ranks/src/group.rs
@@ -1,7 +1,7 @@
 //! What a coordinator knows of its group, and when it is worth to change the map.
 
 use crate::lookup::ServiceParameters;
-use crate::pace::PassTimes;
+use crate::pass_times::PassTimes;
 use crate::peers::PeerUpdate;
 use crate::switch::{FIRST_PASSES_AHEAD, passes_ahead};
 use flamingowheel_policy::experts::{self, ChangeTimes, Demand, Map, Shape, StepLimits};
@@ -93,7 +93,7 @@
     }
 
     /// Takes in what is told of a rank.
-    pub fn take(&mut self, told: PeerUpdate) {
+    pub fn apply_update(&mut self, told: PeerUpdate) {
         let PeerUpdate { engine, data_centre, update } = told;
         match update {
             RankUpdate::State(state) => self.take_state(state, engine, data_centre),
@@ -180,7 +180,7 @@
     }
 
     /// Notes that all ranks use a map, so that the next step need not wait for their lists.
-    pub fn note_switched(&mut self, version: u64, map: &Arc<Map>) {
+    pub fn record_switch(&mut self, version: u64, map: &Arc<Map>) {
         // A change that was taken up from another coordinator has no map here.
         self.switched = (!map.is_empty()).then(|| (version, Arc::clone(map)));
     }
@@ -260,14 +260,14 @@
     }
 
     /// Notes the time from the wish for a hold until all ranks were armed.
-    pub fn note_arming(&mut self, took: Duration) {
+    pub fn record_arming_time(&mut self, took: Duration) {
         let took_ms = took.as_secs_f64() * 1_000.0;
         let mean_ms = self.arming_ms.get_or_insert(took_ms);
         *mean_ms += ARMING_WEIGHT * (took_ms - *mean_ms);
     }
 
     /// The step to take instead of a map that is being prepared, if that would be left clearly behind.
-    pub fn step_instead_of(&self, map: &Map) -> Option<experts::Step> {
+    pub fn replacement_step(&self, map: &Map) -> Option<experts::Step> {
         let states = self.states();
         let demand = self.demand.as_ref()?;
         let step = self.next_step(&states)?;
--- a/crates/ranks/src/lookup.rs
+++ b/crates/ranks/src/lookup.rs
@@ -1,7 +1,7 @@
 //! What a coordinator reads from the key-value store and writes there, beside its other work: while the
 //! store is slow or away, a change of map under way must not wait for it.
 
-use crate::peers::engines_of;
+use crate::peers::list_engines;
 use flamingowheel_backing::kv::{KeyValue, KeyValueError, Operation, Transaction};
 use flamingowheel_fleet::EngineParameters;
 use flamingowheel_platform::{CONFIGURATION_KEY, operator};
@@ -37,7 +37,7 @@
 
 /// What was found in the store.
 #[derive(Clone, Debug)]
-pub struct Found {
+pub struct LookupResult {
     /// The engines of the service.
     pub engines: Vec<SocketAddr>,
     /// Their parameters, if they were asked for and are there.
@@ -49,8 +49,8 @@
 pub struct Lookup<K> {
     store: K,
     service: String,
-    sender: mpsc::Sender<Found>,
-    found: mpsc::Receiver<Found>,
+    sender: mpsc::Sender<LookupResult>,
+    found: mpsc::Receiver<LookupResult>,
     reading: Option<JoinHandle<()>>,
 }
 
@@ -89,19 +89,23 @@
     }
 
     /// What was found next.
-    pub async fn next(&mut self) -> Option<Found> {
+    pub async fn next(&mut self) -> Option<LookupResult> {
         self.found.recv().await
     }
 }
 
-async fn read<K>(store: &K, service: &str, with_parameters: bool) -> Result<Found, KeyValueError>
+async fn read<K>(
+    store: &K,
+    service: &str,
+    with_parameters: bool,
+) -> Result<LookupResult, KeyValueError>
 where
     K: KeyValue,
 {
     let parameters =
         async { if with_parameters { read_parameters(store, service).await } else { None } };
-    let (engines, parameters) = tokio::join!(engines_of(store, service), parameters);
-    Ok(Found { engines: engines?, parameters })
+    let (engines, parameters) = tokio::join!(list_engines(store, service), parameters);
+    Ok(LookupResult { engines: engines?, parameters })
 }
 
 async fn read_parameters<K>(store: &K, service: &str) -> Option<ServiceParameters>
@@ -126,7 +130,7 @@
 
 /// Tells entries of a group, through the store.
 #[derive(Debug)]
-pub struct Announcer<K> {
+pub struct GroupPublisher<K> {
     store: K,
     /// What the store has taken last.
     announced: Arc<Mutex<Option<(String, GroupRecord)>>>,
@@ -134,17 +138,17 @@
     writing: Option<JoinHandle<()>>,
 }
 
-impl<K> Announcer<K>
+impl<K> GroupPublisher<K>
 where
     K: KeyValue + Clone + Send + Sync + 'static,
 {
-    /// An announcer that has announced nothing.
+    /// An publisher that has announced nothing.
     pub fn new(store: K) -> Self {
         Self { store, announced: Arc::default(), tried_at: None, writing: None }
     }
 
     /// Writes the group's record, unless the store has one by which entries would do the same.
-    pub fn announce(&mut self, group: &str, record: GroupRecord) {
+    pub fn publish(&mut self, group: &str, record: GroupRecord) {
         let now = Instant::now();
         let is_early = self.tried_at.is_some_and(|at| now - at < ANNOUNCE_PAUSE);
         let is_writing = self.writing.as_ref().is_some_and(|writing| !writing.is_finished());
@@ -176,12 +180,12 @@
 
     fn is_announced(&self, group: &str, record: &GroupRecord) -> bool {
         let announced = self.announced.lock().unwrap_or_else(PoisonError::into_inner);
-        announced.as_ref().is_some_and(|(name, last)| name == group && is_alike(last, record))
+        announced.as_ref().is_some_and(|(name, last)| name == group && is_equivalent(last, record))
     }
 }
 
 /// Whether entries would do the same with both records.
-pub fn is_alike(a: &GroupRecord, b: &GroupRecord) -> bool {
+pub fn is_equivalent(a: &GroupRecord, b: &GroupRecord) -> bool {
     let pairs = a.ranks.iter().zip(&b.ranks);
     a.ranks.len() == b.ranks.len()
         && pairs.into_iter().all(|(a, b)| {
--- a/crates/ranks/src/members.rs
+++ b/crates/ranks/src/members.rs
@@ -1,8 +1,8 @@
 //! Who of a group is heard, who stands in for whom, and what others are told of it.
 
-use crate::collect::{Assignment, most_direct};
-use crate::far::MAX_FAR;
+use crate::collect::{Assignment, max_direct_agents};
 use crate::group::{Group, Rank};
+use crate::remote::MAX_REMOTE_RANKS;
 use flamingowheel_protocol::ranks::{GroupRecord, GroupStatus, RankRecord};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,7 +23,7 @@
 impl Group {
     /// Engines of the group, or of none that is known, whose agents are not heard. None, if those are more
     /// than can be seen to from afar.
-    pub fn unattended(&self, own: SocketAddr) -> Vec<SocketAddr> {
+    pub fn engines_without_agent(&self, own: SocketAddr) -> Vec<SocketAddr> {
         let now = Instant::now();
         let is_attended = |rank: &Rank| {
             let is_heard = now.duration_since(rank.seen_at) < HEARD && rank.data_centre.is_some();
@@ -37,11 +37,11 @@
         let is_complete = self.ranks.len() == self.size;
         let unknown = self.listed.iter().filter(|_| !is_complete).filter(is_unknown).copied();
         let unattended: Vec<SocketAddr> = silent.chain(unknown).collect();
-        if unattended.len() > MAX_FAR { Vec::new() } else { unattended }
+        if unattended.len() > MAX_REMOTE_RANKS { Vec::new() } else { unattended }
     }
 
     /// The rank whose agent is to hold the group: one that is heard.
-    pub fn hold_giver(&self) -> usize {
+    pub fn hold_issuer(&self) -> usize {
         let now = Instant::now();
         let is_heard =
             |rank: &&Rank| rank.data_centre.is_some() && now.duration_since(rank.seen_at) < HEARD;
@@ -60,7 +60,7 @@
             Some((Arc::clone(data_centre), rank.state.rank, agent))
         });
         let counts = self.shape().map_or(self.window.len(), |shape| shape.sets * shape.experts);
-        Assignment::deal(agents.collect(), most_direct(counts, link_bytes_per_s))
+        Assignment::distribute(agents.collect(), max_direct_agents(counts, link_bytes_per_s))
     }
 
     /// What entries are told of the group.
@@ -82,7 +82,7 @@
         let is_unheard = |rank: &&Rank| now.duration_since(rank.seen_at) > limit;
         let unheard = self.ranks.values().filter(is_unheard).map(|rank| rank.state.rank);
         let unheard: Vec<usize> = unheard.collect();
-        let is_told = unheard.len() <= MAX_FAR && unheard.len() * 2 <= self.size;
+        let is_told = unheard.len() <= MAX_REMOTE_RANKS && unheard.len() * 2 <= self.size;
         unheard.into_iter().filter(move |_| is_told)
     }
 
--- a/crates/ranks/src/peers.rs
+++ b/crates/ranks/src/peers.rs
@@ -34,7 +34,7 @@
 
 /// What every connection needs.
 #[derive(Clone, Debug)]
-pub struct Peers {
+pub struct PeerConnector {
     /// Who this agent is.
     pub identity: Identity,
     /// The port of agents, the same on all VMs of a deployment.
@@ -52,7 +52,7 @@
 }
 
 /// The engines of a service, as listed.
-pub async fn engines_of<K>(store: &K, service: &str) -> Result<Vec<SocketAddr>, KeyValueError>
+pub async fn list_engines<K>(store: &K, service: &str) -> Result<Vec<SocketAddr>, KeyValueError>
 where
     K: KeyValue,
 {
@@ -72,12 +72,12 @@
     mut attend: Attend,
 ) where
     Attend: FnMut(AgentLink) -> Attending,
-    Attending: Future<Output = Wanted>,
+    Attending: Future<Output = Reconnect>,
 {
     loop {
         match connect::<AgentRequest, RankUpdate>(agent, identity).await {
             Ok(link) => {
-                if attend(link).await == Wanted::No {
+                if attend(link).await == Reconnect::No {
                     return;
                 }
             }
@@ -89,14 +89,14 @@
 
 /// Whether a connection that ended is to be opened again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wanted {
+pub enum Reconnect {
     /// It broke off.
     Yes,
     /// The agent belongs to another group, or nobody listens.
     No,
 }
 
-impl Peers {
+impl PeerConnector {
     /// Connects to the agents beside `engines`, but not to those already in `connected`.
     pub fn connect_to(
         &self,
@@ -119,7 +119,12 @@
         }
     }
 
-    async fn attend(&self, engine: SocketAddr, agent: SocketAddr, mut link: AgentLink) -> Wanted {
+    async fn attend(
+        &self,
+        engine: SocketAddr,
+        agent: SocketAddr,
+        mut link: AgentLink,
+    ) -> Reconnect {
         let mut targets = self.targets.clone();
         targets.mark_changed();
         let mut assignment = self.assignment.clone();
@@ -131,36 +136,36 @@
         loop {
             tokio::select! {
                 update = link.receiver.recv() => {
-                    let Some(update) = update else { return Wanted::Yes };
+                    let Some(update) = update else { return Reconnect::Yes };
                     let is_foreign =
                         matches!(&update, RankUpdate::State(state) if state.group != self.group);
                     is_member |= !is_foreign && matches!(update, RankUpdate::State(_));
                     let data_centre = Some(Arc::clone(&data_centre));
                     let update = PeerUpdate { engine, data_centre, update };
                     if self.updates.send(update).await.is_err() || is_foreign {
-                        return Wanted::No;
+                        return Reconnect::No;
                     }
                 }
                 changed = targets.changed(), if is_member => {
                     if changed.is_err() {
-                        return Wanted::No;
+                        return Reconnect::No;
                     }
                     let Some(message) = encoder.encode(&targets.borrow_and_update()) else {
                         tracing::error!("target can't be encoded");
-                        return Wanted::Yes;
+                        return Reconnect::Yes;
                     };
                     if link.sender.send(AgentRequest::Target(message)).await.is_err() {
-                        return Wanted::Yes;
+                        return Reconnect::Yes;
                     }
                 }
                 changed = assignment.changed(), if is_member => {
                     if changed.is_err() {
-                        return Wanted::No;
+                        return Reconnect::No;
                     }
-                    let part = assignment.borrow_and_update().of(agent);
+                    let part = assignment.borrow_and_update().for_agent(agent);
                     for request in part.requests(&told) {
                         if link.sender.send(request).await.is_err() {
-                            return Wanted::Yes;
+                            return Reconnect::Yes;
                         }
                     }
                     told = (part.telling, part.members);
--- a/crates/ranks/src/process.rs
+++ b/crates/ranks/src/process.rs
@@ -3,10 +3,10 @@
 use crate::agent::Agent;
 use crate::collect::{Assignment, Collector};
 use crate::coordinator::Coordinator;
-use crate::engine::{Engine, Polling, UPDATE_CAPACITY};
-use crate::far::FarRanks;
-use crate::lookup::{Announcer, Lookup};
-use crate::peers::Peers;
+use crate::engine::{EnginePoller, Polling, UPDATE_CAPACITY};
+use crate::lookup::{GroupPublisher, Lookup};
+use crate::peers::PeerConnector;
+use crate::remote::RemotePollers;
 use flamingowheel_fleet::ProcessSettings;
 use flamingowheel_platform::{EngineClient, StoreClient};
 use flamingowheel_protocol::link::Timing;
@@ -58,11 +58,12 @@
     F: Future<Output = ()>,
 {
     let engine = settings.backend_server.ok_or(StartError::NoBackendServer)?;
-    let own = EngineClient::new(engine, OWN_ENGINE_LIMIT_MS)?;
+    let local_engine = EngineClient::new(engine, OWN_ENGINE_LIMIT_MS)?;
     let (targets, watched) = watch::channel(RankTarget::Idle);
-    let (updates, own_updates) = broadcast::channel(UPDATE_CAPACITY);
-    let poller = Engine::new(own.clone(), Polling::NEAR, watched.clone(), updates.clone());
-    let latest = poller.latest();
+    let (updates, local_updates) = broadcast::channel(UPDATE_CAPACITY);
+    let poller =
+        EnginePoller::new(local_engine.clone(), Polling::LOCAL, watched.clone(), updates.clone());
+    let snapshot = poller.snapshot();
     tokio::spawn(poller.run());
 
     let identity = identity(settings);
@@ -75,24 +76,24 @@
     let listener = TcpListener::bind(SocketAddr::new(settings.ip, port)).await?;
     let stop = CancellationToken::new();
     let status = updates.clone();
-    let agent = Agent { targets: targets.clone(), members, updates, latest };
-    let attend = move |link| agent.clone().attend(link);
-    tokio::spawn(accept_links(listener, identity.clone(), stop.clone(), attend));
+    let agent = Agent { targets: targets.clone(), members, updates, snapshot };
+    let serve = move |link| agent.clone().serve(link);
+    tokio::spawn(accept_links(listener, identity.clone(), stop.clone(), serve));
 
     let (peer_sender, peer_updates) = mpsc::channel(PEER_UPDATE_CAPACITY);
     let (assignment, assigned) = watch::channel(Arc::new(Assignment::default()));
     let store = StoreClient::new(settings.key_value)?;
     let service = settings.backend_service.clone().unwrap_or_default();
-    let far = FarRanks::new(watched.clone(), peer_sender.clone());
+    let remote_pollers = RemotePollers::new(watched.clone(), peer_sender.clone());
     let coordinator = Coordinator {
         lookup: Lookup::new(store.clone(), service),
-        announcer: Announcer::new(store),
-        own,
-        own_engine: engine,
+        publisher: GroupPublisher::new(store),
+        local_engine,
+        local_address: engine,
         targets,
-        own_updates,
+        local_updates,
         status,
-        peers: Peers {
+        peers: PeerConnector {
             identity,
             port,
             group: String::new(),
@@ -103,10 +104,10 @@
         },
         assignment,
         link_bytes_per_s: settings.link_bytes_per_s,
-        far,
+        remote_pollers,
         peer_updates,
         last_version: 0,
-        asked_holds: HashSet::new(),
+        requested_holds: HashSet::new(),
     };
     tokio::spawn(coordinator.run());
     asked_to_stop.await;
--- a/crates/ranks/src/far.rs
+++ b/crates/ranks/src/remote.rs
@@ -3,7 +3,7 @@
 //! Calls from another VM are paid for and take the coordinator's link, so only a few ranks are kept up this
 //! way. Of a group that lacks more agents the map stays as it is.
 
-use crate::engine::{Engine, Polling, UPDATE_CAPACITY};
+use crate::engine::{EnginePoller, Polling, UPDATE_CAPACITY};
 use crate::peers::PeerUpdate;
 use flamingowheel_platform::EngineClient;
 use flamingowheel_protocol::ranks::RankTarget;
@@ -13,20 +13,20 @@
 use tokio_util::sync::CancellationToken;
 
 /// Most ranks that are seen to from afar.
-pub const MAX_FAR: usize = 8;
+pub const MAX_REMOTE_RANKS: usize = 8;
 
 /// Longest wait for an engine's answer, in milliseconds. A whole map takes a narrow link 40 ms.
 const ENGINE_LIMIT_MS: u64 = 250;
 
 /// The pollers of such ranks.
 #[derive(Debug)]
-pub struct FarRanks {
+pub struct RemotePollers {
     targets: watch::Receiver<RankTarget>,
     updates: mpsc::Sender<PeerUpdate>,
     polled: HashMap<SocketAddr, CancellationToken>,
 }
 
-impl FarRanks {
+impl RemotePollers {
     /// No rank yet. Pollers bring ranks to `targets` and tell `updates` how they stand.
     pub fn new(targets: watch::Receiver<RankTarget>, updates: mpsc::Sender<PeerUpdate>) -> Self {
         Self { targets, updates, polled: HashMap::new() }
@@ -63,7 +63,7 @@
     }
 }
 
-impl Drop for FarRanks {
+impl Drop for RemotePollers {
     fn drop(&mut self) {
         self.polled.values().for_each(CancellationToken::cancel);
     }
@@ -76,7 +76,7 @@
     updates: mpsc::Sender<PeerUpdate>,
 ) {
     let (sender, mut told) = broadcast::channel(UPDATE_CAPACITY);
-    let poller = Engine::new(client, Polling::FAR, targets, sender);
+    let poller = EnginePoller::new(client, Polling::REMOTE, targets, sender);
     let forwarding = async {
         loop {
             match told.recv().await {
--- a/crates/ranks/src/rescue.rs
+++ b/crates/ranks/src/rescue.rs
@@ -5,7 +5,7 @@
 //! then lets the pass begin. Two that do so at once do the same.
 
 use crate::engine::rank_state;
-use crate::switch::{Leftover, is_armed, leftover};
+use crate::switch::{UnfinishedSwitch, find_unfinished, is_armed};
 use flamingowheel_fleet::engine::MapOrder;
 use flamingowheel_platform::EngineClient;
 use flamingowheel_protocol::ranks::RankState;
@@ -27,12 +27,12 @@
 const ROUNDS: usize = 6;
 
 /// How long rank `rank` waits before it looks for a hold.
-pub fn patience(rank: usize) -> Duration {
+pub fn stall_timeout(rank: usize) -> Duration {
     BASE_PATIENCE + RANK_PATIENCE * u32::try_from(rank).unwrap_or(u32::MAX)
 }
 
 /// Finishes the change of the group with these engines, if one holds it.
-pub async fn finish(engines: Arc<Vec<SocketAddr>>) {
+pub async fn finish_switch(engines: Arc<Vec<SocketAddr>>) {
     let Ok(clients) = engines
         .iter()
         .map(|engine| EngineClient::new(*engine, ENGINE_LIMIT_MS))
@@ -59,14 +59,14 @@
             tracing::info!("not all ranks can be read");
             continue;
         };
-        let (epoch, pass) = match leftover(&states) {
-            Some(Leftover::Armed { epoch, version, pass }) => {
+        let (epoch, pass) = match find_unfinished(&states) {
+            Some(UnfinishedSwitch::Armed { epoch, version, pass }) => {
                 let lacking: Vec<usize> = (0..states.len())
                     .filter(|rank| !is_armed(&states[*rank], version, pass))
                     .collect();
                 for rank in &lacking {
                     let answer =
-                        clients[*rank].order(epoch, &MapOrder::Arm { version, pass }).await;
+                        clients[*rank].send_order(epoch, &MapOrder::Arm { version, pass }).await;
                     tracing::info!(rank, version, pass, ?answer, "armed by another rank");
                 }
                 if !lacking.is_empty() {
@@ -74,10 +74,10 @@
                 }
                 (epoch, pass)
             }
-            Some(Leftover::Held { epoch, pass }) => (epoch, pass),
+            Some(UnfinishedSwitch::Held { epoch, pass }) => (epoch, pass),
             None => return,
         };
-        let answer = holder.order(epoch, &MapOrder::Release { pass }).await;
+        let answer = holder.send_order(epoch, &MapOrder::Release { pass }).await;
         tracing::info!(epoch, pass, ?answer, "released by another rank");
     }
 }
--- a/crates/ranks/src/switch.rs
+++ b/crates/ranks/src/switch.rs
@@ -132,7 +132,7 @@
 
     /// The pass had begun before the hold arrived; a later one is taken. A hold of the old pass
     /// that is still on its way will be refused.
-    pub fn too_late(self, ranks: &[RankState], newest: u64, ahead: u64) -> Self {
+    pub fn postpone(self, ranks: &[RankState], newest: u64, ahead: u64) -> Self {
         let pass = (newest_pass(ranks).max(newest) + ahead).max(self.state.pass + 1);
         self.with(Holding { pass })
     }
@@ -231,7 +231,7 @@
 
 /// A change that somebody began and did not finish.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Leftover {
+pub enum UnfinishedSwitch {
     /// Ranks are armed, or may still become so: only arming all of them is safe.
     Armed {
         /// The group's epoch.
@@ -254,18 +254,18 @@
 ///
 /// Arming orders go out only after all ranks were seen prepared with one version. So if none is
 /// armed and their versions differ, none can be on its way.
-pub fn leftover(ranks: &[RankState]) -> Option<Leftover> {
+pub fn find_unfinished(ranks: &[RankState]) -> Option<UnfinishedSwitch> {
     let epoch = ranks.first()?.epoch;
     if let Some((version, pass)) = ranks.iter().find_map(|rank| rank.armed) {
-        return Some(Leftover::Armed { epoch, version, pass });
+        return Some(UnfinishedSwitch::Armed { epoch, version, pass });
     }
     let pass = ranks.iter().find_map(|rank| rank.held_pass)?;
     let first = ranks.first()?.prepared_version;
     match first {
         Some(version) if ranks.iter().all(|rank| rank.prepared_version == first) => {
-            Some(Leftover::Armed { epoch, version, pass })
+            Some(UnfinishedSwitch::Armed { epoch, version, pass })
         }
-        _ => Some(Leftover::Held { epoch, pass }),
+        _ => Some(UnfinishedSwitch::Held { epoch, pass }),
     }
 }
 
--- a/crates/ranks/tests/group.rs
+++ b/crates/ranks/tests/group.rs
@@ -52,7 +52,7 @@
         ];
         let engine = SocketAddr::from(([127, 0, 0, 1], 9_000 + rank as u16));
         for update in updates {
-            group.take(PeerUpdate { engine, data_centre: Some("d".into()), update });
+            group.apply_update(PeerUpdate { engine, data_centre: Some("d".into()), update });
         }
     }
 }
@@ -64,21 +64,21 @@
 /// Demand shifts while ranks copy experts for what was liked before. Finished, that change would
 /// keep passes long for another half second.
 #[tokio::test(start_paused = true)]
-async fn step_instead_of_after_shift() {
+async fn replacement_step_after_shift() {
     let mut group = group();
     tell(&mut group, 0..SHAPE.ranks, 1, ON_RANK_0);
     assert!(group.close_window(), "the first window is a shift");
     let map = planned(&group);
-    assert!(group.step_instead_of(&map).is_none());
+    assert!(group.replacement_step(&map).is_none());
     tell(&mut group, 0..SHAPE.ranks, 2, ON_RANK_1);
     assert!(group.close_window());
-    assert!(group.step_instead_of(&map).is_some());
+    assert!(group.replacement_step(&map).is_some());
 }
 
 /// A window looks like a shift once more while the right change is prepared already. Dropped each time,
 /// no change would ever be finished, and the group would stay slow for good.
 #[tokio::test(start_paused = true)]
-async fn step_instead_of_none_while_it_helps() {
+async fn replacement_step_none_while_it_helps() {
     let mut group = group();
     tell(&mut group, 0..SHAPE.ranks, 1, ON_RANK_0);
     group.close_window();
@@ -87,7 +87,7 @@
     let map = planned(&group);
     tell(&mut group, 0..SHAPE.ranks, 3, MOSTLY_ON_RANK_1);
     group.close_window();
-    assert!(group.step_instead_of(&map).is_none());
+    assert!(group.replacement_step(&map).is_none());
 }
 
 /// Passes take longer than the pause between two looks. What some ranks have told by then is no
--- a/crates/ranks/tests/load.rs
+++ b/crates/ranks/tests/load.rs
@@ -6,7 +6,7 @@
     AgentRequest, ExpertCounts, Progress, RankTarget, RankUpdate, Subscription,
 };
 use flamingowheel_protocol::targets::{EncodingCache, TargetEncoder};
-use flamingowheel_ranks::collect::{Assignment, Sum, most_direct};
+use flamingowheel_ranks::collect::{Assignment, ExpertCountSum, max_direct_agents};
 use flamingowheel_ranks::engine::{COUNTS_INTERVAL, PROGRESS_INTERVAL};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -36,7 +36,7 @@
 fn assignment(ranks: usize, counts: usize) -> Assignment {
     let agents =
         (1..ranks).map(|rank| (format!("dc-{}", rank % DATA_CENTRES).into(), rank, agent(rank)));
-    Assignment::deal(agents.collect(), most_direct(counts, LINK_BYTES_PER_S))
+    Assignment::distribute(agents.collect(), max_direct_agents(counts, LINK_BYTES_PER_S))
 }
 
 /// One rank's choices in a window of a busy group: some experts are liked ten times as much as others.
@@ -63,7 +63,7 @@
 /// Counts of 95 ranks, told to one agent ten times a second, were four times what its link carries. No
 /// connection lived, no state was fresh for all ranks, and the group kept its first map for good.
 #[test]
-fn deal_counts_within_links() {
+fn distribute_counts_within_links() {
     let mut rng = ChaCha8Rng::seed_from_u64(5);
     let windows_per_s = 1.0 / COUNTS_INTERVAL.as_secs_f64();
     let words_per_s = 1.0 / PROGRESS_INTERVAL.as_secs_f64();
@@ -73,16 +73,16 @@
         let counts = sets * experts;
         let assignment = assignment(ranks, counts);
         let own_bytes = size_bytes(&RankUpdate::Choices(choices(counts, &mut rng)));
-        let mut sum = Sum::default();
-        (0..=assignment.most_members()).for_each(|_| sum.add(&choices(counts, &mut rng)));
+        let mut sum = ExpertCountSum::default();
+        (0..=assignment.max_members()).for_each(|_| sum.add(&choices(counts, &mut rng)));
         let sum_bytes = size_bytes(&RankUpdate::Sum(sum.take().unwrap()));
-        let has_collectors = assignment.most_members() > 0;
+        let has_collectors = assignment.max_members() > 0;
         let source_bytes = if has_collectors { sum_bytes } else { own_bytes };
 
         let words = ranks as f64 * word_bytes * words_per_s;
         let to_coordinator = words + assignment.sources() as f64 * source_bytes * windows_per_s;
         assert_within_link(to_coordinator, "coordinator", ranks);
-        let members = assignment.most_members() as f64;
+        let members = assignment.max_members() as f64;
         let to_collector = members * (own_bytes * windows_per_s + word_bytes * words_per_s);
         assert_within_link(to_collector, "collector", ranks);
     }
@@ -127,19 +127,20 @@
 /// The agent that summed up the choices of others has died. Its members' choices must reach the
 /// coordinator by another one, or demand is learnt without them for as long as it is away.
 #[test]
-fn deal_collector_gone() {
+fn distribute_collector_gone() {
     let agents = |without: Option<SocketAddr>| -> Vec<(Arc<str>, usize, SocketAddr)> {
         let all =
             (1..96).map(|rank| (format!("dc-{}", rank % DATA_CENTRES).into(), rank, agent(rank)));
         all.filter(|(_, _, address)| Some(*address) != without).collect()
     };
-    let before = Assignment::deal(agents(None), 10);
-    let gone = (1..96).map(agent).find(|a| before.of(*a).telling == Subscription::Sums).unwrap();
-    let after = Assignment::deal(agents(Some(gone)), 10);
+    let before = Assignment::distribute(agents(None), 10);
+    let gone =
+        (1..96).map(agent).find(|a| before.for_agent(*a).telling == Subscription::Sums).unwrap();
+    let after = Assignment::distribute(agents(Some(gone)), 10);
     let told_by = |address: SocketAddr| {
-        let collects = |a: &usize| after.of(agent(*a)).members.contains(&address);
-        after.of(address).telling == Subscription::Sums || (1..96).any(|a| collects(&a))
+        let collects = |a: &usize| after.for_agent(agent(*a)).members.contains(&address);
+        after.for_agent(address).telling == Subscription::Sums || (1..96).any(|a| collects(&a))
     };
-    assert!(before.of(gone).members.iter().all(|member| told_by(*member)));
-    assert_eq!(after.of(gone).telling, Subscription::State);
+    assert!(before.for_agent(gone).members.iter().all(|member| told_by(*member)));
+    assert_eq!(after.for_agent(gone).telling, Subscription::State);
 }
--- a/crates/ranks/tests/switch.rs
+++ b/crates/ranks/tests/switch.rs
@@ -2,7 +2,7 @@
 
 use flamingowheel_protocol::ranks::{RankState, RankTarget};
 use flamingowheel_ranks::switch::{
-    FIRST_PASSES_AHEAD, Leftover, Preparing, Switch, leftover, next_version,
+    FIRST_PASSES_AHEAD, Preparing, Switch, UnfinishedSwitch, find_unfinished, next_version,
 };
 use std::net::SocketAddr;
 
@@ -77,7 +77,7 @@
     prepared(&mut ranks);
     let holding = preparing().advance(&ranks, FIRST_PASSES_AHEAD).unwrap();
     let first = holding.pass();
-    let next = holding.too_late(&ranks, first + 4, FIRST_PASSES_AHEAD).pass();
+    let next = holding.postpone(&ranks, first + 4, FIRST_PASSES_AHEAD).pass();
     assert!(next > first + 4, "{next}");
 }
 
@@ -103,37 +103,37 @@
 /// A coordinator dies after some ranks were armed. The arming of the others may still take effect,
 /// so the only safe way on is to arm them all.
 #[test]
-fn leftover_some_armed() {
+fn find_unfinished_some_armed() {
     let mut ranks = ranks(2);
     ranks[1].armed = Some((VERSION, 14));
     ranks[0].held_pass = Some(14);
-    let expected = Leftover::Armed { epoch: EPOCH, version: VERSION, pass: 14 };
-    assert_eq!(leftover(&ranks), Some(expected));
+    let expected = UnfinishedSwitch::Armed { epoch: EPOCH, version: VERSION, pass: 14 };
+    assert_eq!(find_unfinished(&ranks), Some(expected));
 }
 
 /// A coordinator dies right after its hold. All ranks are prepared, so it may have sent armings.
 #[test]
-fn leftover_held_and_prepared() {
+fn find_unfinished_held_and_prepared() {
     let mut ranks = ranks(2);
     prepared(&mut ranks);
     ranks[0].held_pass = Some(14);
-    let expected = Leftover::Armed { epoch: EPOCH, version: VERSION, pass: 14 };
-    assert_eq!(leftover(&ranks), Some(expected));
+    let expected = UnfinishedSwitch::Armed { epoch: EPOCH, version: VERSION, pass: 14 };
+    assert_eq!(find_unfinished(&ranks), Some(expected));
 }
 
 /// A hold takes effect seconds late, while ranks prepare something else: no arming can be on its
 /// way, and the group must not wait.
 #[test]
-fn leftover_stray_hold() {
+fn find_unfinished_stray_hold() {
     let mut ranks = ranks(2);
     ranks[1].prepared_version = Some(VERSION);
     ranks[0].held_pass = Some(14);
-    assert_eq!(leftover(&ranks), Some(Leftover::Held { epoch: EPOCH, pass: 14 }));
+    assert_eq!(find_unfinished(&ranks), Some(UnfinishedSwitch::Held { epoch: EPOCH, pass: 14 }));
 }
 
 #[test]
-fn leftover_nothing() {
-    assert_eq!(leftover(&ranks(2)), None);
+fn find_unfinished_nothing() {
+    assert_eq!(find_unfinished(&ranks(2)), None);
 }
 
 /// A change is given up while ranks copy its experts, and no rank has reported it yet. With a lower
