--- a/crates/fleet/src/configuration.rs
+++ b/crates/fleet/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The operators' configuration: routes, services, workspaces and limits.
+//! The operators' configuration: routes, services, workspaces and request limits.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -6,20 +6,20 @@
 /// One accepted version of the configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Configuration {
-    /// Rises with each accepted change, in uneven steps.
+    /// Increases with each accepted change, not always by 1.
     pub version: u64,
-    /// Routes by host, then by path prefix.
+    /// Routes by host, then by path prefix; prefixes end with `/`.
     pub routes: HashMap<String, HashMap<String, Arc<Route>>>,
     /// Services by name.
     pub services: HashMap<String, Arc<Service>>,
     /// Workspaces by API key; `None` if requests carry no keys.
     pub workspaces: Option<HashMap<String, Arc<Workspace>>>,
-    /// What callers may send.
+    /// Size and time limits of callers' requests.
     pub limits: Limits,
 }
 
 impl Configuration {
-    /// The route of a request: among those of its host, the one with the longest matching prefix.
+    /// Returns the route of a request: the one with the longest matching path prefix on its host.
     ///
     /// ```
     /// use flamingowheel_fleet::{Configuration, Route};
@@ -41,7 +41,7 @@
 }
 
 impl Configuration {
-    /// The shortest pause goal of a service's streams, in milliseconds.
+    /// Returns the shortest non-zero pause goal of all routes to a service, in milliseconds.
     pub fn pause_goal_ms(&self, service: &str) -> Option<u64> {
         let routes = self.routes.values().flat_map(HashMap::values);
         let serving = routes.filter(|route| route.splits.iter().any(|s| s.service == service));
@@ -49,126 +49,126 @@
     }
 }
 
-/// Where requests of one path prefix go, and how long they may take.
+/// Destination, time limits and retry rules of the requests under one path prefix.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Route {
-    /// The route's name.
+    /// Name of the route in the configuration.
     pub name: String,
-    /// The services that serve it, by weight.
+    /// Services that the route's requests are split between, by weight.
     pub splits: Vec<Split>,
-    /// What may be repeated.
+    /// Which requests may be retried after they may have run.
     pub retry_policy: RetryPolicy,
     /// Whether answers are event streams.
     pub is_stream: bool,
-    /// Longest time to an answer's end, in milliseconds; 0 sets no limit.
+    /// Maximum time until the answer is complete, in milliseconds; 0 means no limit.
     pub timeout_ms: u64,
-    /// Time within which an answer (of a stream: its first event) is of full worth, in milliseconds.
+    /// Latency goal of the answer, or of a stream's first event, in milliseconds.
     pub goal_ms: u64,
-    /// Longest pause between events with which a stream is of full worth, in milliseconds.
+    /// Goal for the longest pause between two events of a stream, in milliseconds; 0 means none.
     pub pause_goal_ms: u64,
-    /// Most backend servers that may run one request.
+    /// Maximum number of backend servers that may run one request, including the first.
     pub max_attempts: u32,
-    /// 0 is the most urgent.
+    /// Priority of the route's requests; 0 is the most urgent.
     pub priority: u32,
     /// Whether requests need no API key.
     pub is_public: bool,
 }
 
-/// One service of a route.
+/// A service of a route and its weight.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Split {
-    /// The service's name.
+    /// Name of the service.
     pub service: String,
-    /// Its share of the route's requests, against the other weights.
+    /// Share of the route's requests, relative to the sum of the route's weights.
     pub weight: u32,
 }
 
-/// What may be sent to a backend server once more after it may have run.
+/// Which requests may be retried after an attempt that may have run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RetryPolicy {
-    /// Nothing: at most one run.
+    /// None: a request runs at most once.
     #[default]
     Never,
-    /// The whole request.
+    /// The whole request may be sent again.
     Idempotent,
-    /// A stream, which goes on after the last event that was delivered.
+    /// A stream may be resumed after the last delivered event.
     Resume,
 }
 
-/// A service and, for model services, its engines.
+/// A service and, for model services, the parameters of its engines.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Service {
-    /// The service's name.
+    /// Name of the service; routes and backend servers refer to it.
     pub name: String,
-    /// Most connections that one of its backend servers accepts, from all callers.
+    /// Maximum connections that each of its backend servers accepts, over all callers.
     pub max_connections: u32,
-    /// The engines' parameters, for model services.
+    /// Parameters of its engines; only set for model services.
     pub engine: Option<EngineParameters>,
 }
 
-/// How fast the engines of a model service are, as published.
+/// Published speed and sizes of the engines of a model service.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EngineParameters {
-    /// Requests that one rank generates for at once.
+    /// Maximum requests in the batch of one rank.
     pub slots: u32,
-    /// Tokens that a rank's memory holds.
+    /// Capacity of a rank's memory, in tokens.
     pub memory_tokens: u64,
-    /// Time of a token step, in milliseconds.
+    /// Base time of a decoding step, in milliseconds.
     pub step_ms: f64,
-    /// Added to a step by each request that is generating, in milliseconds.
+    /// Added to a step for each request in the batch, in milliseconds.
     pub per_sequence_ms: f64,
-    /// Added to a step by 1,000 tokens of context, in milliseconds.
+    /// Added to a step for each 1,000 tokens of context, in milliseconds.
     pub per_1k_context_ms: f64,
-    /// Prompt tokens read in a millisecond.
+    /// Prefill speed, in prompt tokens per millisecond.
     pub prefill_tokens_per_ms: f64,
-    /// Added to reading by a million pairs of tokens, in milliseconds.
+    /// Added to the prefill time for each million pairs of tokens, in milliseconds.
     pub per_million_pairs_ms: f64,
-    /// Most prompt tokens read in one step.
+    /// Maximum prompt tokens processed in one step.
     pub chunk_tokens: u32,
-    /// Steps in a pass; an event of a stream holds as many tokens.
+    /// Steps in a pass, and so the number of tokens in one event of a stream.
     pub steps_per_pass: u32,
-    /// Mean tokens of a prompt.
+    /// Mean length of a prompt, in tokens.
     pub mean_prompt_tokens: f64,
-    /// Mean tokens of an answer.
+    /// Mean length of an answer, in tokens.
     pub mean_answer_tokens: f64,
-    /// Sets of layers that share one placement of experts.
+    /// Number of sets of layers; the layers of a set share one placement of experts.
     pub expert_sets: usize,
-    /// Experts in each set.
+    /// Number of experts in each set.
     pub experts: usize,
-    /// Replicas of experts that a rank holds in each set.
+    /// Expert replicas that a rank holds in each set.
     pub replicas_per_rank: usize,
-    /// Experts of a set that are new to a rank in one order, at most.
+    /// Maximum experts of a set that one order may add to a rank.
     pub max_new_experts: usize,
-    /// Share of a token's work that experts do.
+    /// Share of a token's computation that is spent in experts.
     pub expert_share: f64,
     /// Time to copy one expert to a rank, in milliseconds.
     pub copy_ms: f64,
 }
 
-/// A workspace, as far as requests concern it.
+/// The part of a workspace that matters for requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Workspace {
-    /// The workspace's name.
+    /// Name that is passed on to backend servers.
     pub name: String,
-    /// Goes before the priority of a route, where it is set.
+    /// Overrides the priority of the route, if set.
     pub priority: Option<u32>,
 }
 
-/// What callers may send, and how long they may take.
+/// Size and time limits of callers' requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Largest head of a request, in bytes.
+    /// Maximum size of a request's headers, in bytes.
     pub max_header_bytes: usize,
-    /// Largest body of a request, in bytes.
+    /// Maximum size of a request's body, in bytes.
     pub max_body_bytes: usize,
-    /// Longest time to send a request, in milliseconds.
+    /// Maximum time for a caller to send a request, in milliseconds.
     pub header_timeout_ms: u64,
-    /// Longest time for which a connection may be idle, in milliseconds.
+    /// Maximum time for which a connection may be idle, in milliseconds.
     pub idle_timeout_ms: u64,
 }
 
 impl Default for Limits {
-    /// What holds before the first configuration is known: what servers usually allow.
+    /// Common limits of HTTP servers, used until the first configuration is known.
     fn default() -> Self {
         Self {
             max_header_bytes: 16 * 1024,
--- a/crates/fleet/src/engine.rs
+++ b/crates/fleet/src/engine.rs
@@ -1,50 +1,50 @@
-//! The state of a model engine and the orders that change its expert map.
+//! State of a model engine and the orders that change its expert map.
 
 use serde::{Deserialize, Serialize};
 
-/// What an engine says of itself.
+/// State that an engine reports about itself.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct EngineReport {
-    /// Requests that wait for their first pass.
+    /// Requests waiting for their first pass.
     pub waiting: u32,
     /// Requests in the batch.
     pub running: u32,
     /// Tokens in memory that can't be evicted.
     pub memory_used_tokens: u64,
-    /// Above 1 if the engine is slower than published.
+    /// Slowdown against the published speed: 1 at that speed, above 1 if slower.
     pub pace: f64,
-    /// The last pass that began.
+    /// Number of the last pass that started.
     pub pass: u64,
-    /// The rank group that the engine is part of.
+    /// The rank group that the engine belongs to, if any.
     pub group: Option<GroupMembership>,
     /// Version of the expert map in use.
     pub map_version: u64,
-    /// Version of the map whose experts have been copied.
+    /// Version of the map whose experts have been copied to the rank.
     pub prepared_version: Option<u64>,
-    /// The switch that will happen as a pass begins: version and pass.
+    /// Version of the map to switch to, and the first pass that uses it.
     pub armed: Option<(u64, u64)>,
-    /// The pass that the group does not begin until it is released.
+    /// The pass that the group does not start until it is released.
     pub held_pass: Option<u64>,
     /// Unix time of the engine's start, in milliseconds.
     pub started_ms: u64,
 }
 
-/// An engine's place in its rank group.
+/// An engine's membership in its rank group.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct GroupMembership {
-    /// The group's name.
+    /// Name of the group; its record is published under this name.
     pub name: String,
-    /// Rises each time the group forms again.
+    /// Increases each time the group forms again.
     pub epoch: u64,
     /// The engine's rank, from 0.
     pub rank: usize,
-    /// Ranks in the group.
+    /// Number of ranks in the group.
     pub size: usize,
-    /// Whether the group works.
+    /// Whether the group serves requests.
     pub state: GroupState,
 }
 
-/// Whether a rank group works.
+/// Whether a rank group serves requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum GroupState {
     /// All ranks take part in passes.
@@ -54,58 +54,58 @@
     Broken,
 }
 
-/// How often the requests of one rank chose each expert, by set, since the rank started.
+/// How often the requests of one rank selected each expert, by set, since the rank started.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ExpertCounts {
-    /// The pass up to which these counts go.
+    /// Last pass included in the counts.
     pub pass: u64,
-    /// The group's epoch.
+    /// Epoch of the group at that pass.
     pub epoch: u64,
-    /// Choices by set, then by expert, in one row.
+    /// Counts by set, then by expert, flattened.
     pub counts: Vec<u64>,
 }
 
-/// The experts that each rank holds, by set and rank.
+/// The experts that each rank holds; indexed by set, then by rank.
 pub type ExpertMap = Vec<Vec<Vec<u16>>>;
 
 /// An order to one rank of a group.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum MapOrder {
-    /// Copy the experts of a map that the rank lacks.
+    /// Copy the experts of a map that are missing on the rank.
     Prepare {
-        /// The map's version, above all that the rank has had.
+        /// Version of the map; must be higher than all versions that the rank has had.
         version: u64,
-        /// The map.
+        /// The complete map, with all ranks.
         map: std::sync::Arc<ExpertMap>,
     },
-    /// Use a prepared map from a pass on.
+    /// Use a prepared map, starting with a given pass.
     Arm {
-        /// The map's version.
+        /// Version of the prepared map.
         version: u64,
         /// The first pass that uses it.
         pass: u64,
     },
-    /// Don't begin a pass until it is released.
+    /// Don't start a pass until it is released.
     Hold {
-        /// The pass.
+        /// The pass to hold; must not have started.
         pass: u64,
     },
-    /// Let a held pass begin.
+    /// Allow a held pass to start.
     Release {
-        /// The pass.
+        /// The held pass.
         pass: u64,
     },
 }
 
-/// How an engine took an order.
+/// An engine's answer to an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OrderAnswer {
-    /// It has begun, or the state asked for holds already.
+    /// Accepted: execution has started, or the requested state is already reached.
     Taken,
-    /// It does not fit the engine's state, or the group has formed again.
+    /// The order conflicts with the engine's state, or the group has formed again.
     Conflict,
-    /// No such order, or the address belongs to another engine.
+    /// The engine doesn't know the order, or the address belongs to another engine.
     Refused,
-    /// No answer: it may be carried out now, seconds later, or never.
+    /// No answer: the order may be executed now, seconds later, or never.
     Unknown,
 }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,8 +1,8 @@
-//! What a deployment says of itself, in the project's own types: the settings of a process, the
-//! operators' configuration, the backend servers and the state of the model engines.
+//! Platform-independent types of a deployment: process settings, the operators' configuration,
+//! backend servers and the state of model engines.
 //!
 //! The `platform` package decodes the platform's messages into these types; all decisions are
-//! made on them.
+//! based on them.
 
 pub mod configuration;
 pub mod engine;
--- a/crates/fleet/src/server.rs
+++ b/crates/fleet/src/server.rs
@@ -1,25 +1,26 @@
-//! The backend servers that the platform lists.
+//! Backend servers, as registered with the platform.
 
 use std::net::SocketAddr;
 
-/// Names one backend server; it may begin anew under the same name.
+/// Identifies a backend server. The id stays the same when the server restarts.
 pub type ServerId = String;
 
-/// One backend server as listed.
+/// A registered backend server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BackendServer {
-    /// Its name.
+    /// Part of the registry key after the prefix.
     pub id: ServerId,
-    /// The service that it belongs to.
+    /// Name of the service that it belongs to.
     pub service: String,
-    /// Where it takes requests.
+    /// Address on which it accepts requests.
     pub address: SocketAddr,
-    /// Its data centre.
+    /// Name of the data centre that it runs in.
     pub data_centre: String,
-    /// Requests that it works on at once.
+    /// Number of requests that it processes concurrently.
     pub slots: u32,
-    /// Whether it is leaving and takes no new work.
+    /// Whether it is shutting down and accepts no new requests.
     pub is_draining: bool,
-    /// Unix time of its start, in milliseconds, which tells starts under one name apart.
+    /// Unix time of its start, in milliseconds; distinguishes restarts under the same id. 0 if
+    /// unknown.
     pub started_ms: u64,
 }
--- a/crates/fleet/src/settings.rs
+++ b/crates/fleet/src/settings.rs
@@ -1,8 +1,8 @@
-//! What a process is told at its start.
+//! Settings that a process reads at startup.
 
 use std::net::SocketAddr;
 
-/// The settings of one process.
+/// Settings of one process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProcessSettings {
     /// Name of this process's VM.
@@ -11,55 +11,56 @@
     pub data_centre: String,
     /// Region of the VM.
     pub region: String,
-    /// Where callers connect; present on entry VMs.
+    /// Listen address for callers; only set on entry VMs.
     pub callers: Option<SocketAddr>,
-    /// Where readiness is asked for; present on entry VMs.
+    /// Listen address of the readiness check; only set on entry VMs.
     pub readiness: Option<SocketAddr>,
-    /// Where callers ask which entries to use; present on entry VMs.
+    /// Listen address of the directory, which returns entry addresses to callers; only set on entry
+    /// VMs.
     pub directory: Option<SocketAddr>,
     /// IP address of the VM.
     pub ip: std::net::IpAddr,
-    /// First and last port that is free for connections between our own processes.
+    /// Inclusive range of the ports reserved for connections between the load balancer's processes.
     pub internal_ports: (u16, u16),
-    /// The backend server beside this process, on VMs that have one.
+    /// Address of the backend server on this VM, if it runs one.
     pub backend_server: Option<SocketAddr>,
-    /// The service of that backend server.
+    /// Service of that backend server.
     pub backend_service: Option<String>,
-    /// The key-value service.
+    /// Address of the key-value store.
     pub key_value: SocketAddr,
-    /// Most calls a second that may write to the key-value service, over all processes.
+    /// Maximum write calls per second to the key-value store, over all processes.
     pub key_value_writes_per_s: u64,
-    /// Shortest time to live of a lease, in milliseconds.
+    /// Minimum time to live of a lease, in milliseconds.
     pub min_lease_ttl_ms: u64,
-    /// The promises that the deployment asks for.
+    /// Time limits and retry budget that the deployment requires.
     pub bounds: Bounds,
-    /// Memory of the process, in bytes.
+    /// Memory available to the process, in bytes.
     pub memory_bytes: u64,
-    /// Descriptors that the process may have open.
+    /// Maximum number of open file descriptors of the process.
     pub max_descriptors: u64,
-    /// What the VM's link carries in either direction, in bytes a second.
+    /// Bandwidth of the VM's link in each direction, in bytes per second.
     pub link_bytes_per_s: u64,
 }
 
-/// Time limits and budgets that the deployment sets.
+/// Time limits and budgets that a deployment configures.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bounds {
-    /// Time within which a draining backend server must get no more requests, in milliseconds.
+    /// Time after which a draining backend server must not receive new requests, in milliseconds.
     pub drain_ms: u64,
-    /// Time from the request to stop to the forced end of a process, in milliseconds.
+    /// Time between the stop signal and the forced kill of a process, in milliseconds.
     pub grace_ms: u64,
-    /// Share of a service's requests that may be sent to a backend server once more.
+    /// Retry budget as a share of a service's requests.
     pub retry_ratio: f64,
-    /// Such requests that are allowed on top, in each window.
+    /// Retries allowed per window in addition to that share.
     pub retry_slack: f64,
-    /// Length of that window, in milliseconds.
+    /// Window of the retry budget, in milliseconds.
     pub retry_window_ms: u64,
-    /// Longest time for which callers keep a directory answer, in milliseconds.
+    /// Maximum time for which callers cache a directory answer, in milliseconds.
     pub max_directory_ttl_ms: u64,
 }
 
 impl Default for Bounds {
-    /// The figures of the deployments at hand; settings that leave one out get these.
+    /// Used for every bound that the settings omit; the same values as in the existing deployments.
     fn default() -> Self {
         Self {
             drain_ms: 2_000,
--- a/crates/ranks/src/agent.rs
+++ b/crates/ranks/src/agent.rs
@@ -1,4 +1,4 @@
-//! What this agent does for those that connect to it: coordinators, collectors and entries.
+//! Serves the connections of coordinators, collectors and entries to this agent.
 
 use crate::engine::RankSnapshot;
 use flamingowheel_protocol::link::Link;
@@ -8,21 +8,21 @@
 use std::sync::Arc;
 use tokio::sync::{broadcast, watch};
 
-/// What this agent has for others.
+/// State that all connections to this agent share.
 #[derive(Clone, Debug)]
 pub struct Agent {
-    /// What the rank is to be brought to.
+    /// Target state of the rank, as set by the coordinator.
     pub targets: watch::Sender<RankTarget>,
-    /// The agents to collect choices from.
+    /// Agents to collect choices from.
     pub members: watch::Sender<Arc<Vec<SocketAddr>>>,
-    /// What is told of the rank and of its group.
+    /// Updates on the rank and its group.
     pub updates: broadcast::Sender<RankUpdate>,
-    /// What is known of the rank, for whoever connects.
+    /// Latest state of the rank, sent first on each connection.
     pub snapshot: watch::Receiver<RankSnapshot>,
 }
 
 impl Agent {
-    /// Serves a coordinator or a collector: sends it this rank's updates and does what it asks for.
+    /// Serves one connection: sends this rank's updates and executes the peer's requests.
     pub async fn serve(self, mut link: Link<RankUpdate, AgentRequest>) {
         let mut updates = self.updates.subscribe();
         for update in self.first_updates() {
@@ -31,16 +31,16 @@
             }
         }
         let mut decoder = TargetDecoder::default();
-        let mut telling = Subscription::State;
+        let mut subscription = Subscription::State;
         let mut has_members = false;
         loop {
             tokio::select! {
                 request = link.receiver.recv() => match request {
                     None => break,
-                    Some(AgentRequest::Tell(asked)) => telling = asked,
+                    Some(AgentRequest::Tell(asked)) => subscription = asked,
                     Some(AgentRequest::Collect(addresses)) => {
                         let Some(addresses) = addresses.unpack::<Vec<SocketAddr>>() else {
-                            tracing::warn!("addresses to collect from can't be read");
+                            tracing::warn!("can't decode the addresses to collect from");
                             break;
                         };
                         has_members = !addresses.is_empty();
@@ -48,7 +48,7 @@
                     }
                     Some(AgentRequest::Target(message)) => {
                         let Some(target) = decoder.decode(message) else {
-                            tracing::warn!("coordinator changes a map that it never told");
+                            tracing::warn!("target changes a map that was not received");
                             break;
                         };
                         self.targets.send_replace(target);
@@ -56,13 +56,13 @@
                 },
                 update = updates.recv() => match update {
                     Ok(update) => {
-                        let is_wanted = is_wanted(&update, telling);
+                        let is_wanted = is_wanted(&update, subscription);
                         if is_wanted && link.sender.send(update).await.is_err() {
                             break;
                         }
                     }
                     Err(broadcast::error::RecvError::Lagged(missed)) => {
-                        tracing::debug!(missed, "a connected agent is slow");
+                        tracing::debug!(missed, "slow connection missed updates");
                     }
                     Err(broadcast::error::RecvError::Closed) => break,
                 },
@@ -73,7 +73,7 @@
         }
     }
 
-    /// What whoever connects is told at first.
+    /// Returns the updates that are sent first on each connection.
     fn first_updates(&self) -> Vec<RankUpdate> {
         let RankSnapshot { state, experts } = self.snapshot.borrow().clone();
         let experts =
@@ -82,13 +82,13 @@
     }
 }
 
-fn is_wanted(update: &RankUpdate, telling: Subscription) -> bool {
+fn is_wanted(update: &RankUpdate, subscription: Subscription) -> bool {
     match update {
-        RankUpdate::Choices(_) => telling == Subscription::Choices,
-        RankUpdate::Sum(_) => telling == Subscription::Sums,
-        RankUpdate::Group(_) => telling == Subscription::Group,
+        RankUpdate::Choices(_) => subscription == Subscription::Choices,
+        RankUpdate::Sum(_) => subscription == Subscription::Sums,
+        RankUpdate::Group(_) => subscription == Subscription::Group,
         RankUpdate::State(_) | RankUpdate::Progress(_) | RankUpdate::Experts { .. } => {
-            telling != Subscription::Group
+            subscription != Subscription::Group
         }
     }
 }
--- a/crates/ranks/src/collect.rs
+++ b/crates/ranks/src/collect.rs
@@ -1,9 +1,10 @@
-//! Counts of a large group on their way to its coordinator.
+//! Aggregation of expert counts on their way to the coordinator of a large group.
 //!
-//! All ranks tell how often experts were chosen ten times a second. From 95 agents that is more than
-//! the link of one VM carries. So in a large group some agents sum up what those near them tell, and the
-//! coordinator gets the sums only. Nothing else goes that way: while such an agent is away, the counts of a
-//! few ranks are missing, which changes the shares of experts little, and no order is late.
+//! Each rank publishes ten times a second how often its requests chose each expert. From 95 agents
+//! that exceeds the bandwidth of one VM's link. In a large group some agents, the collectors,
+//! therefore sum up the choices of agents near them, and the coordinator receives only the sums.
+//! Nothing else takes this path: while a collector is away, the counts of a few ranks are missing,
+//! which hardly changes the shares of the experts, and no order is delayed.
 
 use crate::engine::COUNTS_INTERVAL;
 use crate::peers::{AgentLink, Reconnect, keep_connected};
@@ -18,20 +19,21 @@
 use tokio::time::{Instant, sleep_until};
 use tokio_util::sync::CancellationToken;
 
-/// Part of a link that the counts of a group may take at its coordinator.
+/// Share of the coordinator's link that the counts of its group may use.
 const LINK_SHARE: f64 = 0.25;
 
-/// Size of a count on its way, in bytes.
+/// Encoded size of one count, in bytes.
 const COUNT_BYTES: f64 = 0.6;
 
-/// Longest wait for the rest of a window's choices after the first of them. Ranks do each pass together, so
-/// that their agents tell of it at nearly the same time.
+/// Time after the first choices of a window until an incomplete sum is sent. All ranks run each
+/// pass together, so their agents publish its choices at nearly the same time.
 pub const FLUSH_TIMEOUT: Duration = Duration::from_millis(40);
 
-/// Sums that may wait for the collector.
+/// Number of choices buffered for the collector.
 const CHOICES_CAPACITY: usize = 64;
 
-/// How many agents' counts, of `counts` numbers each, a link of `link_bytes_per_s` carries beside the rest.
+/// Returns from how many agents a link of `link_bytes_per_s` can receive `counts` counts each,
+/// within the share of the link reserved for them.
 ///
 /// ```
 /// use flamingowheel_ranks::collect::max_direct_agents;
@@ -43,46 +45,50 @@
     (link_bytes_per_s as f64 * LINK_SHARE / each_bytes_per_s) as usize
 }
 
-/// Who sums up the choices of whom, by the agents' addresses.
+/// Which agents send choices to the coordinator and which to collectors, by the agents' addresses.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Assignment {
-    /// Agents that tell the coordinator their own rank's choices.
+    /// Agents that send their own rank's choices to the coordinator.
     direct: HashSet<SocketAddr>,
-    /// The agents whose choices an agent sums up, by that agent.
+    /// Collectors, and the agents whose choices each of them sums up.
     collectors: HashMap<SocketAddr, Arc<Vec<SocketAddr>>>,
 }
 
-/// One agent's part in an assignment.
+/// The part of an assignment that concerns one agent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AgentAssignment {
-    /// What it tells the coordinator.
-    pub telling: Subscription,
-    /// The agents that it collects from.
+    /// Which updates it sends to the coordinator.
+    pub subscription: Subscription,
+    /// The agents that it collects choices from; empty if it is no collector.
     pub members: Arc<Vec<SocketAddr>>,
 }
 
 impl AgentAssignment {
-    /// What has to be asked of the agent, after it was asked for `told`.
-    pub fn requests(&self, told: &(Subscription, Arc<Vec<SocketAddr>>)) -> Vec<AgentRequest> {
+    /// Returns the requests that bring the agent from the part `sent`, which it was sent last, to
+    /// this one.
+    pub fn requests(&self, sent: &(Subscription, Arc<Vec<SocketAddr>>)) -> Vec<AgentRequest> {
         let mut requests = Vec::new();
-        if self.members != told.1
+        if self.members != sent.1
             && let Some(packed) = Packed::pack(&*self.members)
         {
             requests.push(AgentRequest::Collect(packed));
         }
-        if self.telling != told.0 {
-            requests.push(AgentRequest::Tell(self.telling));
+        if self.subscription != sent.0 {
+            requests.push(AgentRequest::Tell(self.subscription));
         }
         requests
     }
 }
 
 impl Assignment {
-    /// Deals the agents of a group out, those of each data centre among themselves: bytes between
-    /// data centres are paid for. `agents` are those that are heard, by data centre and rank.
+    /// Distributes the agents of a group over collectors in the same data centre, since traffic
+    /// between data centres is billed. `agents` are the live ones, each with its data centre, rank
+    /// and address.
     ///
-    /// Up to `max_direct_agents` agents tell the coordinator themselves. Of more, some sum up the choices of up to
-    /// the root of twice their number, so that these hear about as many as the coordinator.
+    /// Up to `max_direct_agents` agents send their choices to the coordinator directly. If there
+    /// are more, they are divided into parts of up to the square root of twice their number, and
+    /// the first agent of each part collects from the others. A collector then has about as many
+    /// sources as the coordinator.
     ///
     /// ```
     /// use flamingowheel_ranks::collect::Assignment;
@@ -91,8 +97,8 @@
     /// let address = |rank: usize| std::net::SocketAddr::from(([10, 0, 0, rank as u8], 7_000));
     /// let agents = agents.into_iter().map(|(dc, rank)| (dc.into(), rank, address(rank))).collect();
     /// let assignment = Assignment::distribute(agents, 16);
-    /// assert_eq!(assignment.for_agent(address(1)).telling, Subscription::Sums);
-    /// assert_eq!(assignment.for_agent(address(2)).telling, Subscription::State);
+    /// assert_eq!(assignment.for_agent(address(1)).subscription, Subscription::Sums);
+    /// assert_eq!(assignment.for_agent(address(2)).subscription, Subscription::State);
     /// ```
     pub fn distribute(
         agents: Vec<(Arc<str>, usize, SocketAddr)>,
@@ -110,7 +116,7 @@
         }
         for agents in by_data_centre.into_values() {
             let agents: Vec<SocketAddr> = agents.into_values().collect();
-            // Parts of one size, where full ones and a rest would be uneven.
+            // Equal parts instead of full ones and a small remainder.
             let parts = agents.len().div_ceil(members);
             for part in agents.chunks(agents.len().div_ceil(parts)) {
                 let Some((collector, others)) = part.split_first() else {
@@ -122,43 +128,46 @@
         assignment
     }
 
-    /// The part of one agent.
+    /// Returns the part of one agent.
     pub fn for_agent(&self, agent: SocketAddr) -> AgentAssignment {
         if let Some(members) = self.collectors.get(&agent) {
-            return AgentAssignment { telling: Subscription::Sums, members: Arc::clone(members) };
+            return AgentAssignment {
+                subscription: Subscription::Sums,
+                members: Arc::clone(members),
+            };
         }
-        let telling =
+        let subscription =
             if self.direct.contains(&agent) { Subscription::Choices } else { Subscription::State };
-        AgentAssignment { telling, members: Arc::default() }
+        AgentAssignment { subscription, members: Arc::default() }
     }
 
-    /// Most agents that one agent collects from.
+    /// Returns the largest number of agents that one collector collects from.
     pub fn max_members(&self) -> usize {
         self.collectors.values().map(|members| members.len()).max().unwrap_or(0)
     }
 
-    /// Agents that tell the coordinator choices or sums.
+    /// Returns the number of agents that send choices or sums to the coordinator.
     pub fn sources(&self) -> usize {
         self.direct.len() + self.collectors.len()
     }
 }
 
-/// Sums up what agents tell, this one included.
+/// Sums up the choices of other agents and of this one.
 #[derive(Debug)]
 pub struct Collector {
-    /// Who this agent is.
+    /// Identity with which this agent connects to others.
     pub identity: Identity,
-    /// The agents to collect from.
+    /// Agents to collect from; the local choices are not published as sums while it is empty.
     pub members: watch::Receiver<Arc<Vec<SocketAddr>>>,
-    /// What this agent tells; sums go there as well.
+    /// Updates of this agent: the source of its own choices and the destination of the sums.
     pub updates: broadcast::Sender<RankUpdate>,
 }
 
 impl Collector {
     /// Collects until dropped.
     pub async fn run(mut self) {
-        let (sender, mut told) = mpsc::channel(CHOICES_CAPACITY);
-        let mut own = self.updates.subscribe();
+        let (sender, mut received) = mpsc::channel(CHOICES_CAPACITY);
+        let mut local = self.updates.subscribe();
         let mut connected: HashMap<SocketAddr, CancellationToken> = HashMap::new();
         let mut sum = ExpertCountSum::default();
         let mut flush_at = None;
@@ -177,12 +186,12 @@
                     let members = Arc::clone(&self.members.borrow_and_update());
                     self.connect(&members, &mut connected, &sender);
                 }
-                Some(choices) = told.recv() => sum.add(&choices),
-                update = own.recv() => match update {
+                Some(choices) = received.recv() => sum.add(&choices),
+                update = local.recv() => match update {
                     Ok(RankUpdate::Choices(choices)) if !connected.is_empty() => sum.add(&choices),
                     Ok(_) => {}
                     Err(broadcast::error::RecvError::Lagged(missed)) => {
-                        tracing::debug!(missed, "own choices missed");
+                        tracing::debug!(missed, "local choices missed");
                     }
                     Err(broadcast::error::RecvError::Closed) => return,
                 },
@@ -193,7 +202,7 @@
             if is_due || is_whole {
                 flush_at = None;
                 if let Some(choices) = sum.take() {
-                    // Nobody listens while no coordinator is connected.
+                    // Fails only while no coordinator is connected.
                     let _ = self.updates.send(RankUpdate::Sum(choices));
                 }
             } else if sum.ranks > 0 && flush_at.is_none() {
@@ -202,7 +211,7 @@
         }
     }
 
-    /// Connects to new members and leaves those that are none any more.
+    /// Connects to new members and disconnects from those that are no longer members.
     fn connect(
         &self,
         members: &[SocketAddr],
@@ -224,21 +233,21 @@
             connected.insert(agent, stop.clone());
             let (identity, choices) = (self.identity.clone(), choices.clone());
             tokio::spawn(async move {
-                let attend = |link| take_choices(link, choices.clone());
-                let keeping = keep_connected(agent, &identity, attend);
+                let serve = |link| forward_choices(link, choices.clone());
+                let keeping = keep_connected(agent, &identity, serve);
                 stop.run_until_cancelled(keeping).await;
             });
         }
     }
 }
 
-async fn take_choices(mut link: AgentLink, choices: mpsc::Sender<ExpertCounts>) -> Reconnect {
+async fn forward_choices(mut link: AgentLink, choices: mpsc::Sender<ExpertCounts>) -> Reconnect {
     if link.sender.send(AgentRequest::Tell(Subscription::Choices)).await.is_err() {
         return Reconnect::Yes;
     }
     while let Some(update) = link.receiver.recv().await {
-        if let RankUpdate::Choices(told) = update
-            && choices.send(told).await.is_err()
+        if let RankUpdate::Choices(choices_update) = update
+            && choices.send(choices_update).await.is_err()
         {
             return Reconnect::No;
         }
@@ -246,7 +255,7 @@
     Reconnect::Yes
 }
 
-/// Choices of several ranks, summed up.
+/// Running sum of the choices of several ranks.
 #[derive(Clone, Debug, Default)]
 pub struct ExpertCountSum {
     ranks: u16,
@@ -254,7 +263,8 @@
 }
 
 impl ExpertCountSum {
-    /// Adds what was told. Choices of another shape begin a new sum: the group has formed anew.
+    /// Adds choices. Choices with another number of counts start a new sum, since the group has
+    /// formed again.
     ///
     /// ```
     /// use flamingowheel_protocol::ranks::ExpertCounts;
@@ -268,7 +278,7 @@
     /// ```
     pub fn add(&mut self, choices: &ExpertCounts) {
         let Some(counts) = choices.unpack() else {
-            tracing::warn!("choices can't be read");
+            tracing::warn!("can't decode choices");
             return;
         };
         if self.counts.len() != counts.len() {
@@ -281,7 +291,7 @@
         }
     }
 
-    /// The sum since the last call, if anything was added.
+    /// Returns and resets the sum; `None` if nothing was added since the last call.
     pub fn take(&mut self) -> Option<ExpertCounts> {
         let sum = std::mem::take(self);
         (sum.ranks > 0).then(|| ExpertCounts::pack_sum(&sum.counts, sum.ranks))
--- a/crates/ranks/src/coordinator.rs
+++ b/crates/ranks/src/coordinator.rs
@@ -1,4 +1,4 @@
-//! Keeps the expert map of one group even; runs beside rank 0.
+//! Keeps the expert map of one group balanced; runs in the agent of rank 0.
 
 use crate::collect::Assignment;
 use crate::group::Group;
@@ -22,96 +22,97 @@
 use tokio::sync::{broadcast, mpsc, watch};
 use tokio::time::{Instant, MissedTickBehavior, interval};
 
-/// Time between looks at a change under way: a fraction of a pass.
+/// Interval at which a map switch in progress is advanced: a fraction of a pass.
 const TICK: Duration = Duration::from_millis(10);
 
-/// Time between readings of demand; the windows in which it is learnt.
+/// Length of the windows over which demand is learnt.
 const WINDOW: Duration = Duration::from_millis(100);
 
-/// Time between two words on how the group stands, to entries.
+/// Interval between status updates on the group to entries.
 const STATUS_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Time for copies before a change is given up: 2 copies of 0.15 s, and an order that is carried
-/// out only when it is given again.
-const PREPARE_LIMIT: Duration = Duration::from_millis(1_500);
+/// Time to copy experts before a switch is given up: 2 copies of 0.15 s, and one repeated order in
+/// case the first has no effect.
+const PREPARE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Time after which ranks whose agents don't show them armed are armed from here.
-const DIRECT_AFTER: Duration = Duration::from_millis(300);
+/// Time after which the coordinator arms ranks itself that are not reported as armed.
+const DIRECT_ARM_DELAY: Duration = Duration::from_millis(300);
 
-/// Age of a hold at which its giver must have been heard from. A VM that stops as it gives the
-/// order can't be armed, and the group would wait for it as long as it is away: 4 s were seen.
-const HOLDER_PROOF: Duration = Duration::from_millis(15);
+/// How long after a hold was observed its issuer must still report. A VM that stops right after it
+/// sent the order can't be armed, and the group would wait until it is back, which can take 4 s.
+const ISSUER_PROOF_DELAY: Duration = Duration::from_millis(15);
 
-/// Time to hear from the agent that gave the hold, after the hold was seen: several ways and polls.
-const HOLDER_LIMIT: Duration = Duration::from_millis(80);
+/// Time for that report of the issuer to arrive: several network round trips and polls.
+const ISSUER_PROOF_TIMEOUT: Duration = Duration::from_millis(80);
 
-/// Time for a hold to show after it was asked for. Engines leave some orders unanswered.
-const ASK_LIMIT: Duration = Duration::from_millis(600);
+/// Time for a requested hold to take effect. Engines leave some orders unanswered.
+const HOLD_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Pause between readings of the list of backend servers while ranks are missing.
-const LIST_PAUSE: Duration = Duration::from_secs(2);
+/// Minimum interval between lookups of the backend servers while ranks are missing.
+const LOOKUP_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Range of the random part of a version. Two coordinators of one group, one after the other,
-/// would otherwise give one version to two maps: a rank that holds the older one would pass for
+/// Range of the random part of a map version. Otherwise two successive coordinators of a group
+/// could use the same version for different maps, and a rank with the older map would count as
 /// prepared.
 const VERSION_SPREAD: u64 = 1 << 20;
 
-/// What the coordinator works with.
+/// The coordinator of one group. It does nothing until its own engine reports that it is rank 0.
 #[derive(Debug)]
 pub struct Coordinator<K> {
     /// Finds the engines of the group.
     pub lookup: Lookup<K>,
-    /// Tells entries of the group.
+    /// Publishes the group's record to entries.
     pub publisher: GroupPublisher<K>,
-    /// The rank's own engine.
+    /// Client of the engine on this VM.
     pub local_engine: EngineClient,
-    /// The rank's own engine's address.
+    /// Address of the engine on this VM.
     pub local_address: SocketAddr,
-    /// What all ranks are to be brought to.
+    /// Target state of all ranks.
     pub targets: watch::Sender<RankTarget>,
-    /// Updates of the rank's own engine.
+    /// Updates from the poller of the engine on this VM.
     pub local_updates: broadcast::Receiver<RankUpdate>,
-    /// Where the group's status goes.
+    /// Receives the group's status at regular intervals.
     pub status: broadcast::Sender<RankUpdate>,
-    /// Connections to the other ranks' agents; the group is filled in.
+    /// Opens connections to the other ranks' agents; its group is set before each use.
     pub peers: PeerConnector,
-    /// Who tells choices to whom.
+    /// Which agents send choices to which others.
     pub assignment: watch::Sender<Arc<Assignment>>,
-    /// What the VM's link carries, in bytes a second.
+    /// Bandwidth of the VM's link, in bytes per second.
     pub link_bytes_per_s: u64,
-    /// Ranks that are seen to from here.
+    /// Pollers for ranks without a living agent.
     pub remote_pollers: RemotePollers,
-    /// Updates of the other ranks.
+    /// Updates from the other ranks' agents and from the remote pollers.
     pub peer_updates: mpsc::Receiver<PeerUpdate>,
-    /// The version planned last.
+    /// Version of the map that was planned last; 0 before the first.
     pub last_version: u64,
-    /// Holds that were asked for and nothing was armed for, by epoch and pass.
+    /// Holds that were requested but for which no rank was armed, by epoch and pass.
     pub requested_holds: HashSet<(u64, u64)>,
 }
 
 #[derive(Debug, Default)]
 enum Phase {
     #[default]
-    Watching,
+    Idle,
     Preparing(Switch<Preparing>, Instant),
-    Holding(Switch<Holding>, Holder),
-    Arming(Switch<Arming>, Armer),
+    Holding(Switch<Holding>, HoldRequest),
+    Arming(Switch<Arming>, ArmingTimes),
     Releasing(Switch<Releasing>),
     Released(Switch<Released>),
 }
 
-/// When the hold was asked for, if it was from here, and when ranks are armed from here.
+/// Times of the arming phase. `requested_at` is absent if an earlier coordinator requested the
+/// hold; from `arm_directly_at` on, this coordinator arms the remaining ranks itself.
 #[derive(Clone, Copy, Debug)]
-struct Armer {
-    asked_at: Option<Instant>,
-    direct_at: Instant,
+struct ArmingTimes {
+    requested_at: Option<Instant>,
+    arm_directly_at: Instant,
 }
 
-/// The agent that was asked for a hold.
+/// A requested hold, and the rank whose agent is to issue it.
 #[derive(Clone, Copy, Debug)]
-struct Holder {
-    by: usize,
-    asked_at: Instant,
+struct HoldRequest {
+    issuer: usize,
+    requested_at: Instant,
     held_at: Option<Instant>,
 }
 
@@ -122,7 +123,7 @@
     /// Coordinates until dropped.
     pub async fn run(mut self) {
         let mut group: Option<Group> = None;
-        let mut phase = Phase::Watching;
+        let mut phase = Phase::Idle;
         let mut ticks = interval(TICK);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut windows = interval(WINDOW);
@@ -130,33 +131,33 @@
         let mut statuses = interval(STATUS_INTERVAL);
         statuses.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
-            let is_active = !matches!(phase, Phase::Watching);
+            let is_active = !matches!(phase, Phase::Idle);
             let is_due = tokio::select! {
                 update = self.local_updates.recv() => match update {
-                    Ok(update) => self.take_own(&mut group, update),
+                    Ok(update) => self.apply_local_update(&mut group, update),
                     Err(broadcast::error::RecvError::Lagged(missed)) => {
-                        tracing::debug!(missed, "updates of the own engine missed");
+                        tracing::debug!(missed, "updates of the local engine missed");
                         false
                     }
                     Err(broadcast::error::RecvError::Closed) => return,
                 },
-                Some(told) = self.peer_updates.recv() => {
-                    let is_news = matches!(told.update, RankUpdate::State(_));
+                Some(peer_update) = self.peer_updates.recv() => {
+                    let is_state_update = matches!(peer_update.update, RankUpdate::State(_));
                     if let Some(group) = &mut group {
-                        group.apply_update(told);
+                        group.apply_update(peer_update);
                     }
-                    is_news
+                    is_state_update
                 }
                 Some(found) = self.lookup.next() => {
                     if let Some(group) = &mut group {
-                        self.take_found(group, found);
+                        self.apply_lookup(group, found);
                     }
                     false
                 }
                 _ = ticks.tick(), if is_active => true,
                 _ = statuses.tick() => {
                     if let Some(group) = &group {
-                        // Nobody listens while no entry is connected.
+                        // Fails only while no entry is connected.
                         let _ = self.status.send(RankUpdate::Group(group.status()));
                     }
                     false
@@ -168,19 +169,19 @@
                     true
                 }
             };
-            let Some(known) = group.as_mut().filter(|_| is_active && is_due) else {
+            let Some(group) = group.as_mut().filter(|_| is_active && is_due) else {
                 continue;
             };
-            phase = self.advance(phase, known).await;
-            if matches!(phase, Phase::Watching) {
-                phase = self.watch(known);
+            phase = self.advance(phase, group).await;
+            if matches!(phase, Phase::Idle) {
+                phase = self.plan(group);
             }
         }
     }
 
-    /// Takes in what the own engine's poller tells. Returns whether more than progress has changed.
-    fn take_own(&self, group: &mut Option<Group>, update: RankUpdate) -> bool {
-        let is_news = matches!(update, RankUpdate::State(_));
+    /// Applies an update of the local engine. Returns whether more than its progress has changed.
+    fn apply_local_update(&self, group: &mut Option<Group>, update: RankUpdate) -> bool {
+        let is_state_update = matches!(update, RankUpdate::State(_));
         if let RankUpdate::State(state) = &update {
             if state.rank != 0 {
                 *group = None;
@@ -199,28 +200,28 @@
                 update,
             });
         }
-        is_news
+        is_state_update
     }
 
-    /// Learns from the window that ends, and sees to what has to be done from time to time.
+    /// Adds the finished window to the demand and does the periodic work.
     fn end_window(&mut self, phase: Phase, group: &mut Group) -> Phase {
         let has_shifted = group.close_window();
-        self.find_ranks(group);
-        self.announce(group);
-        self.assign(group);
+        self.start_lookup(group);
+        self.publish_record(group);
+        self.update_assignment(group);
         self.remote_pollers.poll(&group.engines_without_agent(self.local_address));
         match phase {
-            Phase::Watching => self.watch(group),
-            phase if has_shifted => self.drop_outdated(phase, group),
+            Phase::Idle => self.plan(group),
+            phase if has_shifted => self.replace_outdated(phase, group),
             phase => phase,
         }
     }
 
-    /// Has the engines' parameters and addresses read while ranks are missing.
-    fn find_ranks(&mut self, group: &mut Group) {
+    /// Looks up the engines' parameters and addresses while any are missing.
+    fn start_lookup(&mut self, group: &mut Group) {
         let now = Instant::now();
         let is_complete = group.parameters.is_some() && group.fresh_states(now).is_some();
-        let is_early = group.listed_at.is_some_and(|at| now - at < LIST_PAUSE);
+        let is_early = group.listed_at.is_some_and(|at| now - at < LOOKUP_INTERVAL);
         if is_complete || is_early {
             return;
         }
@@ -228,7 +229,7 @@
         self.lookup.start(group.parameters.is_none());
     }
 
-    fn take_found(&self, group: &mut Group, found: LookupResult) {
+    fn apply_lookup(&self, group: &mut Group, found: LookupResult) {
         if let Some(parameters) = found.parameters {
             group.parameters = Some(parameters);
         }
@@ -238,19 +239,19 @@
         group.listed = found.engines;
     }
 
-    /// Tells entries which engines form the group, and which of them are slow.
-    fn announce(&mut self, group: &mut Group) {
+    /// Publishes to entries which engines form the group and how slow each one is.
+    fn publish_record(&mut self, group: &mut Group) {
         if group.ranks.len() == group.size {
             self.publisher.publish(&group.name, group.record());
         }
     }
 
-    /// Tells agents whose choices to sum up, when others are heard than before.
-    fn assign(&self, group: &Group) {
+    /// Distributes a new assignment when the set of reachable agents has changed.
+    fn update_assignment(&self, group: &Group) {
         let assignment =
             group.assignment(self.local_address, self.peers.port, self.link_bytes_per_s);
-        self.assignment.send_if_modified(|told| {
-            let is_other = **told != assignment;
+        self.assignment.send_if_modified(|current| {
+            let is_other = **current != assignment;
             if is_other {
                 tracing::info!(
                     group = group.name,
@@ -258,16 +259,17 @@
                     most_members = assignment.max_members(),
                     "choices assigned"
                 );
-                *told = Arc::new(assignment);
+                *current = Arc::new(assignment);
             }
             is_other
         });
     }
 
-    /// Gives up a change that ranks are still preparing, if it was made for a demand that has gone.
-    /// Finished, it would keep a better one waiting for half a second. One that still helps is
-    /// finished: in long passes windows differ much, and a change dropped at each would never end.
-    fn drop_outdated(&mut self, phase: Phase, group: &Group) -> Phase {
+    /// Replaces a switch that ranks are still preparing if it was planned for demand that has since
+    /// shifted. Finishing it would delay a better one by half a second. A switch that still helps
+    /// is finished: with long passes the windows differ a lot, and a switch dropped at each shift
+    /// would never complete.
+    fn replace_outdated(&mut self, phase: Phase, group: &Group) -> Phase {
         let Phase::Preparing(switch, since) = phase else {
             return phase;
         };
@@ -275,32 +277,37 @@
         let Some((step, states)) = better.zip(group.fresh_states(Instant::now())) else {
             return Phase::Preparing(switch, since);
         };
-        tracing::info!(version = switch.version, "change given up: demand shifted");
-        self.begin(group, &states, step)
+        tracing::info!(version = switch.version, "switch given up: demand shifted");
+        self.begin_switch(group, &states, step)
     }
 
-    /// Decides whether to change the map, and takes up what an earlier coordinator left.
-    fn watch(&mut self, group: &Group) -> Phase {
+    /// Starts a switch if the map should change, or resumes one that an earlier coordinator left.
+    fn plan(&mut self, group: &Group) -> Phase {
         let now = Instant::now();
         if let Some(stray) = self.stray_hold(group) {
-            tracing::info!(group = group.name, pass = stray, "late hold lifted");
+            tracing::info!(group = group.name, pass = stray, "releasing a stray hold");
             return Phase::Releasing(Switch::abandoned(group.epoch, stray));
         }
         let Some(states) = group.fresh_states(now) else {
-            return Phase::Watching;
+            return Phase::Idle;
         };
-        if let Some(left) = find_unfinished(&states) {
-            tracing::info!(group = group.name, epoch = group.epoch, ?left, "change taken up");
-            return into_phase(left, now);
+        if let Some(unfinished) = find_unfinished(&states) {
+            tracing::info!(
+                group = group.name,
+                epoch = group.epoch,
+                left = ?unfinished,
+                "resuming a switch"
+            );
+            return resume_phase(unfinished, now);
         }
         match group.next_step(&states) {
-            Some(step) => self.begin(group, &states, step),
-            None => Phase::Watching,
+            Some(step) => self.begin_switch(group, &states, step),
+            None => Phase::Idle,
         }
     }
 
-    /// Has all ranks prepare the map of a step.
-    fn begin(&mut self, group: &Group, states: &[RankState], step: Step) -> Phase {
+    /// Starts a switch: all ranks prepare the map of a step.
+    fn begin_switch(&mut self, group: &Group, states: &[RankState], step: Step) -> Phase {
         let spread = rand::random_range(1..VERSION_SPREAD);
         let version = next_version(states, self.last_version, spread);
         self.last_version = version;
@@ -319,8 +326,8 @@
         Phase::Preparing(switch, Instant::now())
     }
 
-    /// A hold that this coordinator asked for, and that took effect only after it had given the
-    /// change up. Nothing was armed for it, so it can be lifted whoever else is away.
+    /// Returns a hold that this coordinator requested and that took effect only after the switch
+    /// was given up. No rank was armed for it, so it can be released even if ranks are missing.
     fn stray_hold(&self, group: &Group) -> Option<u64> {
         let pass = group.ranks.get(&0)?.state.held_pass?;
         let is_unarmed = self.requested_holds.contains(&(group.epoch, pass));
@@ -333,42 +340,42 @@
             tracing::info!(
                 group = group.name,
                 epoch = group.epoch,
-                "change void: group formed again"
+                "switch void: group formed again"
             );
             self.targets.send_replace(RankTarget::Idle);
-            return Phase::Watching;
+            return Phase::Idle;
         }
         match phase {
-            Phase::Watching => Phase::Watching,
+            Phase::Idle => Phase::Idle,
             Phase::Preparing(switch, since) => {
                 match switch.advance(&states, group.passes_ahead()) {
-                    Ok(holding) if states.len() == group.size => self.ask_for_hold(holding, group),
-                    Ok(_) => Phase::Watching,
-                    Err(switch) if since.elapsed() > PREPARE_LIMIT => {
+                    Ok(holding) if states.len() == group.size => self.request_hold(holding, group),
+                    Ok(_) => Phase::Idle,
+                    Err(switch) if since.elapsed() > PREPARE_TIMEOUT => {
                         tracing::warn!(
                             version = switch.version,
-                            "change given up: not prepared in time"
+                            "switch given up: not prepared in time"
                         );
                         self.targets.send_replace(RankTarget::Idle);
-                        Phase::Watching
+                        Phase::Idle
                     }
                     Err(switch) => Phase::Preparing(switch, since),
                 }
             }
-            Phase::Holding(switch, holder) => self.hold(switch, holder, group).await,
-            Phase::Arming(switch, armer) => match switch.advance(&states) {
+            Phase::Holding(switch, request) => self.advance_hold(switch, request, group).await,
+            Phase::Arming(switch, times) => match switch.advance(&states) {
                 Ok(releasing) => {
-                    if let Some(asked_at) = armer.asked_at {
-                        group.record_arming_time(asked_at.elapsed());
+                    if let Some(requested_at) = times.requested_at {
+                        group.record_arming_time(requested_at.elapsed());
                     }
                     self.release(releasing).await
                 }
-                Err(switch) if Instant::now() >= armer.direct_at => {
+                Err(switch) if Instant::now() >= times.arm_directly_at => {
                     self.arm_directly(&switch, group).await;
-                    let direct_at = Instant::now() + DIRECT_AFTER;
-                    Phase::Arming(switch, Armer { direct_at, ..armer })
+                    let arm_directly_at = Instant::now() + DIRECT_ARM_DELAY;
+                    Phase::Arming(switch, ArmingTimes { arm_directly_at, ..times })
                 }
-                Err(switch) => Phase::Arming(switch, armer),
+                Err(switch) => Phase::Arming(switch, times),
             },
             Phase::Releasing(switch) => self.release(switch).await,
             Phase::Released(switch) => {
@@ -377,93 +384,106 @@
                     tracing::info!(group = group.name, version = switch.version, "map in use");
                     group.record_switch(switch.version, &switch.map);
                     self.targets.send_replace(RankTarget::Idle);
-                    return Phase::Watching;
+                    return Phase::Idle;
                 }
                 Phase::Released(switch)
             }
         }
     }
 
-    /// Asks another rank's agent for the hold.
-    fn ask_for_hold(&mut self, switch: Switch<Holding>, group: &Group) -> Phase {
-        let by = group.hold_issuer();
-        if let Some(target) = switch.target(by) {
+    /// Requests the hold from another rank's agent.
+    fn request_hold(&mut self, switch: Switch<Holding>, group: &Group) -> Phase {
+        let issuer = group.hold_issuer();
+        if let Some(target) = switch.target(issuer) {
             self.targets.send_replace(target);
         }
         self.requested_holds.retain(|(epoch, _)| *epoch == switch.epoch);
         self.requested_holds.insert((switch.epoch, switch.pass()));
-        Phase::Holding(switch, Holder { by, asked_at: Instant::now(), held_at: None })
+        Phase::Holding(switch, HoldRequest { issuer, requested_at: Instant::now(), held_at: None })
     }
 
-    async fn hold(&mut self, switch: Switch<Holding>, mut holder: Holder, group: &Group) -> Phase {
+    async fn advance_hold(
+        &mut self,
+        switch: Switch<Holding>,
+        mut request: HoldRequest,
+        group: &Group,
+    ) -> Phase {
         let now = Instant::now();
         let pass = switch.pass();
         let Ok(report) = self.local_engine.report().await else {
-            return Phase::Holding(switch, holder);
+            return Phase::Holding(switch, request);
         };
         if report.map_version == switch.version {
-            // Somebody else finished the change while this process was frozen.
+            // Another agent finished the switch while this process was frozen.
             self.targets.send_replace(RankTarget::Idle);
-            return Phase::Watching;
+            return Phase::Idle;
         }
         let states: Vec<RankState> = group.states();
         if report.held_pass == Some(pass) {
-            let held_at = *holder.held_at.get_or_insert(now);
-            let is_alive = group.ranks.get(&holder.by).is_some_and(|rank| {
-                rank.state.gave_hold == Some(pass) && rank.seen_at >= held_at + HOLDER_PROOF
+            let held_at = *request.held_at.get_or_insert(now);
+            let is_alive = group.ranks.get(&request.issuer).is_some_and(|rank| {
+                rank.state.gave_hold == Some(pass) && rank.seen_at >= held_at + ISSUER_PROOF_DELAY
             });
             if is_alive {
                 self.requested_holds.remove(&(switch.epoch, pass));
                 let arming = switch.held();
                 self.targets.send_replace(arming.target());
-                let asked_at = Some(holder.asked_at);
-                return Phase::Arming(arming, Armer { asked_at, direct_at: now + DIRECT_AFTER });
+                let requested_at = Some(request.requested_at);
+                return Phase::Arming(
+                    arming,
+                    ArmingTimes { requested_at, arm_directly_at: now + DIRECT_ARM_DELAY },
+                );
             }
-            if now - held_at > HOLDER_LIMIT {
-                tracing::warn!(pass, by = holder.by, "hold lifted: nothing heard from its giver");
+            if now - held_at > ISSUER_PROOF_TIMEOUT {
+                tracing::warn!(
+                    pass,
+                    by = request.issuer,
+                    "releasing the hold: its issuer is silent"
+                );
                 self.targets.send_replace(RankTarget::Idle);
                 return self.release(switch.abandon()).await;
             }
-            return Phase::Holding(switch, holder);
+            return Phase::Holding(switch, request);
         }
         if report.pass >= pass {
             return self
-                .ask_for_hold(switch.postpone(&states, report.pass, group.passes_ahead()), group);
+                .request_hold(switch.postpone(&states, report.pass, group.passes_ahead()), group);
         }
-        if now - holder.asked_at > ASK_LIMIT {
-            tracing::warn!(pass, by = holder.by, "change given up: no hold");
+        if now - request.requested_at > HOLD_TIMEOUT {
+            tracing::warn!(pass, by = request.issuer, "switch given up: hold had no effect");
             self.targets.send_replace(RankTarget::Idle);
-            return Phase::Watching;
+            return Phase::Idle;
         }
-        Phase::Holding(switch, holder)
+        Phase::Holding(switch, request)
     }
 
     async fn release(&self, switch: Switch<Releasing>) -> Phase {
         let pass = switch.pass();
         let answer = self.local_engine.send_order(switch.epoch, &MapOrder::Release { pass }).await;
         let report = self.local_engine.report().await;
-        tracing::info!(pass, ?answer, "release");
+        tracing::info!(pass, ?answer, "release sent");
         match report {
             Ok(report) if report.held_pass.is_some() => Phase::Releasing(switch),
-            Ok(_) if switch.is_abandoned() => Phase::Watching,
+            Ok(_) if switch.is_abandoned() => Phase::Idle,
             Ok(_) => Phase::Released(switch.released()),
             Err(_) => Phase::Releasing(switch),
         }
     }
 
-    /// Arms ranks whose agents don't: theirs may have died while the whole group waits.
+    /// Arms the ranks that are not armed yet: their agents may have died while the whole group
+    /// waits.
     async fn arm_directly(&self, switch: &Switch<Arming>, group: &Group) {
         let RankTarget::Armed { epoch, version, pass, .. } = switch.target() else {
             return;
         };
         let missing = group.ranks.values().filter(|r| !is_armed(&r.state, version, pass));
         let arm = |engine: SocketAddr| async move {
-            match EngineClient::new(engine, DIRECT_AFTER.as_millis() as u64) {
+            match EngineClient::new(engine, DIRECT_ARM_DELAY.as_millis() as u64) {
                 Ok(client) => {
                     let answer = client.send_order(epoch, &MapOrder::Arm { version, pass }).await;
                     tracing::info!(%engine, version, pass, ?answer, "armed from rank 0");
                 }
-                Err(error) => tracing::warn!(%engine, %error, "engine's address can't be used"),
+                Err(error) => tracing::warn!(%engine, %error, "invalid engine address"),
             }
         };
         join_all(missing.map(|rank| arm(rank.engine))).await;
@@ -473,7 +493,7 @@
 impl Phase {
     fn epoch(&self) -> Option<u64> {
         match self {
-            Self::Watching => None,
+            Self::Idle => None,
             Self::Preparing(switch, _) => Some(switch.epoch),
             Self::Holding(switch, _) => Some(switch.epoch),
             Self::Arming(switch, _) => Some(switch.epoch),
@@ -483,11 +503,11 @@
     }
 }
 
-fn into_phase(left: UnfinishedSwitch, now: Instant) -> Phase {
-    match left {
+fn resume_phase(unfinished: UnfinishedSwitch, now: Instant) -> Phase {
+    match unfinished {
         UnfinishedSwitch::Armed { epoch, version, pass } => {
-            let armer = Armer { asked_at: None, direct_at: now + DIRECT_AFTER };
-            Phase::Arming(Switch::resume(epoch, version, pass), armer)
+            let times = ArmingTimes { requested_at: None, arm_directly_at: now + DIRECT_ARM_DELAY };
+            Phase::Arming(Switch::resume(epoch, version, pass), times)
         }
         UnfinishedSwitch::Held { epoch, pass } => Phase::Releasing(Switch::abandoned(epoch, pass)),
     }
--- a/crates/ranks/src/engine.rs
+++ b/crates/ranks/src/engine.rs
@@ -1,4 +1,4 @@
-//! One rank's engine: polled for its state, and brought to a target.
+//! Polls one rank's engine and sends it the orders that bring it to the current target.
 
 use crate::rescue;
 use flamingowheel_fleet::engine::{EngineReport, GroupState, MapOrder, OrderAnswer};
@@ -11,54 +11,55 @@
 use tokio::sync::{broadcast, watch};
 use tokio::time::{Instant, sleep};
 
-/// Time between two words on a rank's progress; silence tells that its agent is gone.
+/// Interval between progress updates of a rank; they also serve as its agent's heartbeat.
 pub const PROGRESS_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Time between updates with counts: one or two passes, so that a shift of demand is seen soon.
+/// Interval between updates with choices: one or two passes, so that shifts of demand are seen
+/// early.
 pub const COUNTS_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time after which an order that was taken but shows no effect is given again. Engines can
-/// answer an order and carry it out seconds later.
-const REPEAT_AFTER: Duration = Duration::from_millis(60);
+/// Time after which an accepted order without visible effect is sent again. Engines may answer an
+/// order and execute it seconds later.
+const ORDER_RETRY_DELAY: Duration = Duration::from_millis(60);
 
-/// Longest wait for another rank's engine to answer a hold, in milliseconds: a few ways between
-/// data centres of one region.
-const HOLD_LIMIT_MS: u64 = 30;
+/// Timeout for another rank's engine to answer a hold, in milliseconds: a few network latencies
+/// between data centres of one region.
+const HOLD_TIMEOUT_MS: u64 = 30;
 
-/// Updates that a slow reader may lag behind.
+/// Number of updates that a slow receiver may lag behind.
 pub const UPDATE_CAPACITY: usize = 64;
 
-/// How often an engine is asked, and for what.
+/// How often an engine is polled, and for what.
 #[derive(Clone, Copy, Debug)]
 pub struct Polling {
-    /// Time between reads of the report while nothing is to be done.
+    /// Interval between reports while the target is reached.
     idle: Duration,
-    /// Time between reads while a target is not reached, a fraction of a pass.
+    /// Interval between reports while the target is not reached: a fraction of a pass.
     busy: Duration,
-    /// Whether this is the engine's own VM, where counts and lists of experts are read as well.
-    is_near: bool,
+    /// Whether the engine runs on this VM; if so, its counts and lists of experts are read too.
+    is_local: bool,
 }
 
 impl Polling {
-    /// From the engine's own VM, where calls cost nothing.
+    /// For the engine on this VM, where calls are free.
     pub const LOCAL: Self =
-        Self { idle: Duration::from_millis(50), busy: Duration::from_millis(12), is_near: true };
+        Self { idle: Duration::from_millis(50), busy: Duration::from_millis(12), is_local: true };
 
-    /// From another VM, in place of an agent that is not there.
+    /// For an engine on another VM whose agent is missing.
     pub const REMOTE: Self =
-        Self { idle: Duration::from_millis(400), busy: Duration::from_millis(60), is_near: false };
+        Self { idle: Duration::from_millis(400), busy: Duration::from_millis(60), is_local: false };
 }
 
-/// What is known of the rank, for whoever connects.
+/// The latest state of the rank, sent first on each new connection.
 #[derive(Clone, Debug, Default)]
 pub struct RankSnapshot {
-    /// How it stands; `None` until its engine answered.
+    /// State of the rank; `None` until its engine first answered.
     pub state: Option<RankState>,
-    /// Version of the map whose experts it holds, and these.
+    /// Version of the map in use and the packed list of experts that the rank holds under it.
     pub experts: Option<(u64, Packed)>,
 }
 
-/// The engine's poller.
+/// Polls an engine, publishes updates and brings the engine to the target.
 #[derive(Debug)]
 pub struct EnginePoller {
     client: EngineClient,
@@ -66,20 +67,20 @@
     targets: watch::Receiver<RankTarget>,
     updates: broadcast::Sender<RankUpdate>,
     snapshot: watch::Sender<RankSnapshot>,
-    last_counts: Option<Counted>,
-    counted_at: Option<Instant>,
-    told_at: Option<Instant>,
-    /// The epoch and map whose lists of experts were told.
-    listed: Option<(u64, u64)>,
-    /// The target that an order was given for, and when.
-    ordered: Option<(RankTarget, Instant)>,
-    /// The pass after which the group stands still, and since when.
+    last_counts: Option<CountsSample>,
+    counts_read_at: Option<Instant>,
+    published_at: Option<Instant>,
+    /// Epoch and map version for which the experts were last sent.
+    experts_sent_for: Option<(u64, u64)>,
+    /// The target of the last order, and when the order was sent.
+    last_order: Option<(RankTarget, Instant)>,
+    /// The pass at which the group has stalled, and since when.
     stalled: Option<(u64, Instant)>,
     gave_hold: Option<u64>,
 }
 
 #[derive(Debug)]
-struct Counted {
+struct CountsSample {
     epoch: u64,
     started_ms: u64,
     pass: u64,
@@ -87,7 +88,7 @@
 }
 
 impl EnginePoller {
-    /// A poller of the engine behind `client`.
+    /// Creates a poller of the engine behind `client`.
     pub fn new(
         client: EngineClient,
         polling: Polling,
@@ -101,16 +102,16 @@
             updates,
             snapshot: watch::Sender::new(RankSnapshot::default()),
             last_counts: None,
-            counted_at: None,
-            told_at: None,
-            listed: None,
-            ordered: None,
+            counts_read_at: None,
+            published_at: None,
+            experts_sent_for: None,
+            last_order: None,
             stalled: None,
             gave_hold: None,
         }
     }
 
-    /// What is known of the rank, for whoever connects later.
+    /// Returns the latest state of the rank; it is kept up to date.
     pub fn snapshot(&self) -> watch::Receiver<RankSnapshot> {
         self.snapshot.subscribe()
     }
@@ -129,7 +130,7 @@
             let report = match self.client.report().await {
                 Ok(report) => report,
                 Err(error) => {
-                    tracing::debug!(%error, "no report from the engine");
+                    tracing::debug!(%error, "can't read the engine's report");
                     sleep(self.polling.idle).await;
                     continue;
                 }
@@ -137,54 +138,54 @@
             let Some(mut state) = rank_state(&report) else {
                 continue;
             };
-            if self.polling.is_near {
-                self.look_for_stall(&state);
+            if self.polling.is_local {
+                self.check_for_stall(&state);
             }
-            is_reached = self.approach(&state).await;
+            is_reached = self.send_due_order(&state).await;
             state.gave_hold = self.gave_hold;
-            self.tell_state(&last_state, &state);
+            self.publish_state(&last_state, &state);
             last_state = state;
-            if self.polling.is_near {
-                self.tell_experts(&last_state).await;
-                self.tell_choices(&report).await;
+            if self.polling.is_local {
+                self.publish_experts(&last_state).await;
+                self.publish_choices(&report).await;
             }
         }
     }
 
-    fn tell_state(&mut self, last: &RankState, state: &RankState) {
+    fn publish_state(&mut self, last: &RankState, state: &RankState) {
         let now = Instant::now();
-        let is_due = self.told_at.is_none_or(|at| now - at >= PROGRESS_INTERVAL);
+        let is_due = self.published_at.is_none_or(|at| now - at >= PROGRESS_INTERVAL);
         self.snapshot.send_if_modified(|snapshot| {
             snapshot.state = Some(state.clone());
             false
         });
-        if is_news(last, state) {
-            self.tell(RankUpdate::State(state.clone()));
-        } else if is_due || self.gives_hold(state.rank) {
+        if needs_state_update(last, state) {
+            self.publish(RankUpdate::State(state.clone()));
+        } else if is_due || self.issues_hold(state.rank) {
             let RankState { pass, running, waiting, pace, .. } = *state;
-            self.tell(RankUpdate::Progress(Progress { pass, running, waiting, pace }));
+            self.publish(RankUpdate::Progress(Progress { pass, running, waiting, pace }));
         } else {
             return;
         }
-        self.told_at = Some(now);
+        self.published_at = Some(now);
     }
 
-    fn tell(&self, update: RankUpdate) {
-        // Nobody listens while no coordinator is connected.
+    fn publish(&self, update: RankUpdate) {
+        // Fails only while nobody is connected.
         let _ = self.updates.send(update);
     }
 
-    /// Tells the lists of experts when the map in use has changed.
-    async fn tell_experts(&mut self, state: &RankState) {
+    /// Publishes the rank's experts when the map in use has changed.
+    async fn publish_experts(&mut self, state: &RankState) {
         let map = (state.epoch, state.map_version);
-        if self.listed == Some(map) {
+        if self.experts_sent_for == Some(map) {
             return;
         }
         let held = match self.client.held_experts().await {
             Ok(held) if held.map_version == state.map_version => held,
             Ok(_) => return,
             Err(error) => {
-                tracing::debug!(%error, "no list of experts from the engine");
+                tracing::debug!(%error, "can't read the engine's experts");
                 return;
             }
         };
@@ -193,21 +194,21 @@
             tracing::error!("list of experts can't be encoded");
             return;
         };
-        self.listed = Some(map);
+        self.experts_sent_for = Some(map);
         self.snapshot.send_if_modified(|snapshot| {
             snapshot.experts = Some((map_version, experts.clone()));
             false
         });
-        self.tell(RankUpdate::Experts { map_version, experts });
+        self.publish(RankUpdate::Experts { map_version, experts });
     }
 
-    /// Has a change finished whose coordinator seems to be gone: the group waits, with requests
-    /// in its batch, and the coordinator would have let it go long before.
-    fn look_for_stall(&mut self, state: &RankState) {
+    /// Detects a stalled group and finishes its switch: if the group has requests but starts no
+    /// pass for longer than a live coordinator would hold it, the coordinator is presumably gone.
+    fn check_for_stall(&mut self, state: &RankState) {
         let now = Instant::now();
         let is_waiting = state.is_open && state.running + state.waiting > 0;
-        let moved = self.stalled.is_none_or(|(pass, _)| pass != state.pass);
-        if !is_waiting || moved {
+        let has_advanced = self.stalled.is_none_or(|(pass, _)| pass != state.pass);
+        if !is_waiting || has_advanced {
             self.stalled = is_waiting.then_some((state.pass, now));
             return;
         }
@@ -227,74 +228,75 @@
             }
             _ => return,
         };
-        tracing::warn!(pass, rank = state.rank, "group stands still, looking for a hold");
+        tracing::warn!(pass, rank = state.rank, "group has stalled, checking for a hold");
         tokio::spawn(rescue::finish_switch(engines));
     }
 
-    /// Gives the order that the target needs, if one is needed now. Returns whether the target
-    /// is reached or can't be reached any more.
-    async fn approach(&mut self, state: &RankState) -> bool {
+    /// Sends the next order towards the target, if one is due. Returns whether the target is
+    /// reached or can no longer be reached.
+    async fn send_due_order(&mut self, state: &RankState) -> bool {
         let target = self.targets.borrow_and_update().clone();
         if let RankTarget::Held { epoch, pass, by, engine } = target {
-            return by != state.rank || self.hold(epoch, pass, engine).await;
+            return by != state.rank || self.hold_engine(epoch, pass, engine).await;
         }
-        let Some((epoch, order)) = missing_order(&target, state) else {
-            self.ordered = None;
+        let Some((epoch, order)) = next_order(&target, state) else {
+            self.last_order = None;
             return true;
         };
         let is_waiting = self
-            .ordered
+            .last_order
             .as_ref()
-            .is_some_and(|(ordered, at)| *ordered == target && at.elapsed() < repeat_after(&order));
+            .is_some_and(|(ordered, at)| *ordered == target && at.elapsed() < retry_delay(&order));
         if is_waiting {
             return false;
         }
         let answer = self.client.send_order(epoch, &order).await;
         tracing::info!(
             order = order_name(&order),
-            version = version_of(&order),
+            version = order_version(&order),
             epoch,
             pass = state.pass,
             ?answer,
-            "order given"
+            "order sent"
         );
         let at = Instant::now();
-        self.ordered = (answer != OrderAnswer::Unknown).then_some((target, at));
+        self.last_order = (answer != OrderAnswer::Unknown).then_some((target, at));
         false
     }
 
-    /// Holds another rank's engine. Whether it was too late for that shows there. The target is
-    /// never reached: the coordinator waits for words that were sent after the hold.
-    async fn hold(&mut self, epoch: u64, pass: u64, engine: SocketAddr) -> bool {
+    /// Holds another rank's engine. The coordinator sees at that engine whether the hold came too
+    /// late. Returns `false`, so that polling stays fast: the coordinator waits for updates sent
+    /// after the hold.
+    async fn hold_engine(&mut self, epoch: u64, pass: u64, engine: SocketAddr) -> bool {
         if self.gave_hold == Some(pass) {
             return false;
         }
-        let client = match EngineClient::new(engine, HOLD_LIMIT_MS) {
+        let client = match EngineClient::new(engine, HOLD_TIMEOUT_MS) {
             Ok(client) => client,
             Err(error) => {
-                tracing::warn!(%engine, %error, "engine's address can't be used");
+                tracing::warn!(%engine, %error, "invalid engine address");
                 return false;
             }
         };
         let answer = client.send_order(epoch, &MapOrder::Hold { pass }).await;
-        tracing::info!(order = "hold", epoch, pass, ?answer, "order given");
+        tracing::info!(order = "hold", epoch, pass, ?answer, "order sent");
         if matches!(answer, OrderAnswer::Taken | OrderAnswer::Conflict) {
             self.gave_hold = Some(pass);
         }
         false
     }
 
-    /// Whether this rank's agent is to hold the group, so that the coordinator waits for its word. All
-    /// other news of a change show in the state.
-    fn gives_hold(&self, rank: usize) -> bool {
+    /// Whether this rank's agent is to issue the hold. The coordinator then waits for its progress
+    /// updates; all other progress of a switch shows as a changed state.
+    fn issues_hold(&self, rank: usize) -> bool {
         matches!(*self.targets.borrow(), RankTarget::Held { by, .. } if by == rank)
     }
 
-    /// Tells the choices since the last time, when it is time for them. A group that does no passes has
-    /// none.
-    async fn tell_choices(&mut self, report: &EngineReport) {
+    /// Publishes the choices since the last update, at most once per [`COUNTS_INTERVAL`] and only
+    /// if the group has started a pass since.
+    async fn publish_choices(&mut self, report: &EngineReport) {
         let now = Instant::now();
-        let is_early = self.counted_at.is_some_and(|at| now - at < COUNTS_INTERVAL);
+        let is_early = self.counts_read_at.is_some_and(|at| now - at < COUNTS_INTERVAL);
         let is_idle = self
             .last_counts
             .as_ref()
@@ -305,40 +307,41 @@
         let counts = match self.client.counts().await {
             Ok(counts) => counts,
             Err(error) => {
-                tracing::debug!(%error, "no counts from the engine");
+                tracing::debug!(%error, "can't read the engine's counts");
                 return;
             }
         };
-        self.counted_at = Some(now);
-        let counted = Counted {
+        self.counts_read_at = Some(now);
+        let sample = CountsSample {
             epoch: counts.epoch,
             started_ms: report.started_ms,
             pass: counts.pass,
             counts: counts.counts,
         };
-        let choices = self.last_counts.as_ref().and_then(|last| difference(last, &counted));
-        self.last_counts = Some(counted);
+        let choices = self.last_counts.as_ref().and_then(|last| difference(last, &sample));
+        self.last_counts = Some(sample);
         if let Some(choices) = choices.filter(|choices| choices.iter().any(|count| *count > 0)) {
-            self.tell(RankUpdate::Choices(ExpertCounts::pack(&choices)));
+            self.publish(RankUpdate::Choices(ExpertCounts::pack(&choices)));
         }
     }
 }
 
-/// Whether a change should be told at once. Passes and loads change all the time; they go along
-/// with the counts.
-fn is_news(last: &RankState, now: &RankState) -> bool {
-    let alike = RankState {
+/// Whether a state must be published at once. Passes and loads change constantly; they are sent
+/// with the periodic progress updates.
+fn needs_state_update(last: &RankState, now: &RankState) -> bool {
+    let unchanged = RankState {
         pass: last.pass,
         running: last.running,
         waiting: last.waiting,
         pace: last.pace,
         ..now.clone()
     };
-    alike != *last
+    unchanged != *last
 }
 
-/// `None` if the engine has begun anew, so that the counts don't belong together.
-fn difference(last: &Counted, now: &Counted) -> Option<Vec<u32>> {
+/// Returns the counts since `last`; `None` if the engine restarted or the group formed again in
+/// between.
+fn difference(last: &CountsSample, now: &CountsSample) -> Option<Vec<u32>> {
     let is_same = last.started_ms == now.started_ms
         && last.epoch == now.epoch
         && last.counts.len() == now.counts.len();
@@ -351,7 +354,7 @@
         .collect()
 }
 
-/// What the coordinator needs of a report; `None` for an engine that is part of no group.
+/// Converts a report to the state sent to the coordinator; `None` for an engine without a group.
 pub fn rank_state(report: &EngineReport) -> Option<RankState> {
     let group = report.group.as_ref()?;
     Some(RankState {
@@ -372,8 +375,8 @@
     })
 }
 
-/// The order that brings a rank nearer to its target; `None` if there is nothing left to order.
-fn missing_order(target: &RankTarget, state: &RankState) -> Option<(u64, MapOrder)> {
+/// Returns the order that brings a rank closer to its target; `None` if none is needed.
+fn next_order(target: &RankTarget, state: &RankState) -> Option<(u64, MapOrder)> {
     match target {
         RankTarget::Idle | RankTarget::Held { .. } => None,
         RankTarget::Prepared { epoch, version, map, .. } => {
@@ -386,7 +389,7 @@
         }
         RankTarget::Armed { epoch, version, pass, .. } => {
             let is_done = state.armed == Some((*version, *pass)) || state.map_version == *version;
-            // After the pass has begun the engine would only refuse.
+            // Once the pass has started the engine would refuse the order.
             let is_void = state.epoch != *epoch || state.pass >= *pass;
             if is_done || is_void {
                 return None;
@@ -396,11 +399,11 @@
     }
 }
 
-/// Copying takes long, arming shows at once.
-fn repeat_after(order: &MapOrder) -> Duration {
+/// Copying experts takes a while; all other orders take effect at once.
+fn retry_delay(order: &MapOrder) -> Duration {
     match order {
-        MapOrder::Prepare { .. } => REPEAT_AFTER * 5,
-        _ => REPEAT_AFTER,
+        MapOrder::Prepare { .. } => ORDER_RETRY_DELAY * 5,
+        _ => ORDER_RETRY_DELAY,
     }
 }
 
@@ -413,7 +416,7 @@
     }
 }
 
-fn version_of(order: &MapOrder) -> Option<u64> {
+fn order_version(order: &MapOrder) -> Option<u64> {
     match order {
         MapOrder::Prepare { version, .. } | MapOrder::Arm { version, .. } => Some(*version),
         _ => None,
--- a/crates/ranks/src/group.rs
+++ b/crates/ranks/src/group.rs
@@ -1,4 +1,4 @@
-//! What a coordinator knows of its group, and when it is worth to change the map.
+//! The coordinator's view of its group, and the decision when to change the map.
 
 use crate::lookup::ServiceParameters;
 use crate::pass_times::PassTimes;
@@ -13,36 +13,36 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-/// A rank's state older than this is not acted on.
-const FRESH: Duration = Duration::from_millis(600);
+/// A rank's state older than this is considered stale.
+const MAX_STATE_AGE: Duration = Duration::from_millis(600);
 
-/// Weight of the newest change in the mean time of arming.
+/// Weight of the newest switch in the moving average of the arming time.
 const ARMING_WEIGHT: f64 = 0.3;
 
-/// Skew by which a map under preparation must be worse than one planned now to be given up for it:
-/// a third of a pass, for the fifth of a second that is lost.
+/// Skew by which a map under preparation must be worse than one planned now to be replaced by it: a
+/// third of a pass, since replacing it costs a fifth of a second.
 const OUTDATED_SKEW: f64 = 0.35;
 
-/// Time of a change besides copies and passes, in milliseconds: the hold and its proof, the arming,
-/// and the lists of experts from which the next change is planned.
+/// Time of a switch besides copies and passes, in milliseconds: the hold and its confirmation, the
+/// arming, and reading the experts from which the next switch is planned.
 const SWITCH_MS: f64 = 200.0;
 
-/// What is known of one rank.
+/// Latest data on one rank.
 #[derive(Debug)]
 pub struct Rank {
-    /// As its agent told last.
+    /// State from its latest update.
     pub state: RankState,
-    /// When that was.
+    /// Time of that update.
     pub seen_at: Instant,
-    /// Its engine's address.
+    /// Address of its engine.
     pub engine: SocketAddr,
-    /// The data centre of the agent that told it; `None` if its engine was asked from here.
+    /// Data centre of its agent; `None` if its engine is polled remotely.
     pub data_centre: Option<Arc<str>>,
-    /// The experts held, by set, under the map of this version.
+    /// A map version and the experts that the rank holds under it, by set.
     pub experts: Option<(u64, Vec<Vec<u16>>)>,
 }
 
-/// What is known of the group.
+/// Latest data on a group.
 #[derive(Debug)]
 pub struct Group {
     pub(crate) name: String,
@@ -51,17 +51,17 @@
     pub(crate) ranks: BTreeMap<usize, Rank>,
     pub(crate) demand: Option<Demand>,
     pub(crate) window: Vec<u64>,
-    /// The last pass of the window before.
+    /// Last pass of the previous window.
     pub(crate) window_pass: Option<u64>,
     pub(crate) pass_times: PassTimes,
-    /// Mean time from the wish for a hold until all ranks are armed.
+    /// Mean time from requesting a hold until all ranks are armed.
     arming_ms: Option<f64>,
-    /// The map that this coordinator had all ranks switch to last, and its version.
-    pub(crate) switched: Option<(u64, Arc<Map>)>,
-    /// What the configuration says of its service; `None` until it was read.
+    /// Version and map of the last switch that this coordinator completed.
+    pub(crate) last_switch: Option<(u64, Arc<Map>)>,
+    /// Configuration of its service; `None` until it was read.
     pub parameters: Option<ServiceParameters>,
     pub(crate) connected: HashSet<SocketAddr>,
-    /// Engines of the service, as listed last.
+    /// Engines of the service from the last lookup.
     pub(crate) listed: Vec<SocketAddr>,
     /// Engines that belong to other groups.
     pub(crate) foreign: HashSet<SocketAddr>,
@@ -70,7 +70,7 @@
 }
 
 impl Group {
-    /// The group of a rank, of which nothing else is known.
+    /// Creates the group that a rank reports, with no ranks known yet.
     pub fn new(state: &RankState) -> Self {
         Self {
             name: state.group.clone(),
@@ -82,7 +82,7 @@
             window_pass: None,
             pass_times: PassTimes::default(),
             arming_ms: None,
-            switched: None,
+            last_switch: None,
             parameters: None,
             connected: HashSet::new(),
             listed: Vec::new(),
@@ -92,27 +92,27 @@
         }
     }
 
-    /// Takes in what is told of a rank.
-    pub fn apply_update(&mut self, told: PeerUpdate) {
-        let PeerUpdate { engine, data_centre, update } = told;
+    /// Applies an update on a rank.
+    pub fn apply_update(&mut self, peer_update: PeerUpdate) {
+        let PeerUpdate { engine, data_centre, update } = peer_update;
         match update {
-            RankUpdate::State(state) => self.take_state(state, engine, data_centre),
-            RankUpdate::Progress(progress) => self.take_progress(engine, progress, data_centre),
+            RankUpdate::State(state) => self.apply_state(state, engine, data_centre),
+            RankUpdate::Progress(progress) => self.apply_progress(engine, progress, data_centre),
             RankUpdate::Experts { map_version, experts } => {
                 let Some(experts) = experts.unpack() else {
-                    tracing::warn!(%engine, "list of experts can't be read");
+                    tracing::warn!(%engine, "can't decode the list of experts");
                     return;
                 };
-                if let Some(rank) = self.rank_of(engine) {
+                if let Some(rank) = self.rank_by_engine(engine) {
                     rank.experts = Some((map_version, experts));
                 }
             }
-            RankUpdate::Choices(choices) | RankUpdate::Sum(choices) => self.take_choices(&choices),
+            RankUpdate::Choices(choices) | RankUpdate::Sum(choices) => self.apply_choices(&choices),
             RankUpdate::Group(_) => {}
         }
     }
 
-    fn take_state(&mut self, state: RankState, engine: SocketAddr, data_centre: Option<Arc<str>>) {
+    fn apply_state(&mut self, state: RankState, engine: SocketAddr, data_centre: Option<Arc<str>>) {
         if state.group != self.name {
             self.foreign.insert(engine);
             self.ranks.retain(|_, rank| rank.engine != engine);
@@ -122,8 +122,8 @@
             self.epoch = state.epoch;
             self.size = state.size;
             self.ranks.clear();
-            self.switched = None;
-            // A member may have been replaced by one that was taken for another group's before.
+            self.last_switch = None;
+            // A member may have been replaced by an engine that belonged to another group before.
             self.stop.cancel();
             self.stop = CancellationToken::new();
             self.connected.clear();
@@ -142,14 +142,14 @@
         self.ranks.insert(rank, Rank { state, seen_at: now, engine, data_centre, experts });
     }
 
-    fn take_progress(
+    fn apply_progress(
         &mut self,
         engine: SocketAddr,
         progress: Progress,
         data_centre: Option<Arc<str>>,
     ) {
         let now = Instant::now();
-        let Some(rank) = self.rank_of(engine) else {
+        let Some(rank) = self.rank_by_engine(engine) else {
             return;
         };
         let Progress { pass, running, waiting, pace } = progress;
@@ -161,9 +161,9 @@
         }
     }
 
-    fn take_choices(&mut self, choices: &ExpertCounts) {
+    fn apply_choices(&mut self, choices: &ExpertCounts) {
         let Some(choices) = choices.unpack() else {
-            tracing::warn!("choices can't be read");
+            tracing::warn!("can't decode choices");
             return;
         };
         if self.window.len() == choices.len() {
@@ -175,22 +175,23 @@
         }
     }
 
-    fn rank_of(&mut self, engine: SocketAddr) -> Option<&mut Rank> {
+    fn rank_by_engine(&mut self, engine: SocketAddr) -> Option<&mut Rank> {
         self.ranks.values_mut().find(|rank| rank.engine == engine)
     }
 
-    /// Notes that all ranks use a map, so that the next step need not wait for their lists.
+    /// Records that all ranks use a map, so that the next step needn't wait for their lists of
+    /// experts.
     pub fn record_switch(&mut self, version: u64, map: &Arc<Map>) {
-        // A change that was taken up from another coordinator has no map here.
-        self.switched = (!map.is_empty()).then(|| (version, Arc::clone(map)));
+        // The map of a switch that was taken over from another coordinator is not known.
+        self.last_switch = (!map.is_empty()).then(|| (version, Arc::clone(map)));
     }
 
-    /// The ranks' states, as told last.
+    /// Returns the latest states of the known ranks, by rank.
     pub fn states(&self) -> Vec<RankState> {
         self.ranks.values().map(|rank| rank.state.clone()).collect()
     }
 
-    /// Learns from the choices since the last call. Returns whether demand has shifted.
+    /// Adds the choices since the last call to the demand. Returns whether demand has shifted.
     pub fn close_window(&mut self) -> bool {
         let Some(shape) = self.shape() else {
             return false;
@@ -198,8 +199,8 @@
         if self.window.len() != shape.sets * shape.experts {
             return false;
         }
-        // A window shorter than a pass holds what some ranks have told of it, which looks like
-        // another demand each time.
+        // A window shorter than a pass contains the choices of only some ranks, which would look
+        // like a shift of demand each time.
         let pass = self.ranks.get(&0).map(|rank| rank.state.pass);
         if self.window_pass == pass {
             return false;
@@ -214,7 +215,7 @@
         has_shifted
     }
 
-    /// The sizes of the group's map; `None` until the parameters are known.
+    /// Returns the dimensions of the group's map; `None` until the parameters are known.
     pub fn shape(&self) -> Option<Shape> {
         let engine = &self.parameters.as_ref()?.engine;
         Some(Shape {
@@ -225,18 +226,18 @@
         })
     }
 
-    /// All ranks' states, if all are known, fresh, and of one working group.
+    /// Returns the states of all ranks if all are known, fresh, of the current epoch and serving.
     pub fn fresh_states(&self, now: Instant) -> Option<Vec<RankState>> {
         let is_usable = |rank: &Rank| {
             rank.state.is_open
                 && rank.state.epoch == self.epoch
-                && now.duration_since(rank.seen_at) < FRESH
+                && now.duration_since(rank.seen_at) < MAX_STATE_AGE
         };
         let all = self.ranks.len() == self.size && self.ranks.values().all(is_usable);
         all.then(|| self.ranks.values().map(|rank| rank.state.clone()).collect())
     }
 
-    /// The next step to an even map, if one is worth it.
+    /// Returns the next step towards a balanced map, if one is worthwhile.
     pub fn next_step(&self, states: &[RankState]) -> Option<experts::Step> {
         let demand = self.demand.as_ref().filter(|demand| demand.is_known())?;
         let map = self.map_in_use(states)?;
@@ -251,7 +252,7 @@
         experts::step(&map, demand, &paces, limits)
     }
 
-    /// Passes from a hold to the change of maps.
+    /// Returns the number of passes between requesting a hold and the change of maps.
     pub fn passes_ahead(&self) -> u64 {
         match self.arming_ms {
             Some(arming_ms) => passes_ahead(arming_ms, self.pass_times.newest_ms()),
@@ -259,14 +260,15 @@
         }
     }
 
-    /// Notes the time from the wish for a hold until all ranks were armed.
-    pub fn record_arming_time(&mut self, took: Duration) {
-        let took_ms = took.as_secs_f64() * 1_000.0;
-        let mean_ms = self.arming_ms.get_or_insert(took_ms);
-        *mean_ms += ARMING_WEIGHT * (took_ms - *mean_ms);
+    /// Records the time from requesting a hold until all ranks were armed.
+    pub fn record_arming_time(&mut self, elapsed: Duration) {
+        let elapsed_ms = elapsed.as_secs_f64() * 1_000.0;
+        let mean_ms = self.arming_ms.get_or_insert(elapsed_ms);
+        *mean_ms += ARMING_WEIGHT * (elapsed_ms - *mean_ms);
     }
 
-    /// The step to take instead of a map that is being prepared, if that would be left clearly behind.
+    /// Returns a step to take instead of the map that is being prepared, if that map is clearly
+    /// worse.
     pub fn replacement_step(&self, map: &Map) -> Option<experts::Step> {
         let states = self.states();
         let demand = self.demand.as_ref()?;
@@ -276,19 +278,21 @@
         is_outdated.then_some(step)
     }
 
-    /// The map in use: the one that was switched to last, or put together from what the ranks hold.
+    /// Returns the map in use: that of the last switch, or one assembled from the ranks' experts.
     pub fn map_in_use(&self, states: &[RankState]) -> Option<Map> {
         let version = states.first()?.map_version;
         if states.iter().any(|state| state.map_version != version) {
             return None;
         }
-        if let Some((_, map)) = self.switched.as_ref().filter(|(known, _)| *known == version) {
+        if let Some((_, map)) =
+            self.last_switch.as_ref().filter(|(switched_version, _)| *switched_version == version)
+        {
             return Some(Map::clone(map));
         }
         let sets = self.shape()?.sets;
         let ranks: Vec<&Rank> = self.ranks.values().collect();
-        // A list can be older than the state beside it: put together from two maps, experts would
-        // be missing, and the engines would refuse the result.
+        // A list of experts can be older than the state beside it. Assembled from lists of two
+        // maps, the result would lack experts and the engines would refuse it.
         let listed = |rank: &&Rank| match &rank.experts {
             Some((listed, experts)) if *listed == version && experts.len() == sets => {
                 Some(experts.clone())
--- a/crates/ranks/src/lib.rs
+++ b/crates/ranks/src/lib.rs
@@ -1,8 +1,9 @@
-//! The agent beside a rank of a model's engine: keeps the group's expert map even.
+//! The agent that runs beside each rank of a model engine and keeps the group's expert map
+//! balanced.
 //!
-//! Each agent reads its own rank's state and counts, which costs nothing there, and carries out
-//! orders on it. The agent of rank 0 coordinates: it collects the counts of all ranks, decides on
-//! small changes of the map and switches all ranks to them at one pass.
+//! Each agent polls its own rank's state and counts, which is free on the same VM, and sends orders
+//! to its engine. The agent of rank 0 coordinates: it collects the counts of all ranks, plans small
+//! changes of the map and switches all ranks to the new map at the same pass.
 
 pub mod agent;
 pub mod collect;
--- a/crates/ranks/src/lookup.rs
+++ b/crates/ranks/src/lookup.rs
@@ -1,5 +1,5 @@
-//! What a coordinator reads from the key-value store and writes there, beside its other work: while the
-//! store is slow or away, a change of map under way must not wait for it.
+//! The coordinator's reads from and writes to the key-value store. They run in tasks of their own,
+//! so that a map switch in progress doesn't wait for a slow or unreachable store.
 
 use crate::peers::list_engines;
 use flamingowheel_backing::kv::{KeyValue, KeyValueError, Operation, Transaction};
@@ -13,38 +13,40 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep_until, timeout_at};
 
-/// Time between two announcements of a group at the least: each is a write, and news for every entry.
-const ANNOUNCE_PAUSE: Duration = Duration::from_millis(700);
+/// Minimum interval between writes of a group's record: each one is sent on to every entry.
+const PUBLISH_INTERVAL: Duration = Duration::from_millis(700);
 
-/// Change of a rank's pace that entries are told of.
-const PACE_STEP: f64 = 0.25;
+/// Minimum relative change of a rank's pace that is published.
+const MIN_PACE_CHANGE: f64 = 0.25;
 
-/// What the configuration says of the engines' service.
+/// Configuration of the engines' service.
 #[derive(Clone, Debug)]
 pub struct ServiceParameters {
-    /// The engines' parameters.
+    /// Published speed and sizes of the engines.
     pub engine: EngineParameters,
-    /// The shortest pause goal of its routes, in milliseconds.
+    /// Shortest pause goal of the service's routes, in milliseconds; 0 if none has one.
     pub pause_goal_ms: f64,
 }
 
-/// First wait for the store, and the time between two tries at the least. A store that was silent is
-/// back from one moment to the next, and a group that has formed again waits for a better map.
-const FIRST_LIMIT: Duration = Duration::from_millis(500);
+/// Timeout of the first attempt to read the store, and maximum pause after a failed one. An
+/// unreachable store may be back at any moment, and a group that has formed again needs a better
+/// map soon.
+const FIRST_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Longest wait. It doubles up to this with each try: a large configuration takes a narrow link seconds.
-const LONGEST_LIMIT: Duration = Duration::from_secs(8);
+/// Maximum timeout. The timeout doubles with each attempt up to this value: on a slow link, a large
+/// configuration takes seconds to read.
+const MAX_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// What was found in the store.
+/// Result of a lookup in the store.
 #[derive(Clone, Debug)]
 pub struct LookupResult {
-    /// The engines of the service.
+    /// Addresses of the service's engines.
     pub engines: Vec<SocketAddr>,
-    /// Their parameters, if they were asked for and are there.
+    /// Parameters of the service; absent if they were not requested or are not configured.
     pub parameters: Option<ServiceParameters>,
 }
 
-/// Finds the engines of a service.
+/// Looks up the engines and parameters of a service in the store.
 #[derive(Debug)]
 pub struct Lookup<K> {
     store: K,
@@ -58,13 +60,13 @@
 where
     K: KeyValue + Clone + Send + Sync + 'static,
 {
-    /// A lookup of the engines of `service`.
+    /// Creates a lookup of the engines of `service`; it reads nothing until it is started.
     pub fn new(store: K, service: String) -> Self {
         let (sender, found) = mpsc::channel(1);
         Self { store, service, sender, found, reading: None }
     }
 
-    /// Begins to read until the store answers, unless that is under way.
+    /// Starts reading, with retries until the store answers, unless a read is in progress.
     pub fn start(&mut self, with_parameters: bool) {
         if self.reading.as_ref().is_some_and(|reading| !reading.is_finished()) {
             return;
@@ -72,23 +74,23 @@
         let (store, service) = (self.store.clone(), self.service.clone());
         let sender = self.sender.clone();
         self.reading = Some(tokio::spawn(async move {
-            let mut limit = FIRST_LIMIT;
+            let mut limit = FIRST_TIMEOUT;
             loop {
                 let next_at = Instant::now() + limit;
                 let reading = read(&store, &service, with_parameters);
                 match timeout_at(next_at, reading).await {
-                    // Nobody receives once the process ends.
+                    // Fails only when the process is shutting down.
                     Ok(Ok(found)) => return drop(sender.send(found).await),
-                    Ok(Err(error)) => tracing::debug!(%error, "backend servers not listed"),
-                    Err(_) => tracing::debug!("no answer from the key-value store in time"),
+                    Ok(Err(error)) => tracing::debug!(%error, "can't list backend servers"),
+                    Err(_) => tracing::debug!("reading the key-value store timed out"),
                 }
-                sleep_until(next_at.min(Instant::now() + FIRST_LIMIT)).await;
-                limit = (limit * 2).min(LONGEST_LIMIT);
+                sleep_until(next_at.min(Instant::now() + FIRST_TIMEOUT)).await;
+                limit = (limit * 2).min(MAX_TIMEOUT);
             }
         }));
     }
 
-    /// What was found next.
+    /// Waits for the result of the read in progress.
     pub async fn next(&mut self) -> Option<LookupResult> {
         self.found.recv().await
     }
@@ -115,26 +117,26 @@
     let snapshot = match store.range(CONFIGURATION_KEY).await {
         Ok(snapshot) => snapshot,
         Err(error) => {
-            tracing::debug!(%error, "configuration not read");
+            tracing::debug!(%error, "can't read the configuration");
             return None;
         }
     };
     let entry = snapshot.entries.iter().find(|entry| entry.key == CONFIGURATION_KEY)?;
     let configuration = operator::decode(&entry.value)
-        .inspect_err(|error| tracing::warn!(%error, "configuration can't be read"))
+        .inspect_err(|error| tracing::warn!(%error, "can't decode the configuration"))
         .ok()?;
     let engine = configuration.services.get(service)?.engine.clone()?;
     let pause_goal_ms = configuration.pause_goal_ms(service).unwrap_or(0) as f64;
     Some(ServiceParameters { engine, pause_goal_ms })
 }
 
-/// Tells entries of a group, through the store.
+/// Publishes a group's record to entries through the key-value store.
 #[derive(Debug)]
 pub struct GroupPublisher<K> {
     store: K,
-    /// What the store has taken last.
-    announced: Arc<Mutex<Option<(String, GroupRecord)>>>,
-    tried_at: Option<Instant>,
+    /// Group and record that were written last.
+    published: Arc<Mutex<Option<(String, GroupRecord)>>>,
+    attempted_at: Option<Instant>,
     writing: Option<JoinHandle<()>>,
 }
 
@@ -142,55 +144,56 @@
 where
     K: KeyValue + Clone + Send + Sync + 'static,
 {
-    /// An publisher that has announced nothing.
+    /// Creates a publisher that has not written anything yet.
     pub fn new(store: K) -> Self {
-        Self { store, announced: Arc::default(), tried_at: None, writing: None }
+        Self { store, published: Arc::default(), attempted_at: None, writing: None }
     }
 
-    /// Writes the group's record, unless the store has one by which entries would do the same.
+    /// Writes the group's record, unless an equivalent one was written last, a write is in progress
+    /// or the last one was less than [`PUBLISH_INTERVAL`] ago.
     pub fn publish(&mut self, group: &str, record: GroupRecord) {
         let now = Instant::now();
-        let is_early = self.tried_at.is_some_and(|at| now - at < ANNOUNCE_PAUSE);
+        let is_early = self.attempted_at.is_some_and(|at| now - at < PUBLISH_INTERVAL);
         let is_writing = self.writing.as_ref().is_some_and(|writing| !writing.is_finished());
-        if is_early || is_writing || self.is_announced(group, &record) {
+        if is_early || is_writing || self.is_published(group, &record) {
             return;
         }
-        self.tried_at = Some(now);
+        self.attempted_at = Some(now);
         let value = match serde_json::to_vec(&record) {
             Ok(value) => value.into(),
             Err(error) => {
-                tracing::error!(%error, "group's record can't be written");
+                tracing::error!(%error, "can't encode the group's record");
                 return;
             }
         };
         let put = Operation::Put { key: format!("{GROUPS_PREFIX}{group}"), value, lease: None };
         let transaction = Transaction { on_success: vec![put], ..Transaction::default() };
-        let (store, announced) = (self.store.clone(), Arc::clone(&self.announced));
+        let (store, published) = (self.store.clone(), Arc::clone(&self.published));
         let group = group.to_owned();
         self.writing = Some(tokio::spawn(async move {
             match store.transact(transaction).await {
                 Ok(_) => {
-                    let mut announced = announced.lock().unwrap_or_else(PoisonError::into_inner);
-                    *announced = Some((group, record));
+                    let mut published = published.lock().unwrap_or_else(PoisonError::into_inner);
+                    *published = Some((group, record));
                 }
-                Err(error) => tracing::debug!(%error, "group not announced"),
+                Err(error) => tracing::debug!(%error, "can't publish the group's record"),
             }
         }));
     }
 
-    fn is_announced(&self, group: &str, record: &GroupRecord) -> bool {
-        let announced = self.announced.lock().unwrap_or_else(PoisonError::into_inner);
-        announced.as_ref().is_some_and(|(name, last)| name == group && is_equivalent(last, record))
+    fn is_published(&self, group: &str, record: &GroupRecord) -> bool {
+        let published = self.published.lock().unwrap_or_else(PoisonError::into_inner);
+        published.as_ref().is_some_and(|(name, last)| name == group && is_equivalent(last, record))
     }
 }
 
-/// Whether entries would do the same with both records.
+/// Whether entries would treat both records the same.
 pub fn is_equivalent(a: &GroupRecord, b: &GroupRecord) -> bool {
     let pairs = a.ranks.iter().zip(&b.ranks);
     a.ranks.len() == b.ranks.len()
         && pairs.into_iter().all(|(a, b)| {
             a.engine == b.engine
                 && a.is_away == b.is_away
-                && (a.pace - b.pace).abs() < PACE_STEP * a.pace.max(b.pace)
+                && (a.pace - b.pace).abs() < MIN_PACE_CHANGE * a.pace.max(b.pace)
         })
 }
--- a/crates/ranks/src/members.rs
+++ b/crates/ranks/src/members.rs
@@ -1,4 +1,5 @@
-//! Who of a group is heard, who stands in for whom, and what others are told of it.
+//! Liveness of a group's ranks and agents, and what is derived from it: remote polling, the hold
+//! issuer, the assignment, the published record and the status.
 
 use crate::collect::{Assignment, max_direct_agents};
 use crate::group::{Group, Rank};
@@ -9,53 +10,63 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// An agent that tells nothing for this long tells no counts either: twice the time between two words on
-/// its rank's progress.
-const HEARD: Duration = Duration::from_millis(450);
+/// An agent without an update for this long is considered gone, so it sends no counts either: twice
+/// the interval of progress updates.
+const AGENT_TIMEOUT: Duration = Duration::from_millis(450);
 
-/// A rank of which neither its agent nor its engine was heard for this long is silent: longer than two words
-/// on its progress take.
-const SILENT: Duration = Duration::from_millis(500);
+/// A rank without an update from its agent or its engine for this long is reported as silent:
+/// longer than two progress updates take.
+const SILENT_AFTER: Duration = Duration::from_millis(500);
 
-/// A rank that is silent for this long gets no requests, whoever hears of it late.
-const AWAY: Duration = Duration::from_millis(1_000);
+/// A rank that is silent for this long is published as away and gets no requests, even from entries
+/// that missed the status.
+const AWAY_AFTER: Duration = Duration::from_millis(1_000);
 
 impl Group {
-    /// Engines of the group, or of none that is known, whose agents are not heard. None, if those are more
-    /// than can be seen to from afar.
-    pub fn engines_without_agent(&self, own: SocketAddr) -> Vec<SocketAddr> {
+    /// Returns the engines of the group, and while ranks are missing those of unknown groups, whose
+    /// agents are silent. Empty if there are more than can be polled remotely.
+    pub fn engines_without_agent(&self, local_address: SocketAddr) -> Vec<SocketAddr> {
         let now = Instant::now();
-        let is_attended = |rank: &Rank| {
-            let is_heard = now.duration_since(rank.seen_at) < HEARD && rank.data_centre.is_some();
-            is_heard || rank.engine == own
+        let has_agent = |rank: &Rank| {
+            let is_live =
+                now.duration_since(rank.seen_at) < AGENT_TIMEOUT && rank.data_centre.is_some();
+            is_live || rank.engine == local_address
         };
-        let silent = self.ranks.values().filter(|rank| !is_attended(rank)).map(|rank| rank.engine);
+        let silent = self.ranks.values().filter(|rank| !has_agent(rank)).map(|rank| rank.engine);
         let is_unknown = |engine: &&SocketAddr| {
             let is_ranked = self.ranks.values().any(|rank| rank.engine == **engine);
-            !is_ranked && **engine != own && !self.foreign.contains(engine)
+            !is_ranked && **engine != local_address && !self.foreign.contains(engine)
         };
         let is_complete = self.ranks.len() == self.size;
         let unknown = self.listed.iter().filter(|_| !is_complete).filter(is_unknown).copied();
-        let unattended: Vec<SocketAddr> = silent.chain(unknown).collect();
-        if unattended.len() > MAX_REMOTE_RANKS { Vec::new() } else { unattended }
+        let engines: Vec<SocketAddr> = silent.chain(unknown).collect();
+        if engines.len() > MAX_REMOTE_RANKS { Vec::new() } else { engines }
     }
 
-    /// The rank whose agent is to hold the group: one that is heard.
+    /// Returns the rank whose agent is to hold the group: one with a live agent.
     pub fn hold_issuer(&self) -> usize {
         let now = Instant::now();
-        let is_heard =
-            |rank: &&Rank| rank.data_centre.is_some() && now.duration_since(rank.seen_at) < HEARD;
+        let is_live = |rank: &&Rank| {
+            rank.data_centre.is_some() && now.duration_since(rank.seen_at) < AGENT_TIMEOUT
+        };
         let others = self.ranks.values().filter(|rank| rank.state.rank != 0);
-        let giver = others.filter(is_heard).map(|rank| rank.state.rank).next();
-        giver.unwrap_or(usize::from(self.size > 1))
+        let issuer = others.filter(is_live).map(|rank| rank.state.rank).next();
+        issuer.unwrap_or(usize::from(self.size > 1))
     }
 
-    /// Who should tell choices to whom, of the agents that are heard but the one beside `own`.
-    pub fn assignment(&self, own: SocketAddr, port: u16, link_bytes_per_s: u64) -> Assignment {
+    /// Returns which live agents send choices to which others; the agent beside `local_address` is
+    /// left out.
+    pub fn assignment(
+        &self,
+        local_address: SocketAddr,
+        port: u16,
+        link_bytes_per_s: u64,
+    ) -> Assignment {
         let now = Instant::now();
         let agents = self.ranks.values().filter_map(|rank| {
-            let is_heard = rank.engine != own && now.duration_since(rank.seen_at) < HEARD;
-            let data_centre = rank.data_centre.as_ref().filter(|_| is_heard)?;
+            let is_live =
+                rank.engine != local_address && now.duration_since(rank.seen_at) < AGENT_TIMEOUT;
+            let data_centre = rank.data_centre.as_ref().filter(|_| is_live)?;
             let agent = SocketAddr::new(rank.engine.ip(), port);
             Some((Arc::clone(data_centre), rank.state.rank, agent))
         });
@@ -63,10 +74,10 @@
         Assignment::distribute(agents.collect(), max_direct_agents(counts, link_bytes_per_s))
     }
 
-    /// What entries are told of the group.
+    /// Returns the record that is published to entries.
     pub fn record(&self) -> GroupRecord {
         let ranks = self.ranks.values();
-        let away: Vec<usize> = self.unheard(AWAY).collect();
+        let away: Vec<usize> = self.silent_ranks(AWAY_AFTER).collect();
         let ranks = ranks.map(|rank| RankRecord {
             engine: rank.engine,
             pace: rank.state.pace,
@@ -75,18 +86,18 @@
         GroupRecord { epoch: self.epoch, ranks: ranks.collect() }
     }
 
-    /// Ranks of which nothing was heard for so long; none if those are many, for then it is rather this VM
-    /// that is cut off.
-    fn unheard(&self, limit: Duration) -> impl Iterator<Item = usize> {
+    /// Returns the ranks without an update for longer than `limit`. Empty if there are many, since
+    /// then this VM is more likely to be the one that is cut off.
+    fn silent_ranks(&self, limit: Duration) -> impl Iterator<Item = usize> {
         let now = Instant::now();
-        let is_unheard = |rank: &&Rank| now.duration_since(rank.seen_at) > limit;
-        let unheard = self.ranks.values().filter(is_unheard).map(|rank| rank.state.rank);
-        let unheard: Vec<usize> = unheard.collect();
-        let is_told = unheard.len() <= MAX_REMOTE_RANKS && unheard.len() * 2 <= self.size;
-        unheard.into_iter().filter(move |_| is_told)
+        let is_silent = |rank: &&Rank| now.duration_since(rank.seen_at) > limit;
+        let silent = self.ranks.values().filter(is_silent).map(|rank| rank.state.rank);
+        let silent: Vec<usize> = silent.collect();
+        let is_plausible = silent.len() <= MAX_REMOTE_RANKS && silent.len() * 2 <= self.size;
+        silent.into_iter().filter(move |_| is_plausible)
     }
 
-    /// How the group stands.
+    /// Returns the group's current status, which is sent to connected entries.
     pub fn status(&self) -> GroupStatus {
         let now = Instant::now();
         let mut requests = vec![0; self.size];
@@ -98,7 +109,7 @@
         }
         let ages = self.ranks.values().map(|rank| now.duration_since(rank.seen_at).as_millis());
         let (sum, count) = ages.fold((0, 0), |(sum, count), age| (sum + age, count + 1));
-        let silent = self.unheard(SILENT).filter_map(|rank| u16::try_from(rank).ok());
+        let silent = self.silent_ranks(SILENT_AFTER).filter_map(|rank| u16::try_from(rank).ok());
         GroupStatus {
             group: self.name.clone(),
             epoch: self.epoch,
--- a/crates/ranks/src/pass_times.rs
+++ b/crates/ranks/src/pass_times.rs
@@ -1,11 +1,12 @@
-//! How long a group's passes take.
+//! Measures how long a group's passes take.
 
 use tokio::time::Instant;
 
-/// Weight of the newest pass time in their mean: some ten observations, a second.
+/// Weight of the newest pass time in the moving average, which so spans about ten observations or
+/// one second.
 const PASS_TIME_WEIGHT: f64 = 0.1;
 
-/// How long passes take, from the count of passes while requests are in the batch.
+/// Pass times, derived from the pass number while the batch has requests.
 #[derive(Debug, Default)]
 pub struct PassTimes {
     last: Option<(u64, Instant)>,
@@ -14,7 +15,7 @@
 }
 
 impl PassTimes {
-    /// Takes in the last pass that a rank has begun, and whether it has requests.
+    /// Records the last pass that a rank started, and whether it has requests.
     pub fn observe(&mut self, newest: u64, is_busy: bool, now: Instant) {
         let last = self.last.replace((newest, now));
         let Some((pass, at)) = last.filter(|(pass, _)| is_busy && newest > *pass) else {
@@ -28,12 +29,12 @@
         self.mean_ms += PASS_TIME_WEIGHT * (each_ms - self.mean_ms);
     }
 
-    /// The pass seen last, in milliseconds; 0 before the first.
+    /// Latest pass time, in milliseconds; 0 before the first.
     pub fn newest_ms(&self) -> f64 {
         self.newest_ms
     }
 
-    /// The mean pass, in milliseconds; 0 before the first.
+    /// Moving average of the pass times, in milliseconds; 0 before the first.
     pub fn mean_ms(&self) -> f64 {
         self.mean_ms
     }
--- a/crates/ranks/src/peers.rs
+++ b/crates/ranks/src/peers.rs
@@ -15,43 +15,44 @@
 use tokio::time::sleep;
 use tokio_util::sync::CancellationToken;
 
-/// Pause before an agent that could not be reached is tried again.
+/// Pause between attempts to connect to an agent.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(400);
 
 /// A connection to another rank's agent.
 pub type AgentLink = Link<AgentRequest, RankUpdate>;
 
-/// An update and where it came from.
+/// An update and the rank's engine that it is about.
 #[derive(Clone, Debug)]
 pub struct PeerUpdate {
-    /// The engine's address.
+    /// Address of the engine, which identifies the rank.
     pub engine: SocketAddr,
-    /// The data centre of its VM; `None` if it was read without an agent.
+    /// Data centre of the agent; `None` if the update comes from a poller, not from an agent's
+    /// connection.
     pub data_centre: Option<Arc<str>>,
-    /// The update.
+    /// The update itself.
     pub update: RankUpdate,
 }
 
-/// What every connection needs.
+/// Opens connections to the other ranks' agents; each connection gets a clone.
 #[derive(Clone, Debug)]
 pub struct PeerConnector {
-    /// Who this agent is.
+    /// Identity with which this agent introduces itself.
     pub identity: Identity,
-    /// The port of agents, the same on all VMs of a deployment.
+    /// Port of the agents, the same on all VMs of a deployment.
     pub port: u16,
-    /// The group whose ranks are wanted.
+    /// Name of the group; connections to agents of other groups are closed.
     pub group: String,
-    /// What ranks are to be brought to.
+    /// Target state, sent to every agent of the group.
     pub targets: watch::Receiver<RankTarget>,
-    /// Who tells choices to whom.
+    /// Which agents send choices to which others.
     pub assignment: watch::Receiver<Arc<Assignment>>,
-    /// Where updates go.
+    /// Receives the agents' updates.
     pub updates: mpsc::Sender<PeerUpdate>,
-    /// Encodings that the connections share.
+    /// Cache of encoded targets, shared by all connections.
     pub encodings: Arc<EncodingCache>,
 }
 
-/// The engines of a service, as listed.
+/// Lists the engines of a service from the backend server registry.
 pub async fn list_engines<K>(store: &K, service: &str) -> Result<Vec<SocketAddr>, KeyValueError>
 where
     K: KeyValue,
@@ -59,45 +60,47 @@
     let snapshot = store.range(SERVERS_PREFIX).await?;
     let listed = snapshot.entries.iter().filter_map(|entry| {
         servers::decode(&entry.key, &entry.value)
-            .inspect_err(|error| tracing::warn!(key = entry.key, %error, "entry left out"))
+            .inspect_err(|error| tracing::warn!(key = entry.key, %error, "registration ignored"))
             .ok()
     });
     Ok(listed.filter(|server| server.service == service).map(|server| server.address).collect())
 }
 
-/// Stays connected to an agent until `attend` says that it is not wanted any more.
-pub async fn keep_connected<Attend, Attending>(
+/// Stays connected to an agent, reconnecting until `serve` returns that the agent is not needed any
+/// more.
+pub async fn keep_connected<Serve, Serving>(
     agent: SocketAddr,
     identity: &Identity,
-    mut attend: Attend,
+    mut serve: Serve,
 ) where
-    Attend: FnMut(AgentLink) -> Attending,
-    Attending: Future<Output = Reconnect>,
+    Serve: FnMut(AgentLink) -> Serving,
+    Serving: Future<Output = Reconnect>,
 {
     loop {
         match connect::<AgentRequest, RankUpdate>(agent, identity).await {
             Ok(link) => {
-                if attend(link).await == Reconnect::No {
+                if serve(link).await == Reconnect::No {
                     return;
                 }
             }
-            Err(error) => tracing::debug!(%agent, %error, "agent not reached"),
+            Err(error) => tracing::debug!(%agent, %error, "can't connect to the agent"),
         }
         sleep(RECONNECT_PAUSE).await;
     }
 }
 
-/// Whether a connection that ended is to be opened again.
+/// Whether to reconnect after a connection has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reconnect {
-    /// It broke off.
+    /// The connection broke or sent something unusable.
     Yes,
-    /// The agent belongs to another group, or nobody listens.
+    /// The agent belongs to another group, or this process no longer uses the updates.
     No,
 }
 
 impl PeerConnector {
-    /// Connects to the agents beside `engines`, but not to those already in `connected`.
+    /// Connects to the agents beside `engines`, except this VM's and those already in `connected`,
+    /// which is extended. `stop` ends the connections.
     pub fn connect_to(
         &self,
         engines: &[SocketAddr],
@@ -112,26 +115,21 @@
             let (peers, stop) = (self.clone(), stop.clone());
             tokio::spawn(async move {
                 let agent = SocketAddr::new(engine.ip(), peers.port);
-                let attend = |link| peers.attend(engine, agent, link);
-                let keeping = keep_connected(agent, &peers.identity, attend);
+                let serve = |link| peers.serve(engine, agent, link);
+                let keeping = keep_connected(agent, &peers.identity, serve);
                 stop.run_until_cancelled(keeping).await;
             });
         }
     }
 
-    async fn attend(
-        &self,
-        engine: SocketAddr,
-        agent: SocketAddr,
-        mut link: AgentLink,
-    ) -> Reconnect {
+    async fn serve(&self, engine: SocketAddr, agent: SocketAddr, mut link: AgentLink) -> Reconnect {
         let mut targets = self.targets.clone();
         targets.mark_changed();
         let mut assignment = self.assignment.clone();
         assignment.mark_changed();
         let data_centre: Arc<str> = link.peer.data_centre.as_str().into();
         let mut encoder = TargetEncoder::new(Arc::clone(&self.encodings));
-        let mut told = (Subscription::State, Arc::default());
+        let mut sent = (Subscription::State, Arc::default());
         let mut is_member = false;
         loop {
             tokio::select! {
@@ -151,7 +149,7 @@
                         return Reconnect::No;
                     }
                     let Some(message) = encoder.encode(&targets.borrow_and_update()) else {
-                        tracing::error!("target can't be encoded");
+                        tracing::error!("can't encode the target");
                         return Reconnect::Yes;
                     };
                     if link.sender.send(AgentRequest::Target(message)).await.is_err() {
@@ -163,12 +161,12 @@
                         return Reconnect::No;
                     }
                     let part = assignment.borrow_and_update().for_agent(agent);
-                    for request in part.requests(&told) {
+                    for request in part.requests(&sent) {
                         if link.sender.send(request).await.is_err() {
                             return Reconnect::Yes;
                         }
                     }
-                    told = (part.telling, part.members);
+                    sent = (part.subscription, part.members);
                 }
             }
         }
--- a/crates/ranks/src/process.rs
+++ b/crates/ranks/src/process.rs
@@ -1,4 +1,4 @@
-//! Runs the agent.
+//! Startup of the agent process.
 
 use crate::agent::Agent;
 use crate::collect::{Assignment, Collector};
@@ -22,33 +22,32 @@
 use tokio::sync::{broadcast, mpsc, watch};
 use tokio_util::sync::CancellationToken;
 
-/// Longest wait for the own engine's answer, in milliseconds. It is on the same VM and answers
-/// within one or two. Engines leave some orders unanswered; while the group is held, each
-/// millisecond of waiting for one delays its next pass.
-const OWN_ENGINE_LIMIT_MS: u64 = 40;
+/// Timeout of calls to the local engine. It is on the same VM and answers within 1 or 2 ms, but
+/// leaves some orders unanswered; while the group is held, waiting for one delays its next pass.
+const LOCAL_ENGINE_TIMEOUT_MS: u64 = 40;
 
-/// How connections between agents are kept. Ranks tell their progress five times a second, so a second
-/// without a word means a dead connection.
+/// Timing of connections between agents. Ranks send their progress five times a second, so a second
+/// of silence means that the connection is dead.
 const TIMING: Timing = Timing {
     heartbeat: Duration::from_millis(400),
     silence_limit: Duration::from_millis(1_000),
     stuck_limit: Duration::from_millis(1_000),
 };
 
-/// Updates of peers that may wait for the coordinator.
+/// Number of peer updates buffered for the coordinator.
 const PEER_UPDATE_CAPACITY: usize = 256;
 
-/// Why an agent can't run.
+/// Why an agent can't start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// The settings name no backend server.
-    #[error("settings name no backend server beside this process")]
+    /// The settings don't contain the address of a backend server on this VM.
+    #[error("settings name no backend server on this VM")]
     NoBackendServer,
-    /// An address is no authority.
-    #[error("address: {0}")]
+    /// The address of the engine or the key-value store is invalid.
+    #[error("invalid address: {0}")]
     Address(#[from] http::uri::InvalidUri),
-    /// The port is taken.
-    #[error("can't listen: {0}")]
+    /// The agent's port can't be bound.
+    #[error("can't listen for agents: {0}")]
     Io(#[from] std::io::Error),
 }
 
@@ -58,7 +57,7 @@
     F: Future<Output = ()>,
 {
     let engine = settings.backend_server.ok_or(StartError::NoBackendServer)?;
-    let local_engine = EngineClient::new(engine, OWN_ENGINE_LIMIT_MS)?;
+    let local_engine = EngineClient::new(engine, LOCAL_ENGINE_TIMEOUT_MS)?;
     let (targets, watched) = watch::channel(RankTarget::Idle);
     let (updates, local_updates) = broadcast::channel(UPDATE_CAPACITY);
     let poller =
--- a/crates/ranks/src/remote.rs
+++ b/crates/ranks/src/remote.rs
@@ -1,7 +1,7 @@
-//! Ranks without a living agent, seen to from the coordinator's VM.
+//! Polls the engines of ranks without a living agent from the coordinator's VM.
 //!
-//! Calls from another VM are paid for and take the coordinator's link, so only a few ranks are kept up this
-//! way. Of a group that lacks more agents the map stays as it is.
+//! Calls between VMs are billed and use the coordinator's link, so only a few ranks are pollers
+//! this way. The map of a group that lacks more agents is left unchanged.
 
 use crate::engine::{EnginePoller, Polling, UPDATE_CAPACITY};
 use crate::peers::PeerUpdate;
@@ -12,29 +12,30 @@
 use tokio::sync::{broadcast, mpsc, watch};
 use tokio_util::sync::CancellationToken;
 
-/// Most ranks that are seen to from afar.
+/// Maximum number of ranks that are pollers remotely.
 pub const MAX_REMOTE_RANKS: usize = 8;
 
-/// Longest wait for an engine's answer, in milliseconds. A whole map takes a narrow link 40 ms.
-const ENGINE_LIMIT_MS: u64 = 250;
+/// Timeout of calls to the engines. On a slow link, sending a complete map takes 40 ms.
+const ENGINE_TIMEOUT_MS: u64 = 250;
 
-/// The pollers of such ranks.
+/// The running pollers, by engine.
 #[derive(Debug)]
 pub struct RemotePollers {
     targets: watch::Receiver<RankTarget>,
     updates: mpsc::Sender<PeerUpdate>,
-    polled: HashMap<SocketAddr, CancellationToken>,
+    pollers: HashMap<SocketAddr, CancellationToken>,
 }
 
 impl RemotePollers {
-    /// No rank yet. Pollers bring ranks to `targets` and tell `updates` how they stand.
+    /// Creates an empty set. Pollers bring their ranks to `targets` and send their state to
+    /// `updates`.
     pub fn new(targets: watch::Receiver<RankTarget>, updates: mpsc::Sender<PeerUpdate>) -> Self {
-        Self { targets, updates, polled: HashMap::new() }
+        Self { targets, updates, pollers: HashMap::new() }
     }
 
-    /// Polls the engines at these addresses and no others.
+    /// Starts polling the engines at these addresses and stops polling all others.
     pub fn poll(&mut self, engines: &[SocketAddr]) {
-        self.polled.retain(|engine, stop| {
+        self.pollers.retain(|engine, stop| {
             let is_wanted = engines.contains(engine);
             if !is_wanted {
                 stop.cancel();
@@ -42,19 +43,19 @@
             is_wanted
         });
         for &engine in engines {
-            if self.polled.contains_key(&engine) {
+            if self.pollers.contains_key(&engine) {
                 continue;
             }
-            let client = match EngineClient::new(engine, ENGINE_LIMIT_MS) {
+            let client = match EngineClient::new(engine, ENGINE_TIMEOUT_MS) {
                 Ok(client) => client,
                 Err(error) => {
-                    tracing::warn!(%engine, %error, "engine's address can't be used");
+                    tracing::warn!(%engine, %error, "invalid engine address");
                     continue;
                 }
             };
-            tracing::info!(%engine, "no agent is heard, engine asked from here");
+            tracing::info!(%engine, "agent is silent, polling its engine remotely");
             let stop = CancellationToken::new();
-            self.polled.insert(engine, stop.clone());
+            self.pollers.insert(engine, stop.clone());
             let (targets, updates) = (self.targets.clone(), self.updates.clone());
             tokio::spawn(async move {
                 stop.run_until_cancelled(poll(engine, client, targets, updates)).await;
@@ -65,7 +66,7 @@
 
 impl Drop for RemotePollers {
     fn drop(&mut self) {
-        self.polled.values().for_each(CancellationToken::cancel);
+        self.pollers.values().for_each(CancellationToken::cancel);
     }
 }
 
@@ -75,11 +76,11 @@
     targets: watch::Receiver<RankTarget>,
     updates: mpsc::Sender<PeerUpdate>,
 ) {
-    let (sender, mut told) = broadcast::channel(UPDATE_CAPACITY);
+    let (sender, mut received) = broadcast::channel(UPDATE_CAPACITY);
     let poller = EnginePoller::new(client, Polling::REMOTE, targets, sender);
     let forwarding = async {
         loop {
-            match told.recv().await {
+            match received.recv().await {
                 Ok(update) => {
                     let update = PeerUpdate { engine, data_centre: None, update };
                     if updates.send(update).await.is_err() {
--- a/crates/ranks/src/rescue.rs
+++ b/crates/ranks/src/rescue.rs
@@ -1,8 +1,8 @@
-//! Finishes a change of map whose coordinator died or froze while it held the group.
+//! Finishes a map switch whose coordinator died or froze while it held the group.
 //!
-//! A held group does no pass until somebody lets it go, and its callers' streams stand still. Any
-//! agent can finish the change: it arms the ranks that lack it, reads every rank back, and only
-//! then lets the pass begin. Two that do so at once do the same.
+//! A held group starts no pass until it is released, and its callers' streams stall. Any agent can
+//! finish the switch: it arms the ranks that are not armed, reads all ranks back and only then
+//! releases the pass. Doing so is idempotent, so two agents may do it concurrently.
 
 use crate::engine::rank_state;
 use crate::switch::{UnfinishedSwitch, find_unfinished, is_armed};
@@ -13,29 +13,30 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long the group may stand still before the first rank looks for a hold: longer than the
-/// longest pass, some 250 ms with a full batch and a skew of 3.
-const BASE_PATIENCE: Duration = Duration::from_millis(350);
+/// How long the group may stall before rank 0 checks for a hold: longer than the longest pass,
+/// which takes some 250 ms with a full batch and a skew of 3.
+const BASE_STALL_TIMEOUT: Duration = Duration::from_millis(350);
 
-/// Added for each rank, so that usually one alone acts.
-const RANK_PATIENCE: Duration = Duration::from_millis(60);
+/// Added per rank, so that usually only one agent acts.
+const STALL_TIMEOUT_PER_RANK: Duration = Duration::from_millis(60);
 
-/// Longest wait for an engine's answer, in milliseconds.
-const ENGINE_LIMIT_MS: u64 = 150;
+/// Timeout of calls to other ranks' engines.
+const ENGINE_TIMEOUT_MS: u64 = 150;
 
-/// Rounds of arming and reading back. Engines leave some orders unanswered.
-const ROUNDS: usize = 6;
+/// Rounds of arming and reading back. More than one, since engines leave some orders unanswered.
+const MAX_ROUNDS: usize = 6;
 
-/// How long rank `rank` waits before it looks for a hold.
+/// How long the group must stall before the agent of rank `rank` checks for a hold.
 pub fn stall_timeout(rank: usize) -> Duration {
-    BASE_PATIENCE + RANK_PATIENCE * u32::try_from(rank).unwrap_or(u32::MAX)
+    BASE_STALL_TIMEOUT + STALL_TIMEOUT_PER_RANK * u32::try_from(rank).unwrap_or(u32::MAX)
 }
 
-/// Finishes the change of the group with these engines, if one holds it.
+/// Finishes the switch for which a group is held, if it is held. `engines` are those of all its
+/// ranks, by rank.
 pub async fn finish_switch(engines: Arc<Vec<SocketAddr>>) {
     let Ok(clients) = engines
         .iter()
-        .map(|engine| EngineClient::new(*engine, ENGINE_LIMIT_MS))
+        .map(|engine| EngineClient::new(*engine, ENGINE_TIMEOUT_MS))
         .collect::<Result<Vec<_>, _>>()
     else {
         return;
@@ -43,20 +44,20 @@
     let Some(holder) = clients.first() else {
         return;
     };
-    // Reads from afar are paid for: without a hold there is nothing to finish.
+    // Calls between VMs are billed, and without a hold there is nothing to finish.
     let is_held = match holder.report().await {
         Ok(report) => report.held_pass.is_some(),
         Err(error) => {
-            tracing::info!(%error, "no report from rank 0");
+            tracing::info!(%error, "can't read the report of rank 0");
             false
         }
     };
     if !is_held {
         return;
     }
-    for _ in 0..ROUNDS {
+    for _ in 0..MAX_ROUNDS {
         let Some(states) = read_all(&clients).await else {
-            tracing::info!("not all ranks can be read");
+            tracing::info!("can't read the reports of all ranks");
             continue;
         };
         let (epoch, pass) = match find_unfinished(&states) {
@@ -82,7 +83,7 @@
     }
 }
 
-/// The states of all ranks, by rank; `None` unless all answer and are of one epoch.
+/// Reads the states of all ranks, by rank; `None` unless all answer and have the same epoch.
 async fn read_all(clients: &[EngineClient]) -> Option<Vec<RankState>> {
     let mut states = Vec::with_capacity(clients.len());
     for client in clients {
--- a/crates/ranks/src/switch.rs
+++ b/crates/ranks/src/switch.rs
@@ -1,31 +1,36 @@
-//! The life cycle of one change of a group's map, without I/O.
+//! The state machine of one map switch of a group, without I/O.
 //!
-//! Engines here take orders without fencing numbers and may carry one out seconds after it was
-//! given up. Two things stand in for the number. A hold at rank 0 keeps the whole group from
-//! beginning the pass at which maps change until every rank was read back as armed for it; so a
-//! coordinator that dies in between leaves a group that waits, never one with two maps. Another
-//! rank's agent gives that hold: if it stops right after, the agent beside the held engine sees so
-//! and lets the group go before anything is armed. And every
-//! order names the group's epoch and a pass: an order that is carried out late, after its pass
-//! has begun or the group has formed again, is refused by the engine itself. Nothing is ever
-//! disarmed, since an arming still on its way could then take effect alone.
+//! Engines accept orders without fencing numbers and may execute one seconds after it was given up.
+//! Two mechanisms replace the fencing number:
+//!
+//! - A hold at rank 0 keeps the whole group from starting the pass at which maps change until every
+//!   rank was read back as armed for it. A coordinator that dies in between leaves a group that
+//!   waits, never one with two maps. Another rank's agent issues the hold: if it stops right after,
+//!   the agent beside the held engine notices and releases the group before anything is armed.
+//! - Every order names the group's epoch and a pass. The engine itself refuses an order that it
+//!   executes late, after the pass has started or the group has formed again.
+//!
+//! No rank is ever disarmed, since an arm order still in flight could then take effect on one rank
+//! alone.
 
 use flamingowheel_protocol::ranks::{Map, RankState, RankTarget};
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Fewest and most passes between the newest one known and the one at which maps change.
+/// Minimum and maximum number of passes between the newest known one and the one at which maps
+/// change.
 const PASSES_AHEAD: (u64, u64) = (2, 4);
 
-/// Passes ahead before it is known how long arming takes.
+/// Number of passes ahead while the arming time is unknown.
 pub const FIRST_PASSES_AHEAD: u64 = 3;
 
-/// Part by which arming may take longer than usual.
-const ARMING_RESERVE: f64 = 1.25;
+/// Safety factor on the mean arming time.
+const ARMING_TIME_FACTOR: f64 = 1.25;
 
-/// Passes between the newest one known and the one at which maps change: enough that all ranks are armed by
-/// then, so that the hold seldom makes a pass wait, and no more, since each is done with the old map.
-/// The newest pass may be nearly over when the hold is asked for.
+/// Returns the number of passes between the newest known one and the one at which maps change:
+/// enough for all ranks to be armed by then, so that the hold rarely delays a pass, but no more,
+/// since these passes still use the old map. One pass is added because the newest one may be nearly
+/// over when the hold is requested.
 ///
 /// ```
 /// use flamingowheel_ranks::switch::passes_ahead;
@@ -34,156 +39,159 @@
 /// ```
 pub fn passes_ahead(arming_ms: f64, pass_ms: f64) -> u64 {
     let (least, most) = PASSES_AHEAD;
-    let passes = (arming_ms * ARMING_RESERVE / pass_ms.max(1.0)).ceil();
+    let passes = (arming_ms * ARMING_TIME_FACTOR / pass_ms.max(1.0)).ceil();
     (1 + passes as u64).clamp(least, most)
 }
 
-/// Stands for the version of a change that is not carried out; the first map has it.
+/// Version that marks a switch as abandoned. It is the version of the first map, which is never
+/// switched to.
 const ABANDONED: u64 = 0;
 
-/// A change in one state of its life cycle.
+/// A map switch; the type parameter is its state.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Switch<S> {
-    /// The group's epoch; in any other one the change is void.
+    /// The group's epoch; in any other epoch the switch is void.
     pub epoch: u64,
-    /// The map's version.
+    /// Version of the new map.
     pub version: u64,
-    /// The map.
+    /// The new map; empty if the switch was taken over from another coordinator.
     pub map: Arc<Map>,
-    /// The engines by rank.
+    /// Addresses of the engines, by rank; empty if the switch was taken over from another
+    /// coordinator.
     pub engines: Arc<Vec<SocketAddr>>,
     state: S,
 }
 
-/// Ranks copy the experts that they lack.
+/// Ranks copy the experts that they are missing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Preparing;
 
-/// The group is to be held before a pass.
+/// A hold before the pass has been requested.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Holding {
     pass: u64,
 }
 
-/// The group can't begin the pass; ranks are armed for it.
+/// The group is held before the pass; ranks are being armed for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Arming {
     pass: u64,
 }
 
-/// All ranks are armed; the hold is to be lifted.
+/// All ranks are armed, or the switch was abandoned; the hold is being released.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Releasing {
     pass: u64,
 }
 
-/// The pass may begin; it does so with the next request.
+/// The hold is released; the pass starts with the next request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Released {
     pass: u64,
 }
 
 impl Switch<Preparing> {
-    /// A change that has just been decided.
+    /// Creates a switch to a newly planned map.
     pub fn new(epoch: u64, version: u64, map: Map, engines: Vec<SocketAddr>) -> Self {
         Self { epoch, version, map: Arc::new(map), engines: Arc::new(engines), state: Preparing }
     }
 
-    /// What every rank is to be brought to.
+    /// Target for all ranks: the map is prepared.
     pub fn target(&self) -> RankTarget {
         let (epoch, version) = (self.epoch, self.version);
         let (map, engines) = (Arc::clone(&self.map), Arc::clone(&self.engines));
         RankTarget::Prepared { epoch, version, map, engines }
     }
 
-    /// Goes on once all ranks have all experts; maps are to change `ahead` passes from now.
+    /// Advances once all ranks have prepared the map; maps change `ahead` passes from now.
     pub fn advance(self, ranks: &[RankState], ahead: u64) -> Result<Switch<Holding>, Self> {
         let is_ready = ranks.iter().all(|rank| rank.prepared_version == Some(self.version));
         if !is_ready {
             return Err(self);
         }
         let pass = newest_pass(ranks) + ahead;
-        Ok(self.with(Holding { pass }))
+        Ok(self.with_state(Holding { pass }))
     }
 }
 
 impl Switch<Holding> {
-    /// The pass to hold.
+    /// The pass that is to be held.
     pub fn pass(&self) -> u64 {
         self.state.pass
     }
 
-    /// What every rank is to be brought to: rank `by` is to hold the engine of rank 0.
+    /// Target for all ranks: the agent of rank `by` holds the engine of rank 0. `None` if the
+    /// engines are not known.
     pub fn target(&self, by: usize) -> Option<RankTarget> {
         let engine = *self.engines.first()?;
         Some(RankTarget::Held { epoch: self.epoch, pass: self.state.pass, by, engine })
     }
 
-    /// The hold has been read back.
+    /// Advances after the hold was read back.
     pub fn held(self) -> Switch<Arming> {
         let pass = self.state.pass;
-        self.with(Arming { pass })
+        self.with_state(Arming { pass })
     }
 
-    /// Lets the group go without any rank armed.
+    /// Releases the group without arming any rank.
     pub fn abandon(self) -> Switch<Releasing> {
         Switch::abandoned(self.epoch, self.state.pass)
     }
 
-    /// The pass had begun before the hold arrived; a later one is taken. A hold of the old pass
-    /// that is still on its way will be refused.
+    /// Chooses a later pass after the hold arrived too late. The engine refuses a hold of the old
+    /// pass that is still in flight.
     pub fn postpone(self, ranks: &[RankState], newest: u64, ahead: u64) -> Self {
         let pass = (newest_pass(ranks).max(newest) + ahead).max(self.state.pass + 1);
-        self.with(Holding { pass })
+        self.with_state(Holding { pass })
     }
 }
 
 impl Switch<Arming> {
-    /// What every rank is to be brought to.
+    /// Target for all ranks: the map is armed for the pass.
     pub fn target(&self) -> RankTarget {
         let (epoch, version, pass) = (self.epoch, self.version, self.state.pass);
         RankTarget::Armed { epoch, version, pass, engines: Arc::clone(&self.engines) }
     }
 
-    /// Goes on once every rank was read back as armed.
+    /// Advances once every rank was read back as armed or as using the map.
     pub fn advance(self, ranks: &[RankState]) -> Result<Switch<Releasing>, Self> {
-        // Somebody else may have let the pass go while this process was frozen.
+        // Another agent may have released the pass while this process was frozen.
         let is_armed = |rank: &RankState| is_armed(rank, self.version, self.state.pass);
         if !ranks.iter().all(is_armed) {
             return Err(self);
         }
         let pass = self.state.pass;
-        Ok(self.with(Releasing { pass }))
+        Ok(self.with_state(Releasing { pass }))
     }
 }
 
 impl Switch<Releasing> {
-    /// The pass to let go.
+    /// The held pass that is to be released.
     pub fn pass(&self) -> u64 {
         self.state.pass
     }
 
-    /// The hold has been read back as lifted.
+    /// Advances after the release was read back.
     pub fn released(self) -> Switch<Released> {
         let pass = self.state.pass;
-        self.with(Released { pass })
+        self.with_state(Released { pass })
     }
 }
 
 impl Switch<Released> {
-    /// The pass that may begin.
+    /// The released pass, which is the first to use the map.
     pub fn pass(&self) -> u64 {
         self.state.pass
     }
 
-    /// Whether all ranks use the map.
+    /// Whether all ranks use the new map.
     pub fn is_done(&self, ranks: &[RankState]) -> bool {
         ranks.iter().all(|rank| rank.map_version == self.version && rank.armed.is_none())
     }
 }
 
 impl Switch<Arming> {
-    /// A change that an earlier coordinator had begun: the group is held before `pass`, or a rank
+    /// Takes over a switch from an earlier coordinator: the group is held before `pass`, or a rank
     /// is armed for it.
     pub fn resume(epoch: u64, version: u64, pass: u64) -> Self {
         let (map, engines) = (Arc::default(), Arc::default());
@@ -192,12 +200,12 @@
 }
 
 impl Switch<Releasing> {
-    /// Whether nothing was armed, so that the pass begins with the old map.
+    /// Whether no rank was armed, so that the pass uses the old map.
     pub fn is_abandoned(&self) -> bool {
         self.version == ABANDONED
     }
 
-    /// A hold that an earlier coordinator left, with no rank armed or able to be.
+    /// Creates the release of a hold for which no rank is or can still be armed.
     pub fn abandoned(epoch: u64, pass: u64) -> Self {
         let (map, engines) = (Arc::default(), Arc::default());
         Switch { epoch, version: ABANDONED, map, engines, state: Releasing { pass } }
@@ -205,20 +213,21 @@
 }
 
 impl<S> Switch<S> {
-    fn with<T>(self, state: T) -> Switch<T> {
+    fn with_state<T>(self, state: T) -> Switch<T> {
         let Self { epoch, version, map, engines, .. } = self;
         Switch { epoch, version, map, engines, state }
     }
 }
 
-/// Whether a rank uses the map from the pass on, or already does.
+/// Whether a rank will use the map from the pass on, or already uses it.
 pub fn is_armed(rank: &RankState, version: u64, pass: u64) -> bool {
     rank.armed == Some((version, pass)) || rank.map_version == version
 }
 
-/// The version of the next map: above all that a rank is known to have had, and above `last`, the one
-/// planned last. Ranks may be preparing that one though it was given up, and refuse a lower one; the
-/// next change would then wait in vain until its time is over. `spread` is drawn at random, above 0.
+/// Returns the version of the next map: higher than all versions known from the ranks, and than
+/// `last`, the one planned last. Ranks may still be preparing that one although it was given up,
+/// and refuse a lower one, so that the next switch would time out. `spread` is random and at least
+/// 1.
 ///
 /// ```
 /// use flamingowheel_ranks::switch::next_version;
@@ -229,31 +238,32 @@
     known.max().unwrap_or(0).max(last) + spread
 }
 
-/// A change that somebody began and did not finish.
+/// A switch that was started but not finished.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnfinishedSwitch {
-    /// Ranks are armed, or may still become so: only arming all of them is safe.
+    /// Ranks are armed, or an arm order may be in flight: the only safe action is to arm all of
+    /// them.
     Armed {
-        /// The group's epoch.
+        /// Epoch in which the switch was started.
         epoch: u64,
-        /// The map's version.
+        /// Version of the new map.
         version: u64,
-        /// The first pass that uses it.
+        /// The first pass that uses the new map.
         pass: u64,
     },
-    /// The group is held, and no rank can have been armed.
+    /// The group is held, but no rank can have been armed.
     Held {
-        /// The group's epoch.
+        /// Epoch in which the switch was started.
         epoch: u64,
-        /// The pass that is held.
+        /// The held pass.
         pass: u64,
     },
 }
 
-/// Finds an unfinished change in the states of all ranks.
+/// Finds an unfinished switch from the states of all ranks.
 ///
-/// Arming orders go out only after all ranks were seen prepared with one version. So if none is
-/// armed and their versions differ, none can be on its way.
+/// Arm orders are sent only after all ranks were seen prepared with the same version. So if no rank
+/// is armed and the prepared versions differ, no arm order can be in flight.
 pub fn find_unfinished(ranks: &[RankState]) -> Option<UnfinishedSwitch> {
     let epoch = ranks.first()?.epoch;
     if let Some((version, pass)) = ranks.iter().find_map(|rank| rank.armed) {
--- a/crates/ranks/tests/group.rs
+++ b/crates/ranks/tests/group.rs
@@ -1,4 +1,4 @@
-//! What a coordinator learns of its group, and when it drops a change.
+//! The coordinator's view of its group, and when it replaces a switch in progress.
 
 use flamingowheel_fleet::EngineParameters;
 use flamingowheel_policy::experts::Shape;
@@ -28,20 +28,20 @@
     group
 }
 
-/// Experts that the first map puts on rank 0, on rank 1, and nearly the same as those.
+/// Experts that the first map places on rank 0, on rank 1, and mostly on rank 1.
 const ON_RANK_0: [usize; 4] = [0, 4, 8, 12];
 const ON_RANK_1: [usize; 4] = [1, 5, 9, 13];
 const MOSTLY_ON_RANK_1: [usize; 4] = [1, 5, 9, 2];
 
-/// Choices of one rank's requests, in which a few experts are liked most.
+/// Choices of one rank's requests, most of them of a few favourite experts.
 fn choices(favourites: [usize; 4]) -> ExpertCounts {
     let count = |e: usize| if favourites.contains(&e) { 200 } else { 20 };
     let set: Vec<u32> = (0..SHAPE.experts).map(count).collect();
     ExpertCounts::pack(&[set.clone(), set].concat())
 }
 
-/// All ranks tell of a pass under the first map.
-fn tell(group: &mut Group, ranks: std::ops::Range<usize>, pass: u64, favourites: [usize; 4]) {
+/// Applies the updates of the given ranks for a pass under the first map.
+fn apply_pass(group: &mut Group, ranks: std::ops::Range<usize>, pass: u64, favourites: [usize; 4]) {
     let map = SHAPE.first_map();
     for rank in ranks {
         let experts: Vec<_> = map.iter().map(|set| set[rank].clone()).collect();
@@ -58,45 +58,45 @@
 }
 
 fn planned(group: &Group) -> Map {
-    group.next_step(&group.states()).expect("the first map is far from even").map
+    group.next_step(&group.states()).expect("the first map is unbalanced").map
 }
 
-/// Demand shifts while ranks copy experts for what was liked before. Finished, that change would
-/// keep passes long for another half second.
+/// Demand shifts while ranks copy experts for the previous demand. Finishing that switch would keep
+/// passes slow for another half second.
 #[tokio::test(start_paused = true)]
 async fn replacement_step_after_shift() {
     let mut group = group();
-    tell(&mut group, 0..SHAPE.ranks, 1, ON_RANK_0);
+    apply_pass(&mut group, 0..SHAPE.ranks, 1, ON_RANK_0);
     assert!(group.close_window(), "the first window is a shift");
     let map = planned(&group);
     assert!(group.replacement_step(&map).is_none());
-    tell(&mut group, 0..SHAPE.ranks, 2, ON_RANK_1);
+    apply_pass(&mut group, 0..SHAPE.ranks, 2, ON_RANK_1);
     assert!(group.close_window());
     assert!(group.replacement_step(&map).is_some());
 }
 
-/// A window looks like a shift once more while the right change is prepared already. Dropped each time,
-/// no change would ever be finished, and the group would stay slow for good.
+/// A window looks like another shift while a suitable switch is already being prepared. If it were
+/// dropped each time, no switch would ever finish, and the group would stay slow permanently.
 #[tokio::test(start_paused = true)]
 async fn replacement_step_none_while_it_helps() {
     let mut group = group();
-    tell(&mut group, 0..SHAPE.ranks, 1, ON_RANK_0);
+    apply_pass(&mut group, 0..SHAPE.ranks, 1, ON_RANK_0);
     group.close_window();
-    tell(&mut group, 0..SHAPE.ranks, 2, ON_RANK_1);
+    apply_pass(&mut group, 0..SHAPE.ranks, 2, ON_RANK_1);
     group.close_window();
     let map = planned(&group);
-    tell(&mut group, 0..SHAPE.ranks, 3, MOSTLY_ON_RANK_1);
+    apply_pass(&mut group, 0..SHAPE.ranks, 3, MOSTLY_ON_RANK_1);
     group.close_window();
     assert!(group.replacement_step(&map).is_none());
 }
 
-/// Passes take longer than the pause between two looks. What some ranks have told by then is no
-/// window of its own: each would look like another demand.
+/// Passes take longer than the interval between windows. The choices of only some ranks must not
+/// form a window: each would look like a shift of demand.
 #[tokio::test(start_paused = true)]
 async fn close_window_not_within_pass() {
     let mut group = group();
-    tell(&mut group, 0..SHAPE.ranks, 1, ON_RANK_0);
+    apply_pass(&mut group, 0..SHAPE.ranks, 1, ON_RANK_0);
     assert!(group.close_window());
-    tell(&mut group, 1..3, 1, ON_RANK_1);
-    assert!(!group.close_window(), "rank 0 has begun no pass since");
+    apply_pass(&mut group, 1..3, 1, ON_RANK_1);
+    assert!(!group.close_window(), "rank 0 has started no pass since");
 }
--- a/crates/ranks/tests/load.rs
+++ b/crates/ranks/tests/load.rs
@@ -1,4 +1,5 @@
-//! What the control of a wide group costs the links of its agents, by the messages that they send.
+//! Bandwidth that the control traffic of large groups uses on the agents' links, from message
+//! sizes.
 
 use flamingowheel_policy::experts::Shape;
 use flamingowheel_protocol::codec::encode;
@@ -13,19 +14,19 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// The narrowest link of an agent, in bytes a second.
+/// Smallest link bandwidth of an agent, in bytes per second.
 const LINK_BYTES_PER_S: u64 = 750_000;
 
-/// Part of it that control may take in either direction.
-const MOST_SHARE: f64 = 0.4;
+/// Share of the link that control traffic may use in each direction.
+const MAX_SHARE: f64 = 0.4;
 
-/// What each message takes besides: frame and packet headers, in bytes.
+/// Overhead of frame and packet headers per message, in bytes.
 const HEADER_BYTES: usize = 60;
 
 const PORT: u16 = 7_000;
 const DATA_CENTRES: usize = 5;
 
-/// Sizes of groups: ranks, sets, experts, replicas a rank.
+/// Group sizes: ranks, sets, experts, replicas per rank.
 const SIZES: [(usize, usize, usize, usize); 5] =
     [(12, 16, 96, 11), (24, 16, 96, 5), (32, 16, 128, 5), (96, 16, 192, 3), (128, 16, 192, 3)];
 
@@ -39,7 +40,8 @@
     Assignment::distribute(agents.collect(), max_direct_agents(counts, LINK_BYTES_PER_S))
 }
 
-/// One rank's choices in a window of a busy group: some experts are liked ten times as much as others.
+/// One rank's choices in a window of a busy group, in which some experts are chosen more than ten
+/// times as often as others.
 fn choices(counts: usize, rng: &mut ChaCha8Rng) -> ExpertCounts {
     let count = |_| {
         let mean: f64 = 4.0 / rng.random_range(0.05_f64..1.0);
@@ -53,22 +55,23 @@
 }
 
 fn assert_within_link(bytes_per_s: f64, what: &str, ranks: usize) {
-    let most = LINK_BYTES_PER_S as f64 * MOST_SHARE;
+    let max = LINK_BYTES_PER_S as f64 * MAX_SHARE;
     assert!(
-        bytes_per_s < most,
-        "{what}, {ranks} ranks: {bytes_per_s:.0} of {most:.0} bytes a second"
+        bytes_per_s < max,
+        "{what}, {ranks} ranks: {bytes_per_s:.0} of {max:.0} bytes per second"
     );
 }
 
-/// Counts of 95 ranks, told to one agent ten times a second, were four times what its link carries. No
-/// connection lived, no state was fresh for all ranks, and the group kept its first map for good.
+/// Counts of 95 ranks, sent to one agent ten times a second, need four times the bandwidth of its
+/// link. Connections then time out, the states of all ranks are never fresh at once, and the group
+/// keeps its first map permanently.
 #[test]
 fn distribute_counts_within_links() {
     let mut rng = ChaCha8Rng::seed_from_u64(5);
     let windows_per_s = 1.0 / COUNTS_INTERVAL.as_secs_f64();
-    let words_per_s = 1.0 / PROGRESS_INTERVAL.as_secs_f64();
+    let updates_per_s = 1.0 / PROGRESS_INTERVAL.as_secs_f64();
     let progress = Progress { pass: 90_000, running: 6, waiting: 2, pace: 1.25 };
-    let word_bytes = size_bytes(&RankUpdate::Progress(progress));
+    let progress_bytes = size_bytes(&RankUpdate::Progress(progress));
     for (ranks, sets, experts, _) in SIZES {
         let counts = sets * experts;
         let assignment = assignment(ranks, counts);
@@ -79,20 +82,22 @@
         let has_collectors = assignment.max_members() > 0;
         let source_bytes = if has_collectors { sum_bytes } else { own_bytes };
 
-        let words = ranks as f64 * word_bytes * words_per_s;
-        let to_coordinator = words + assignment.sources() as f64 * source_bytes * windows_per_s;
+        let progress_bytes_per_s = ranks as f64 * progress_bytes * updates_per_s;
+        let to_coordinator =
+            progress_bytes_per_s + assignment.sources() as f64 * source_bytes * windows_per_s;
         assert_within_link(to_coordinator, "coordinator", ranks);
         let members = assignment.max_members() as f64;
-        let to_collector = members * (own_bytes * windows_per_s + word_bytes * words_per_s);
+        let to_collector = members * (own_bytes * windows_per_s + progress_bytes * updates_per_s);
         assert_within_link(to_collector, "collector", ranks);
     }
 }
 
-/// A map of 96 ranks, told whole to 95 agents, takes two seconds of the coordinator's link, and demand
-/// shifts every three. A quarter of a second is what a step may take to reach all of them.
+/// Sending the complete map of 96 ranks to 95 agents takes two seconds on the coordinator's link,
+/// while demand shifts every three seconds. A step must reach all agents within a quarter of a
+/// second.
 #[test]
 fn encode_step_reaches_all_in_time() {
-    const MOST_S: f64 = 0.25;
+    const MAX_S: f64 = 0.25;
     let mut rng = ChaCha8Rng::seed_from_u64(5);
     for (ranks, sets, experts, replicas_per_rank) in SIZES {
         let shape = Shape { sets, experts, ranks, replicas_per_rank };
@@ -102,7 +107,7 @@
         let mut encoders = vec![TargetEncoder::new(cache); ranks - 1];
         let mut map = shape.first_map();
         for version in 1..4 {
-            // Two experts are new to each rank.
+            // Each rank gets two new experts.
             for copy in 0..2 * ranks {
                 let list = &mut map[rng.random_range(0..sets)][copy % ranks];
                 list[0] = rng.random_range(0..experts as u16);
@@ -119,13 +124,13 @@
                 .map(|request| encode(0, &[request]).unwrap().len() + HEADER_BYTES)
                 .sum();
             let taken_s = bytes as f64 / LINK_BYTES_PER_S as f64;
-            assert!(taken_s < MOST_S, "{ranks} ranks, version {version}: {taken_s:.3} s");
+            assert!(taken_s < MAX_S, "{ranks} ranks, version {version}: {taken_s:.3} s");
         }
     }
 }
 
-/// The agent that summed up the choices of others has died. Its members' choices must reach the
-/// coordinator by another one, or demand is learnt without them for as long as it is away.
+/// A collector dies. The choices of its members must reach the coordinator through another one;
+/// otherwise they are missing from the demand while it is away.
 #[test]
 fn distribute_collector_gone() {
     let agents = |without: Option<SocketAddr>| -> Vec<(Arc<str>, usize, SocketAddr)> {
@@ -134,13 +139,15 @@
         all.filter(|(_, _, address)| Some(*address) != without).collect()
     };
     let before = Assignment::distribute(agents(None), 10);
-    let gone =
-        (1..96).map(agent).find(|a| before.for_agent(*a).telling == Subscription::Sums).unwrap();
+    let gone = (1..96)
+        .map(agent)
+        .find(|a| before.for_agent(*a).subscription == Subscription::Sums)
+        .unwrap();
     let after = Assignment::distribute(agents(Some(gone)), 10);
-    let told_by = |address: SocketAddr| {
+    let is_covered = |address: SocketAddr| {
         let collects = |a: &usize| after.for_agent(agent(*a)).members.contains(&address);
-        after.for_agent(address).telling == Subscription::Sums || (1..96).any(|a| collects(&a))
+        after.for_agent(address).subscription == Subscription::Sums || (1..96).any(|a| collects(&a))
     };
-    assert!(before.for_agent(gone).members.iter().all(|member| told_by(*member)));
-    assert_eq!(after.for_agent(gone).telling, Subscription::State);
+    assert!(before.for_agent(gone).members.iter().all(|member| is_covered(*member)));
+    assert_eq!(after.for_agent(gone).subscription, Subscription::State);
 }
--- a/crates/ranks/tests/lookup.rs
+++ b/crates/ranks/tests/lookup.rs
@@ -1,4 +1,4 @@
-//! What a coordinator finds in a store that is slow, or silent for a while.
+//! Lookups in a slow key-value store.
 
 use flamingowheel_backing::BoxFuture;
 use flamingowheel_backing::fake::kv::FakeKeyValue;
@@ -9,17 +9,17 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// A store whose reads take so long.
+/// A store that delays all reads.
 #[derive(Clone)]
 struct SlowStore {
     store: FakeKeyValue,
-    read: Duration,
+    read_delay: Duration,
 }
 
 impl KeyValue for SlowStore {
     fn range<'a>(&'a self, prefix: &'a str) -> BoxFuture<'a, Result<Snapshot, KeyValueError>> {
         Box::pin(async move {
-            sleep(self.read).await;
+            sleep(self.read_delay).await;
             self.store.range(prefix).await
         })
     }
@@ -52,11 +52,13 @@
     }
 }
 
-/// The configuration has grown to a megabyte, and takes the coordinator's link longer than the first wait. Given
-/// up each time after as long, it was never read, and the group kept its first map for good.
+/// Reading a configuration of a megabyte over the coordinator's link takes longer than the first
+/// timeout. With the same timeout for each attempt it would never be read, and the group would keep
+/// its first map permanently.
 #[tokio::test(start_paused = true)]
 async fn start_large_configuration() {
-    let store = SlowStore { store: FakeKeyValue::default(), read: Duration::from_millis(1_800) };
+    let store =
+        SlowStore { store: FakeKeyValue::default(), read_delay: Duration::from_millis(1_800) };
     let mut lookup = Lookup::new(store, "s".to_owned());
     lookup.start(true);
     let found = timeout(Duration::from_secs(8), lookup.next()).await;
--- a/crates/ranks/tests/switch.rs
+++ b/crates/ranks/tests/switch.rs
@@ -1,4 +1,4 @@
-//! The life cycle of a change of map, and what is found of changes that others left unfinished.
+//! The state machine of a map switch, and the detection of unfinished switches.
 
 use flamingowheel_protocol::ranks::{RankState, RankTarget};
 use flamingowheel_ranks::switch::{
@@ -33,7 +33,7 @@
     prepared(&mut ranks);
     let holding = preparing().advance(&ranks, FIRST_PASSES_AHEAD).unwrap();
     let pass = holding.pass();
-    assert!(pass > 10, "a pass that has not begun");
+    assert!(pass > 10, "the pass must not have started");
     let arming = holding.held();
     ranks.iter_mut().for_each(|rank| rank.armed = Some((VERSION, pass)));
     let releasing = arming.advance(&ranks).unwrap();
@@ -46,8 +46,8 @@
     assert!(released.is_done(&ranks));
 }
 
-/// One rank leaves its order unanswered and has not copied its experts. Armed all the same, the
-/// others would use the new map without it: answers would be computed from two maps.
+/// One rank has not executed its order to copy experts. If the others were armed anyway, they would
+/// use the new map without it, and answers would be computed from two maps.
 #[test]
 fn switch_unprepared_rank_waits() {
     let mut ranks = ranks(2);
@@ -55,8 +55,8 @@
     assert!(preparing().advance(&ranks, FIRST_PASSES_AHEAD).is_err());
 }
 
-/// One rank's arming is still on its way when all others are armed. Released now, the pass could
-/// begin with two maps.
+/// All ranks but one are armed; its arm order is still in flight. If the pass were released now, it
+/// could start with two maps.
 #[test]
 fn switch_unarmed_rank_keeps_hold() {
     let mut ranks = ranks(3);
@@ -69,8 +69,8 @@
     assert!(holding.held().advance(&ranks).is_err());
 }
 
-/// The hold arrives after its pass has begun. A later pass is taken, never an earlier one: a late
-/// copy of the old hold must find its pass begun.
+/// The hold arrives after its pass has started. The new pass must be a later one, so that a late
+/// copy of the old hold is refused.
 #[test]
 fn switch_late_hold_takes_later_pass() {
     let mut ranks = ranks(2);
@@ -81,8 +81,8 @@
     assert!(next > first + 4, "{next}");
 }
 
-/// The coordinator freezes after the arming; another rank's agent lets the pass begin. On waking it
-/// must see the change as done, not wait for ranks to be armed.
+/// The coordinator freezes after arming, and another rank's agent releases the pass. When it
+/// resumes, the coordinator must treat the switch as done instead of waiting for ranks to be armed.
 #[test]
 fn switch_finished_by_others() {
     let mut ranks = ranks(2);
@@ -95,13 +95,13 @@
 #[test]
 fn target_names_engines_for_others() {
     let RankTarget::Prepared { engines: named, version, .. } = preparing().target() else {
-        panic!("a change begins with copies");
+        panic!("a switch starts with preparing the map");
     };
     assert_eq!((named.len(), version), (2, VERSION));
 }
 
-/// A coordinator dies after some ranks were armed. The arming of the others may still take effect,
-/// so the only safe way on is to arm them all.
+/// A coordinator dies after some ranks were armed. Arm orders of the others may still take effect,
+/// so the only safe action is to arm them all.
 #[test]
 fn find_unfinished_some_armed() {
     let mut ranks = ranks(2);
@@ -111,7 +111,7 @@
     assert_eq!(find_unfinished(&ranks), Some(expected));
 }
 
-/// A coordinator dies right after its hold. All ranks are prepared, so it may have sent armings.
+/// A coordinator dies right after its hold. All ranks are prepared, so it may have sent arm orders.
 #[test]
 fn find_unfinished_held_and_prepared() {
     let mut ranks = ranks(2);
@@ -121,8 +121,8 @@
     assert_eq!(find_unfinished(&ranks), Some(expected));
 }
 
-/// A hold takes effect seconds late, while ranks prepare something else: no arming can be on its
-/// way, and the group must not wait.
+/// A hold takes effect seconds late, while ranks prepare another map. No arm order can be in
+/// flight, so the group must not wait for one.
 #[test]
 fn find_unfinished_stray_hold() {
     let mut ranks = ranks(2);
@@ -136,9 +136,9 @@
     assert_eq!(find_unfinished(&ranks(2)), None);
 }
 
-/// A change is given up while ranks copy its experts, and no rank has reported it yet. With a lower
-/// version the next change would be refused by all of them, and passes would stay long for another
-/// second and a half.
+/// A switch is given up while ranks copy its experts, before any rank has reported its version. If
+/// the next switch had a lower version, all ranks would refuse it, and passes would stay slow for
+/// another second and a half.
 #[test]
 fn next_version_above_dropped() {
     let mut ranks = ranks(2);
