--- a/crates/gateway/tests/member.rs
+++ b/crates/gateway/tests/member.rs
@@ -1,4 +1,4 @@
-//! How long entries stay announced.
+//! How long entries stay announced after they died or left.
 
 use flamingowheel_backing::fake::kv::FakeKeyValue;
 use flamingowheel_backing::kv::KeyValue;
@@ -10,9 +10,9 @@
 use tokio::time::sleep;
 use tokio_util::sync::CancellationToken;
 
-/// Callers keep a directory's answer for up to this long, and are to find no entry in a new one that has
-/// been off for longer.
-const LONGEST_NAMED: Duration = Duration::from_secs(5);
+/// Longest time for which the directory may list an entry that is off; callers may cache an answer
+/// for as long.
+const MAX_LISTED_AFTER_END: Duration = Duration::from_secs(5);
 
 fn announcement(store: &FakeKeyValue) -> Announcement<FakeKeyValue> {
     let callers = SocketAddr::from(([127, 0, 0, 1], 8_000));
@@ -24,30 +24,30 @@
     }
 }
 
-async fn is_listed(store: &FakeKeyValue) -> bool {
+async fn is_announced(store: &FakeKeyValue) -> bool {
     !store.range(ENTRIES_PREFIX).await.unwrap().entries.is_empty()
 }
 
-/// An entry's VM loses power for good. With a lease that is renewed seldom to save calls, callers were
-/// sent to it for seven seconds.
+/// An entry's VM loses power for good. With a long lease, renewed rarely to save calls, callers
+/// would be sent to it for seven seconds.
 #[tokio::test(start_paused = true)]
-async fn run_entry_gone_for_good() {
+async fn run_entry_dead() {
     let store = FakeKeyValue::default();
     let announcing = tokio::spawn(announcement(&store).run(CancellationToken::new()));
     sleep(Duration::from_secs(20)).await;
-    assert!(is_listed(&store).await);
+    assert!(is_announced(&store).await);
     announcing.abort();
-    sleep(LONGEST_NAMED).await;
-    assert!(!is_listed(&store).await);
+    sleep(MAX_LISTED_AFTER_END).await;
+    assert!(!is_announced(&store).await);
 }
 
 #[tokio::test(start_paused = true)]
-async fn run_leaving_taken_back() {
+async fn run_leaving_withdrawn() {
     let store = FakeKeyValue::default();
     let leaving = CancellationToken::new();
     let announcing = tokio::spawn(announcement(&store).run(leaving.clone()));
     sleep(Duration::from_secs(2)).await;
     leaving.cancel();
     announcing.await.unwrap();
-    assert!(!is_listed(&store).await);
+    assert!(!is_announced(&store).await);
 }
--- a/crates/gateway/tests/parts.rs
+++ b/crates/gateway/tests/parts.rs
@@ -1,11 +1,11 @@
-//! The parts of an entry that need no connection.
+//! Parts of an entry that need no connections.
 
 use flamingowheel_fleet::BackendServer;
 use flamingowheel_gateway::balance::{self, Choice};
+use flamingowheel_gateway::breaker::CircuitBreakers;
 use flamingowheel_gateway::budget::{Allowance, RetryBudget};
 use flamingowheel_gateway::events::EventSplitter;
-use flamingowheel_gateway::gate::Gates;
-use flamingowheel_gateway::group::{Admission, GroupLoad, Seat};
+use flamingowheel_gateway::group::{Admission, GroupLoad, GroupRank};
 use flamingowheel_gateway::refusal::Refusal;
 use flamingowheel_gateway::server::Server;
 use flamingowheel_gateway::view::View;
@@ -27,13 +27,13 @@
     assert_eq!(splitter.last_id(), Some(1));
 }
 
-/// A backend server dies in the middle of an event, and the stream goes on elsewhere after the last
-/// whole one. The half event must not come before it.
+/// A backend server dies in the middle of an event, and the stream resumes at another one after the
+/// last complete event. The incomplete event must not precede the resumed stream.
 #[test]
-fn drop_pending_half_event() {
+fn discard_pending_incomplete_event() {
     let mut splitter = EventSplitter::default();
     splitter.push(b"id: 1\ndata: a\n\nid: 2\ndata: b").unwrap();
-    splitter.drop_pending();
+    splitter.discard_pending();
     let next = splitter.push(b"id: 2\ndata: b\n\n").unwrap();
     assert_eq!(&next[..], b"id: 2\ndata: b\n\n");
     assert_eq!(splitter.last_id(), Some(2));
@@ -49,43 +49,43 @@
     assert_eq!(splitter.last_id(), Some(7));
 }
 
-/// Many entries each send refused requests once more. Their sum must stay within what the deployment
-/// allows, without any exchange between them.
+/// Many entries retry refused requests at the same time. The total must stay within the
+/// deployment's allowance, without communication between them.
 #[test]
-fn try_take_all_entries_within_allowance() {
+fn try_acquire_all_entries_within_allowance() {
     const ENTRIES: usize = 6;
     const REQUESTS: u32 = 100;
     let now = Instant::now();
-    let mut taken = 0;
+    let mut acquired = 0;
     for _ in 0..ENTRIES {
         let mut budget = RetryBudget::new(ALLOWANCE);
-        (0..REQUESTS).for_each(|_| budget.note_request("s", now));
-        taken += (0..1_000).filter(|_| budget.try_take("s", ENTRIES, now)).count();
+        (0..REQUESTS).for_each(|_| budget.record_request("s", now));
+        acquired += (0..1_000).filter(|_| budget.try_acquire("s", ENTRIES, now)).count();
     }
     let allowed = ALLOWANCE.ratio * f64::from(REQUESTS) * ENTRIES as f64 + ALLOWANCE.slack;
-    assert!(taken > 0 && (taken as f64) <= allowed, "{taken} of {allowed}");
+    assert!(acquired > 0 && (acquired as f64) <= allowed, "{acquired} of {allowed}");
 }
 
 #[test]
-fn try_take_after_window() {
+fn try_acquire_after_window() {
     let mut budget = RetryBudget::new(ALLOWANCE);
     let now = Instant::now();
-    while budget.try_take("s", 1, now) {}
-    assert!(!budget.try_take("s", 1, now + Duration::from_secs(9)));
-    assert!(budget.try_take("s", 1, now + Duration::from_secs(11)));
+    while budget.try_acquire("s", 1, now) {}
+    assert!(!budget.try_acquire("s", 1, now + Duration::from_secs(9)));
+    assert!(budget.try_acquire("s", 1, now + Duration::from_secs(11)));
 }
 
-/// After a power failure all servers refuse for a second. If every request tried them, the budget of
-/// repeated sends would be gone before they are back.
+/// After a power failure all servers refuse for a second. If every request tried them, the retry
+/// budget would be used up before they are back.
 #[test]
-fn try_pass_closed_service() {
-    let mut gates = Gates::default();
+fn try_acquire_open_breaker() {
+    let mut breakers = CircuitBreakers::default();
     let now = Instant::now();
-    (0..5).for_each(|_| gates.note_refusal("s"));
-    let passed = (0..100).filter(|_| gates.try_pass("s", now)).count();
-    assert_eq!(passed, 1);
-    assert!(gates.try_pass("s", now + Duration::from_millis(100)));
-    assert!(gates.try_pass("other", now));
+    (0..5).for_each(|_| breakers.record_refusal("s"));
+    let acquired = (0..100).filter(|_| breakers.try_acquire("s", now)).count();
+    assert_eq!(acquired, 1);
+    assert!(breakers.try_acquire("s", now + Duration::from_millis(100)));
+    assert!(breakers.try_acquire("other", now));
 }
 
 const GOAL_MS: f64 = 120.0;
@@ -106,8 +106,10 @@
             started_ms: 1,
         });
         view.servers.entry("s".to_owned()).or_default().push(Arc::new(server));
-        view.seats
-            .insert(address, Seat { group: Arc::clone(group), rank: 0, pace: 1.0, is_away: false });
+        view.group_ranks.insert(
+            address,
+            GroupRank { group: Arc::clone(group), rank: 0, pace: 1.0, is_away: false },
+        );
     }
     (view, groups)
 }
@@ -117,29 +119,29 @@
     balance::choose(view, "s", &[], Some(&admission), now)
 }
 
-/// Streams of one group have long pauses. A new request must go to the other one, or those in progress
-/// become late with it.
+/// One group's streams have long pauses. A new request must go to the other group; otherwise the
+/// streams in progress would miss their goal.
 #[test]
 fn choose_group_within_limit() {
-    let (view, [full, calm]) = two_groups();
+    let (view, [full, idle]) = two_groups();
     let now = Instant::now();
     let limit_ms = limit_ms(GOAL_MS, false, 0.5);
-    full.note_pause(limit_ms + 10.0, now);
-    calm.note_pause(limit_ms - 10.0, now);
+    full.record_pause(limit_ms + 10.0, now);
+    idle.record_pause(limit_ms - 10.0, now);
     let Choice::Send(server, _) = choose_within(&view, limit_ms, now) else {
         panic!("one group has room");
     };
     assert_eq!(server.listed.id, "s-9001");
 }
 
-/// Every group's streams have long pauses. Sent all the same, the request would make them late; its
-/// caller is told at once that it did not run, and when there should be room.
+/// Every group's streams have long pauses, so a further request would make them miss their goal.
+/// Its caller must be told at once that the request did not run and when to retry.
 #[test]
 fn choose_all_groups_over_limit() {
     let (view, groups) = two_groups();
     let now = Instant::now();
     let limit_ms = limit_ms(GOAL_MS, false, 0.5);
-    groups.iter().for_each(|group| group.note_pause(limit_ms + 20.0, now));
+    groups.iter().for_each(|group| group.record_pause(limit_ms + 20.0, now));
     let Choice::Busy(fullness) = choose_within(&view, limit_ms, now) else {
         panic!("no group has room");
     };
@@ -149,8 +151,8 @@
     assert!(refusal.retry_after_ms().is_some_and(|wait_ms| wait_ms >= 200));
 }
 
-/// Passes were long while this entry had ten requests in the group, and are short now. A further request
-/// must be refused all the same: with the next shift of demand passes are as long again.
+/// Passes were long while this entry had ten requests in the group, and are short now. A further
+/// request must still be refused: with the next shift of demand, passes become as long again.
 #[test]
 fn choose_group_full_by_number() {
     let (_, [group, _]) = two_groups();
@@ -159,27 +161,27 @@
     let start = Instant::now();
     let at = |ms: u64| start + Duration::from_millis(ms);
     group.set_model(model);
-    (0..60).for_each(|pass| group.note_pause(100.0, at(pass * 100)));
-    (60..80).for_each(|pass| group.note_pause(40.0, at(pass * 100)));
+    (0..60).for_each(|pass| group.record_pause(100.0, at(pass * 100)));
+    (60..80).for_each(|pass| group.record_pause(40.0, at(pass * 100)));
     let admission = Admission { pass_limit_ms: GOAL_MS, pause_goal_ms: GOAL_MS, draw: 0.0 };
     assert!(group.fullness(&admission, at(8_000)).is_full());
     drop(requests);
     assert!(!group.fullness(&admission, at(8_000)).is_full());
 }
 
-/// The VM beside an engine stands still: connections to it open, and nothing comes back. Every entry keeps
-/// sending it the next request, since it has the fewest in flight. Those callers wait until they give up,
-/// and the engine gets their requests seconds after they have left.
+/// The VM beside an engine stalls: connections to it open, but nothing comes back. Since it has the
+/// fewest requests in flight, every entry would send it the next one. Those callers would wait
+/// until they give up, and the engine would get their requests seconds after that.
 #[tokio::test(start_paused = true)]
-async fn choose_silent_server_passed_over() {
+async fn choose_silent_server_avoided() {
     let (mut view, [group, _]) = two_groups();
-    view.seats.values_mut().for_each(|seat| seat.group = Arc::clone(&group));
+    view.group_ranks.values_mut().for_each(|group_rank| group_rank.group = Arc::clone(&group));
     let servers = view.servers_of("s").to_vec();
     let _unanswered = servers[0].begin(Some(&group));
     let _answering: Vec<_> = (0..3).map(|_| servers[1].begin(Some(&group))).collect();
     for _ in 0..3 {
         tokio::time::advance(Duration::from_millis(500)).await;
-        servers[1].note_answer(Duration::from_millis(180), false);
+        servers[1].record_answer(Duration::from_millis(180), false);
     }
     let Choice::Send(server, _) = choose_within(&view, GOAL_MS, Instant::now()) else {
         panic!("one server answers");
@@ -187,21 +189,21 @@
     assert_eq!(server.listed.id, servers[1].listed.id);
 }
 
-/// Passes that were seen a second ago say nothing of the next one: the group may be empty by now.
+/// Passes that were observed a second ago must not count: the group may be empty by now.
 #[test]
-fn choose_old_passes_forgotten() {
+fn choose_old_passes_ignored() {
     let (view, groups) = two_groups();
     let now = Instant::now();
-    groups.iter().for_each(|group| group.note_pause(GOAL_MS * 2.0, now));
+    groups.iter().for_each(|group| group.record_pause(GOAL_MS * 2.0, now));
     let later = now + Duration::from_secs(1);
     assert!(matches!(choose_within(&view, GOAL_MS, later), Choice::Send(..)));
 }
 
-/// A stream that goes on after its server broke off has been admitted before; it is not refused.
+/// A stream that resumes after its server failed was admitted before and must not be refused.
 #[test]
 fn choose_without_limit_never_busy() {
     let (view, groups) = two_groups();
     let now = Instant::now();
-    groups.iter().for_each(|group| group.note_pause(GOAL_MS * 2.0, now));
+    groups.iter().for_each(|group| group.record_pause(GOAL_MS * 2.0, now));
     assert!(matches!(balance::choose(&view, "s", &[], None, now), Choice::Send(..)));
 }
--- a/crates/gateway/tests/silence.rs
+++ b/crates/gateway/tests/silence.rs
@@ -1,10 +1,10 @@
-//! Servers whose VM stands still while their group goes on.
+//! Detection of servers whose VM has stalled while their group goes on.
 
 use flamingowheel_fleet::BackendServer;
 use flamingowheel_gateway::connection::Connection;
-use flamingowheel_gateway::group::{GroupLoad, Seat};
+use flamingowheel_gateway::group::{GroupLoad, GroupRank};
 use flamingowheel_gateway::server::Server;
-use flamingowheel_gateway::silence::Watcher;
+use flamingowheel_gateway::silence::SilenceDetector;
 use flamingowheel_gateway::view::{View, Views};
 use flamingowheel_protocol::ranks::GroupStatus;
 use http::Request;
@@ -16,24 +16,24 @@
 use tokio::net::TcpListener;
 use tokio::time::{Instant, sleep, timeout};
 
-/// Callers leave after this long without an event.
-const CALLERS_PATIENCE: Duration = Duration::from_secs(2);
+/// Callers give up after this long without an event.
+const CALLER_TIMEOUT: Duration = Duration::from_secs(2);
 
-struct Scene {
+struct Setup {
     group: Arc<GroupLoad>,
     silent: Arc<Server>,
     other: SocketAddr,
-    watcher: Watcher,
+    detector: SilenceDetector,
 }
 
-/// A group of two ranks, the first of which is watched.
-fn scene() -> Scene {
+/// A group of two ranks with a detector for the first.
+fn setup() -> Setup {
     let addresses = [9_001, 9_002].map(|port| SocketAddr::from(([127, 0, 0, 1], port)));
     let group = Arc::new(GroupLoad::default());
     let mut view = View::default();
     for (rank, address) in addresses.into_iter().enumerate() {
-        let seat = Seat { group: Arc::clone(&group), rank, pace: 1.0, is_away: false };
-        view.seats.insert(address, seat);
+        let group_rank = GroupRank { group: Arc::clone(&group), rank, pace: 1.0, is_away: false };
+        view.group_ranks.insert(address, group_rank);
     }
     let silent = Arc::new(Server::new(BackendServer {
         id: "silent".to_owned(),
@@ -46,80 +46,82 @@
     }));
     let views = Views::default();
     views.store(Arc::new(view));
-    let watcher = Watcher::new(views, Arc::clone(&silent), Some(Arc::clone(&group)));
-    Scene { group, silent, other: addresses[1], watcher }
+    let detector = SilenceDetector::new(views, Arc::clone(&silent), Some(Arc::clone(&group)));
+    Setup { group, silent, other: addresses[1], detector }
 }
 
 fn status(silent: &[u16]) -> GroupStatus {
     GroupStatus { requests: vec![3, 3], silent: silent.to_vec(), ..GroupStatus::default() }
 }
 
-/// Sends an event of the other rank with each pass.
-async fn pass_on_events(group: Arc<GroupLoad>, server: SocketAddr) {
+/// Records an event of a server with each pass.
+async fn record_events(group: Arc<GroupLoad>, server: SocketAddr) {
     loop {
-        group.note_life(server, Instant::now());
+        group.record_event(server, Instant::now());
         sleep(Duration::from_millis(100)).await;
     }
 }
 
-/// A VM stops after it has taken a request. Its caller would wait for two seconds, and leave.
+/// A VM stalls after it has accepted a request. Without detection, its caller would wait for two
+/// seconds and give up.
 #[tokio::test(start_paused = true)]
-async fn no_head_reported_silent() {
-    let Scene { group, watcher, .. } = scene();
-    group.set_reported(&status(&[0]), Instant::now());
-    assert!(timeout(CALLERS_PATIENCE / 4, watcher.no_head(Instant::now())).await.is_ok());
+async fn head_overdue_reported_silent() {
+    let Setup { group, detector, .. } = setup();
+    group.set_status(&status(&[0]), Instant::now());
+    assert!(timeout(CALLER_TIMEOUT / 4, detector.head_overdue(Instant::now())).await.is_ok());
 }
 
-/// The VM that stops is the coordinator's, so that nobody tells. What this entry sees must do.
+/// The stalled VM is the coordinator's, so there are no reports. The entry's own observations must
+/// suffice.
 #[tokio::test(start_paused = true)]
-async fn no_head_unreported() {
-    let Scene { group, silent, other, watcher } = scene();
+async fn head_overdue_unreported() {
+    let Setup { group, silent, other, detector } = setup();
     let _waiting = silent.begin(Some(&group));
-    let events = tokio::spawn(pass_on_events(Arc::clone(&group), other));
-    assert!(timeout(CALLERS_PATIENCE, watcher.no_head(Instant::now())).await.is_ok());
+    let events = tokio::spawn(record_events(Arc::clone(&group), other));
+    assert!(timeout(CALLER_TIMEOUT, detector.head_overdue(Instant::now())).await.is_ok());
     events.abort();
 }
 
-/// A request waits in the queue of a full rank that lives. Sent to another as well, it would make the
-/// group fuller still.
+/// A request is queued at a full rank that is alive. Sent to another rank as well, it would add to
+/// the group's load.
 #[tokio::test(start_paused = true)]
-async fn no_head_reported_alive() {
-    let Scene { group, silent, other, watcher } = scene();
+async fn head_overdue_reported_alive() {
+    let Setup { group, silent, other, detector } = setup();
     let _waiting = silent.begin(Some(&group));
-    let events = tokio::spawn(pass_on_events(Arc::clone(&group), other));
+    let events = tokio::spawn(record_events(Arc::clone(&group), other));
     let reports = {
         let group = Arc::clone(&group);
         tokio::spawn(async move {
             loop {
-                group.set_reported(&status(&[]), Instant::now());
+                group.set_status(&status(&[]), Instant::now());
                 sleep(Duration::from_millis(200)).await;
             }
         })
     };
-    assert!(timeout(CALLERS_PATIENCE, watcher.no_head(Instant::now())).await.is_err());
+    assert!(timeout(CALLER_TIMEOUT, detector.head_overdue(Instant::now())).await.is_err());
     events.abort();
     reports.abort();
 }
 
-/// A VM stops in the middle of a stream, and the group's passes go on.
+/// A VM stalls in the middle of a stream, and the group's passes go on.
 #[tokio::test(start_paused = true)]
-async fn no_event_group_goes_on() {
-    let Scene { group, other, watcher, .. } = scene();
-    let events = tokio::spawn(pass_on_events(group, other));
-    assert!(timeout(CALLERS_PATIENCE / 2, watcher.no_event(Instant::now())).await.is_ok());
+async fn event_overdue_group_goes_on() {
+    let Setup { group, other, detector, .. } = setup();
+    let events = tokio::spawn(record_events(group, other));
+    assert!(timeout(CALLER_TIMEOUT / 2, detector.event_overdue(Instant::now())).await.is_ok());
     events.abort();
 }
 
-/// A group forms again, and all its streams stand still. Sent elsewhere all at once, they would crowd what
-/// goes on.
+/// A group forms again, and all its streams pause. Resumed elsewhere all at once, they would
+/// overload the remaining groups.
 #[tokio::test(start_paused = true)]
-async fn no_event_group_stands_still() {
-    let Scene { group, other, watcher, .. } = scene();
-    group.note_life(other, Instant::now());
-    assert!(timeout(CALLERS_PATIENCE, watcher.no_event(Instant::now())).await.is_err());
+async fn event_overdue_group_stalled() {
+    let Setup { group, other, detector, .. } = setup();
+    group.record_event(other, Instant::now());
+    assert!(timeout(CALLER_TIMEOUT, detector.event_overdue(Instant::now())).await.is_err());
 }
 
-/// A caller leaves while its request has not reached the server. Closed in the usual way, the connection
+/// A caller leaves before its request has reached the server. After a regular close, the connection
 /// would still deliver it, seconds later.
 #[tokio::test]
 async fn drop_connection_resets() {
--- a/crates/protocol/src/archive.rs
+++ b/crates/protocol/src/archive.rs
@@ -1,21 +1,21 @@
-//! Answers of finished tickets, as an agent that ends leaves them in the key-value service.
+//! Answers of finished tickets, stored in the key-value service by an agent that shuts down.
 //!
-//! They are a convenience for callers that resend. What is absent there proves nothing, unless the
-//! agent sealed its archive: then a ticket that is not in it never ran.
+//! They serve callers that resend a request after the agent has gone. A missing answer proves
+//! nothing, unless the agent sealed its archive: then a ticket that is not in it never ran.
 
 use crate::id::{Fingerprint, Incarnation, Window};
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 use uuid::Uuid;
 
-/// Prefix of all keys of archived answers.
+/// Prefix of the keys of archived answers and seals.
 pub const PREFIX: &str = "flamingowheel/answers/";
 
-/// Keys over which the answers of one agent process are spread, so that each value stays small and
-/// a reader needs one.
+/// Buckets, each stored under its own key, among which the answers of one agent process are
+/// divided, so that each value stays small and a lookup reads only one.
 pub const BUCKETS: usize = 256;
 
-/// A finished ticket's whole answer.
+/// The complete answer of a finished ticket.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ArchivedAnswer {
     /// The ticket's number.
@@ -35,14 +35,14 @@
     pub body: Bytes,
 }
 
-/// The bucket that a ticket's answer is in.
+/// The bucket that holds a ticket's answer.
 ///
 /// ```
 /// use flamingowheel_protocol::archive::{BUCKETS, bucket};
 /// assert!(bucket(uuid::Uuid::now_v7()) < BUCKETS);
 /// ```
 pub fn bucket(number: Uuid) -> usize {
-    // The last byte of a ticket's number is drawn at random.
+    // The last byte of a ticket's number is random.
     usize::from(number.as_bytes()[15])
 }
 
@@ -56,29 +56,31 @@
     format!("{PREFIX}{:016x}/{bucket:02x}", incarnation.0)
 }
 
-/// What an agent process that took no more work, and had none left, says of all its tickets. It is
-/// written with the last bucket or after it, so it never speaks of a bucket that is yet to come.
+/// Statement of an agent process about all its tickets, made when it accepts no more work and has
+/// none left. It is written with the last bucket or after it, so it never covers a bucket that is
+/// yet to be written.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Seal {
-    /// Tickets of older windows are forgotten, so nothing is said of them.
+    /// The oldest record window that the agent still kept; nothing is stated about tickets of older
+    /// ones.
     #[serde(rename = "o")]
     pub oldest: Window,
-    /// The buckets that were written.
+    /// Numbers of the buckets that were written.
     #[serde(rename = "b", with = "serde_bytes")]
     pub buckets: Vec<u8>,
-    /// Tickets that began, or may have, and are in no bucket.
+    /// Tickets that ran or may have run and whose answers are in no bucket.
     #[serde(rename = "r")]
     pub unanswered: Vec<Uuid>,
 }
 
-/// What an archive says of a ticket.
+/// The result of looking a ticket up in an archive.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ArchiveLookup {
-    /// It ran, and this is its answer.
+    /// The ticket ran; its answer.
     Answer(ArchivedAnswer),
-    /// Proof that it never ran: the only process that would have run it has ended.
+    /// The ticket never ran and never will: the only process that may run it has ended.
     NeverRan,
-    /// Nothing is known.
+    /// Whether the ticket ran is unknown.
     Unknown,
 }
 
@@ -92,19 +94,19 @@
     format!("{PREFIX}{:016x}/seal", incarnation.0)
 }
 
-/// Writes a bucket or a seal.
+/// Encodes a bucket or a seal.
 pub fn encode<T>(value: &T) -> Bytes
 where
     T: Serialize + ?Sized,
 {
     let mut bytes = Vec::new();
-    // Writing plain values into memory can't fail.
+    // Encoding plain values into memory can't fail.
     let _ = ciborium::into_writer(value, &mut bytes);
     bytes.into()
 }
 
-/// Looks a ticket up in its bucket and its agent's seal, read at one moment. A value that can't be
-/// read proves nothing.
+/// Looks a ticket up in its bucket and its agent's seal, both read at the same revision. A value
+/// that can't be decoded proves nothing.
 ///
 /// ```
 /// use flamingowheel_protocol::archive::{ArchiveLookup, Seal, encode, lookup};
@@ -137,11 +139,12 @@
 }
 
 impl Seal {
-    /// Whether a ticket that is not in its bucket never ran. A bucket that was written and is not
-    /// there any more may have named it.
+    /// Whether a ticket that is not in its bucket never ran. A bucket that was written but is
+    /// missing may have held its answer.
     fn proves_never_ran(&self, number: Uuid, window: Window, has_bucket: bool) -> bool {
         let bucket = bucket(number);
-        let written = self.buckets.iter().any(|own| usize::from(*own) == bucket);
+        let written =
+            self.buckets.iter().any(|written_bucket| usize::from(*written_bucket) == bucket);
         window >= self.oldest && written == has_bucket && !self.unanswered.contains(&number)
     }
 }
--- a/crates/protocol/src/auth.rs
+++ b/crates/protocol/src/auth.rs
@@ -1,11 +1,11 @@
-//! The fleet key, and proof of knowing it in both directions.
+//! The fleet key and the mutual authentication of connections with it.
 
 use crate::message::Hello;
 use hmac::{Hmac, KeyInit, Mac};
 use serde::{Deserialize, Serialize};
 use sha2::Sha256;
 
-/// The secret that all processes of a fleet share. Never printed.
+/// The secret that all processes of a fleet share. Its `Debug` output does not contain it.
 #[derive(Clone)]
 pub struct FleetKey([u8; 32]);
 
@@ -16,10 +16,10 @@
 }
 
 impl FleetKey {
-    /// Length of a tag.
+    /// Length of a tag and of the key, in bytes.
     pub const TAG_BYTES: usize = 32;
 
-    /// Takes the key's bytes.
+    /// Wraps the key's bytes.
     ///
     /// ```
     /// use flamingowheel_protocol::auth::FleetKey;
@@ -29,7 +29,8 @@
         Self(bytes)
     }
 
-    /// Authenticates `parts` for one purpose; lengths are included, so parts can't shift.
+    /// Computes a tag over `parts` for one purpose. Each part's length is included, so bytes can't
+    /// move from one part to the next.
     ///
     /// ```
     /// use flamingowheel_protocol::auth::FleetKey;
@@ -52,7 +53,7 @@
     }
 
     fn mac(&self, purpose: &[u8], parts: &[&[u8]]) -> Hmac<Sha256> {
-        // HMAC takes keys of any length.
+        // HMAC accepts keys of any length.
         let mut mac = <Hmac<Sha256> as KeyInit>::new_from_slice(&self.0).expect("any length");
         for part in std::iter::once(&purpose).chain(parts) {
             mac.update(&(part.len() as u64).to_le_bytes());
@@ -62,24 +63,24 @@
     }
 }
 
-/// First message of a connection, from the side that opened it.
+/// First handshake message, from the side that opened the connection.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Opening {
     /// Protocol version.
     pub version: u16,
-    /// Who opens.
+    /// Identity of the side that opened the connection.
     pub hello: Hello,
-    /// Random challenge for the other side.
+    /// Random challenge to the other side.
     #[serde(with = "serde_bytes")]
     pub challenge: [u8; 32],
 }
 
-/// Second message, from the side that accepted.
+/// Second handshake message, from the side that accepted the connection.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Reply {
-    /// Who accepts.
+    /// Identity of the side that accepted the connection.
     pub hello: Hello,
-    /// Random challenge for the opener.
+    /// Random challenge to the opener.
     #[serde(with = "serde_bytes")]
     pub challenge: [u8; 32],
     /// Tag over both hellos and challenges.
@@ -87,7 +88,7 @@
     pub tag: [u8; 32],
 }
 
-/// Third message, from the opener.
+/// Third handshake message, from the opener.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Proof {
     /// Tag over both hellos and challenges.
@@ -95,10 +96,10 @@
     pub tag: [u8; 32],
 }
 
-/// The version of the protocol that this build speaks.
+/// Protocol version of this build.
 pub const VERSION: u16 = 1;
 
-/// Which side computes a tag; keeps one side's tag from being reflected as the other's.
+/// Which side computes a tag; prevents one side's tag from being reflected as the other's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Side {
     /// The side that opened the connection.
@@ -107,7 +108,7 @@
     Acceptor,
 }
 
-/// What both sides authenticate.
+/// The handshake data that both sides' tags cover.
 #[derive(Debug)]
 pub struct Transcript<'a> {
     /// The opener's message.
@@ -122,7 +123,7 @@
     /// The tag that `side` must present.
     pub fn tag(&self, key: &FleetKey, side: Side) -> [u8; 32] {
         let mut bytes = Vec::with_capacity(256);
-        // Writing plain values into memory can't fail.
+        // Encoding plain values into memory can't fail.
         let _ = ciborium::into_writer(&(self.opening, self.acceptor), &mut bytes);
         key.tag(Self::purpose(side), &[&bytes, self.challenge])
     }
--- a/crates/protocol/src/codec.rs
+++ b/crates/protocol/src/codec.rs
@@ -3,33 +3,33 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// The largest encoded batch either side accepts.
+/// Largest encoded batch, in bytes, that either side accepts.
 pub const MAX_BATCH_BYTES: usize = 16 * 1024 * 1024;
 
-/// How deep values may nest; hostile nesting would otherwise exhaust the stack.
+/// Deepest nesting of values; deeper nesting in a hostile message would exhaust the stack.
 const MAX_DEPTH: usize = 16;
 
-/// Why a batch could not be read or written.
+/// Why a batch could not be encoded or decoded.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CodecError {
     /// The batch exceeds [`MAX_BATCH_BYTES`].
     #[error("batch of {bytes} bytes exceeds {MAX_BATCH_BYTES}")]
     TooLarge {
-        /// The size found.
+        /// Encoded size, in bytes.
         bytes: usize,
     },
-    /// Not a batch of these messages.
+    /// The bytes are no batch of the expected messages, or a message can't be encoded.
     #[error("malformed batch")]
     Malformed,
     /// Bytes follow the batch.
     #[error("{bytes} bytes follow the batch")]
     Trailing {
-        /// How many.
+        /// Number of bytes after the batch.
         bytes: usize,
     },
 }
 
-/// Encodes a batch and the logical time of its sending.
+/// Encodes a batch with the logical time of its sending.
 ///
 /// ```
 /// use flamingowheel_protocol::codec::{decode, encode};
@@ -48,7 +48,8 @@
     Ok(buffer)
 }
 
-/// Decodes a batch. Rejects what is too large, malformed or followed by other bytes.
+/// Decodes a batch and its logical time. Rejects batches that are too large, malformed or followed
+/// by other bytes.
 ///
 /// ```
 /// use flamingowheel_protocol::codec::{CodecError, decode};
--- a/crates/protocol/src/link.rs
+++ b/crates/protocol/src/link.rs
@@ -1,7 +1,7 @@
 //! A connection between two processes as a pair of message channels, over any transport.
 //!
-//! The transport carries encoded batches. An empty batch is a heartbeat. A connection that
-//! delivers nothing for too long, or accepts nothing for too long, is closed by this side.
+//! The transport carries encoded batches; an empty batch is a heartbeat. Each side closes a
+//! connection that delivers nothing, or accepts nothing, for too long.
 
 use crate::codec::{CodecError, decode, encode};
 use crate::message::Hello;
@@ -14,27 +14,28 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// Messages taken into one batch at the most.
+/// Largest number of messages in one batch.
 const MAX_BATCH_MESSAGES: usize = 128;
 
-/// Messages that wait for the transport at the most; then senders wait.
+/// Largest number of messages queued for the transport; senders wait while the queue is full.
 const QUEUE_MESSAGES: usize = 1024;
 
-/// How long an idle side waits before it sends a heartbeat. An idle agent reports its load once a
-/// second, so that its side of the link sends no others.
+/// Idle time after which a side sends a heartbeat. An idle agent reports its load once a second, so
+/// its side of the link sends no other heartbeats.
 const HEARTBEAT: Duration = Duration::from_millis(1_200);
 
-/// One heartbeat may be lost; silence is still noticed within 3 s.
+/// Time without data after which a connection is closed. Tolerates one lost heartbeat and still
+/// detects silence within 3 s.
 const SILENCE_LIMIT: Duration = Duration::from_millis(2_500);
 
-/// An idle side finds out that nothing is taken only when it sends the next heartbeat; both
-/// together stay within 3 s.
+/// Time without progress in sending after which a connection is closed. An idle side notices a
+/// stuck peer only when it sends the next heartbeat; both times together stay within 3 s.
 const STUCK_LIMIT: Duration = Duration::from_millis(1_750);
 
-/// How long a side may keep silent, and how long silence lasts until a connection counts as dead.
+/// Heartbeat interval and time limits of a connection.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
-    /// An idle side sends a heartbeat this often.
+    /// Idle time after which a side sends a heartbeat.
     pub heartbeat: Duration,
     /// A connection that delivers nothing for this long is closed.
     pub silence_limit: Duration,
@@ -49,16 +50,16 @@
     }
 }
 
-/// Stamps batches with a logical time, so that what a message causes sorts after its sending.
+/// Logical clock that stamps batches, so that the effects of a message sort after its sending.
 pub trait LogicalClock: Send + Sync + 'static {
     /// The time to send with a batch.
     fn stamp(&self) -> u64;
 
-    /// Takes in the time that came with a batch from `peer`.
+    /// Advances the clock by the time received with a batch from `peer`.
     fn observe(&self, peer: &str, stamp: u64);
 }
 
-/// Keeps no time; for tests that don't look at the order of events.
+/// A clock that always reads 0, where the order of events across processes is not recorded.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NoClock;
 
@@ -70,12 +71,12 @@
     fn observe(&self, _peer: &str, _stamp: u64) {}
 }
 
-/// How a connection is kept.
+/// Options of a connection.
 #[derive(Clone)]
 pub struct LinkOptions {
-    /// Heartbeat and silence limit.
+    /// Heartbeat interval and time limits.
     pub timing: Timing,
-    /// Logical time of batches.
+    /// Logical clock for batches.
     pub logical_clock: Arc<dyn LogicalClock>,
 }
 
@@ -97,19 +98,19 @@
     /// The other side closed it, or the transport failed.
     #[error("connection closed")]
     Closed,
-    /// Nothing arrived for too long.
+    /// Nothing arrived within the silence limit.
     #[error("connection silent for {limit_ms} ms")]
     Silent {
         /// The limit, in milliseconds.
         limit_ms: u64,
     },
-    /// The other side read nothing for too long.
+    /// The other side accepted nothing within the stuck limit.
     #[error("connection took no data for {limit_ms} ms")]
     Stuck {
         /// The limit, in milliseconds.
         limit_ms: u64,
     },
-    /// The other side sent something that is not a batch of messages.
+    /// A batch could not be encoded or decoded.
     #[error(transparent)]
     Codec(#[from] CodecError),
 }
@@ -117,11 +118,11 @@
 /// One side of an open connection.
 #[derive(Debug)]
 pub struct Link<Out, In> {
-    /// Who is at the other side.
+    /// Identity of the other side.
     pub peer: Hello,
     /// Messages to the other side.
     pub sender: mpsc::Sender<Out>,
-    /// Messages from the other side; `None` once the connection ended.
+    /// Messages from the other side; yields `None` once the connection has ended.
     pub receiver: mpsc::Receiver<In>,
 }
 
@@ -130,7 +131,7 @@
     Out: Serialize + Send + Sync + 'static,
     In: DeserializeOwned + Send + 'static,
 {
-    /// Starts the tasks that carry messages over a transport. Both end when either does.
+    /// Spawns the task that carries messages over a transport, until either direction ends.
     pub fn start<W, R>(peer: Hello, sink: W, stream: R, options: LinkOptions) -> Self
     where
         W: Sink<Bytes> + Send + Unpin + 'static,
@@ -155,7 +156,7 @@
     }
 }
 
-/// Ends with `Ok` when this side dropped its sender.
+/// Returns `Ok` once this side has dropped its sender.
 async fn write<M, W>(
     mut outgoing: mpsc::Receiver<M>,
     mut sink: W,
@@ -174,8 +175,8 @@
             return Ok(());
         }
         let bytes = Bytes::from(encode(options.logical_clock.stamp(), &batch)?);
-        // A peer that vanished leaves the socket's buffer full for as long as TCP retries, which
-        // is minutes. Requests behind it would wait that long; the limit frees them to move on.
+        // The socket buffer of a vanished peer stays full for as long as TCP retries, which is
+        // minutes. The limit frees queued requests to move to another peer earlier.
         match timeout(timing.stuck_limit, sink.send(bytes)).await {
             Ok(Ok(())) => {}
             Ok(Err(_)) => return Err(LinkError::Closed),
@@ -184,7 +185,7 @@
     }
 }
 
-/// Ends with `Ok` when this side dropped its receiver.
+/// Returns `Ok` once this side has dropped its receiver.
 async fn read<M, R>(
     incoming: mpsc::Sender<M>,
     mut stream: R,
@@ -197,8 +198,8 @@
 {
     let timing = options.timing;
     loop {
-        // Something between the two ends may have lost track of the connection: it stays open
-        // and delivers nothing. The peer sends heartbeats, so silence tells.
+        // A device between the two ends may have lost track of the connection: it stays open but
+        // delivers nothing. Since the peer sends heartbeats, silence shows it.
         let bytes = match timeout(timing.silence_limit, stream.next()).await {
             Ok(Some(bytes)) => bytes,
             Ok(None) => return Err(LinkError::Closed),
--- a/crates/protocol/src/lists.rs
+++ b/crates/protocol/src/lists.rs
@@ -1,10 +1,10 @@
-//! Lists of experts and of addresses, packed.
+//! The differences between two expert maps, packed for transmission.
 
 use crate::packed::Packed;
 use flamingowheel_policy::experts::Map;
 use serde::{Deserialize, Serialize};
 
-/// The experts that one rank holds in one set.
+/// The experts that one rank holds in one set of layers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Held {
     set: u16,
@@ -12,7 +12,7 @@
     experts: Vec<u16>,
 }
 
-/// Packs the lists by which `new` differs from `old`; `None` for maps of different shapes.
+/// Packs the expert lists in which `new` differs from `old`; `None` for maps of different shapes.
 ///
 /// ```
 /// use flamingowheel_protocol::lists::{apply_changes, pack_changes};
@@ -22,8 +22,9 @@
 /// assert_eq!(apply_changes(&old, &changes), Some(new));
 /// ```
 pub fn pack_changes(old: &Map, new: &Map) -> Option<Packed> {
-    let is_alike = old.len() == new.len() && old.iter().zip(new).all(|(a, b)| a.len() == b.len());
-    if !is_alike {
+    let has_same_shape =
+        old.len() == new.len() && old.iter().zip(new).all(|(a, b)| a.len() == b.len());
+    if !has_same_shape {
         return None;
     }
     let mut changes = Vec::new();
@@ -37,7 +38,7 @@
     Packed::pack(&changes)
 }
 
-/// The map that differs from `old` by packed changes; `None` if they can't be read or don't fit it.
+/// Applies packed changes to `old`; `None` if they can't be decoded or don't fit its shape.
 pub fn apply_changes(old: &Map, changes: &Packed) -> Option<Map> {
     let changes: Vec<Held> = changes.unpack()?;
     let mut map = old.clone();
--- a/crates/protocol/src/message.rs
+++ b/crates/protocol/src/message.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// What each side says of itself when a connection opens.
+/// Identity of a process, exchanged by both sides when a connection opens.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
     /// The process's name, unique in the fleet.
@@ -19,55 +19,55 @@
     pub vm: String,
     /// The data centre it runs in.
     pub data_centre: String,
-    /// Where operators reach it.
+    /// Address of its operator interface, if it has one.
     pub operators: Option<SocketAddr>,
-    /// What it does.
+    /// The process's role.
     pub role: Role,
 }
 
-/// The role of a process, with what its peers need to know of it.
+/// The role of a process, with the properties that its peers need.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Role {
-    /// Takes callers' requests.
+    /// Accepts callers' requests.
     Entry,
-    /// Stands in front of one backend server.
+    /// Runs beside one backend server and passes requests to it.
     Agent(BackendProfile),
 }
 
-/// What an agent's backend server serves.
+/// Properties of an agent's backend server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BackendProfile {
-    /// A model name or a service name.
+    /// The model or service that it offers.
     pub serves: Serves,
-    /// Requests that may run at once.
+    /// Requests that may run concurrently.
     pub places: u32,
-    /// Whether the backend server can resume an event stream that it had begun.
+    /// Whether it can resume an interrupted event stream after a given event.
     pub can_resume: bool,
-    /// The experts of the group, if its ranks share an expert map.
+    /// Size of the group's expert map; `None` if its ranks share none.
     pub experts: Option<ExpertShape>,
 }
 
-/// Sizes of a group's expert map.
+/// Dimensions of a group's expert map.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExpertShape {
     /// Ranks of the group.
     pub ranks: u16,
     /// Layers with experts.
     pub layers: u16,
-    /// Experts a layer.
+    /// Experts per layer.
     pub experts: u16,
-    /// Expert weights that a rank holds a layer.
+    /// Expert weights that a rank holds per layer.
     pub slots: u16,
 }
 
-/// What a backend server offers.
+/// What a backend server serves.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Serves {
     /// A model, as one rank of a group.
     Model {
         /// The model's name.
         model: String,
-        /// The group whose ranks step together.
+        /// The group whose ranks run each pass together.
         group: String,
         /// The rank within the group.
         rank: u16,
@@ -79,7 +79,7 @@
     },
 }
 
-/// The short form of the load that goes with every chunk; see [`Load::hint`].
+/// The compact form of the load that each chunk carries; see [`Load::hint`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Occupancy(pub u16);
@@ -93,13 +93,13 @@
 /// A request sent to an agent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Dispatch {
-    /// The attempt; answers carry it.
+    /// The attempt; messages of the answer carry its id.
     pub attempt: AttemptId,
-    /// What the execution is filed under.
+    /// Key of the execution in the agent's records.
     pub key: ExecutionKey,
-    /// The agent process that this is meant for; any other refuses it.
+    /// The agent process addressed; any other refuses the request.
     pub incarnation: Incarnation,
-    /// The agent's record window that the sender last heard of.
+    /// The newest record window of the agent that the sender knows.
     pub window: Window,
     /// The workspace.
     pub workspace: String,
@@ -112,77 +112,79 @@
     /// The request body.
     #[serde(with = "serde_body")]
     pub body: Bytes,
-    /// Whether running it twice is harmless.
+    /// Whether the request may safely run more than once.
     pub idempotent: bool,
-    /// Higher goes first.
+    /// Requests of higher priority run first.
     pub priority: u8,
-    /// Time left until the caller gives up, in milliseconds, when this was sent.
+    /// Time until the caller's deadline when this was sent, in milliseconds.
     pub remaining_ms: u64,
     /// Hash of workspace, route and body.
     pub fingerprint: Fingerprint,
-    /// Nothing else may run beside it.
+    /// Whether the request must run alone: it is suspected of crashing backend servers.
     pub alone: bool,
-    /// The agent may queue it rather than refuse early.
+    /// Whether the sender will try no other agent, so that the agent should queue the request
+    /// rather than refuse it early.
     pub last_try: bool,
-    /// Events that the caller already has; only to backend servers that can resume.
+    /// Number of chunks that the caller already has; not 0 only for backend servers that can
+    /// resume.
     pub resume_after_chunks: u64,
 }
 
-/// Entry to agent.
+/// Messages from an entry to an agent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EntryMessage {
-    /// Run this.
+    /// Run a request.
     Dispatch(Box<Dispatch>),
-    /// Go on with an attempt over this connection. If the agent never saw it, it files a
+    /// Continue an attempt on this connection. If the agent never received it, it records a
     /// tombstone and refuses with [`Refusal::NeverArrived`].
     Attach {
         /// The attempt.
         attempt: AttemptId,
-        /// What it is filed under.
+        /// Key of the execution in the agent's records.
         key: ExecutionKey,
-        /// The agent process asked.
+        /// The agent process addressed; any other refuses.
         incarnation: Incarnation,
-        /// The window of the dispatch.
+        /// The record window that the dispatch carried.
         window: Window,
-        /// The first chunk wanted.
+        /// The first chunk to send.
         from_chunk: u64,
     },
-    /// Don't run the attempt, or stop it. Non-idempotent work that began is left to finish.
+    /// Don't run the attempt, or stop it. Non-idempotent work that has started is left to finish.
     Cancel {
         /// The attempt.
         attempt: AttemptId,
-        /// What it is filed under.
+        /// Key of the execution in the agent's records.
         key: ExecutionKey,
-        /// The agent process asked.
+        /// The agent process addressed; any other refuses.
         incarnation: Incarnation,
-        /// The window of the dispatch.
+        /// The record window that the dispatch carried.
         window: Window,
-        /// Give up the whole ticket, not only this attempt: if it has not begun it never will.
+        /// Void the whole ticket, not only this attempt: if it has not started, it never will.
         void_ticket: bool,
     },
-    /// All chunks below this number have arrived.
+    /// Acknowledges the chunks that have arrived.
     Acknowledge {
         /// The attempt.
         attempt: AttemptId,
-        /// What it is filed under.
+        /// Key of the execution in the agent's records.
         key: ExecutionKey,
-        /// The first chunk that has not arrived.
+        /// The first chunk that has not arrived; all before it have.
         next_chunk: u64,
     },
-    /// The sender is done with the attempt; its answer need not be kept for it.
+    /// The sender no longer needs the attempt; the agent may drop its answer.
     Release {
         /// The attempt.
         attempt: AttemptId,
-        /// What it is filed under.
+        /// Key of the execution in the agent's records.
         key: ExecutionKey,
     },
-    /// Suspicions the sender knows of.
+    /// The requests that the sender suspects of crashing backend servers.
     Suspicions(Vec<SuspectRecord>),
-    /// The VM list says that the agent's VM is leaving.
+    /// The VM list marks the agent's VM as leaving.
     VmLeaving,
-    /// A request of the group's coordinator; its body is a message of its own package.
+    /// A request from the group's coordinator; the body is encoded by the coordinator's own crate.
     Order {
-        /// Chosen by the sender; the answer carries it.
+        /// Number chosen by the sender; the answer carries it.
         number: u64,
         /// The request.
         #[serde(with = "serde_body")]
@@ -190,51 +192,52 @@
     },
 }
 
-/// Why an agent did not run an attempt. Each of these is proof that it did not and will not.
+/// Why an agent did not run an attempt. Each variant proves that the attempt did not and will not
+/// run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 pub enum Refusal {
-    /// Addressed to another incarnation.
+    /// The message addresses another incarnation of the agent.
     #[error("addressed to another incarnation of the agent")]
     WrongIncarnation,
-    /// Running and queue places are taken.
+    /// All running and queue slots are taken.
     #[error("backend server full")]
     Full,
     /// The agent is leaving.
     #[error("backend server is leaving")]
     Leaving,
-    /// A cancel came first.
+    /// A cancellation arrived before the dispatch or before the start.
     #[error("cancelled before it started")]
     Cancelled,
-    /// The agent had never seen the attempt when it was asked about it, and now never will run it.
+    /// The agent had not received the attempt when asked about it, and will refuse it from now on.
     #[error("the dispatch never arrived")]
     NeverArrived,
-    /// The dispatch is older than the agent's records reach.
+    /// The dispatch is from a record window that the agent no longer keeps.
     #[error("older than the agent's records")]
     Expired,
-    /// The record store is full; running without a record could repeat work.
+    /// The record store is full; running the request without a record could repeat work.
     #[error("record store full")]
     RecordsFull,
-    /// The deadline passed in the queue.
+    /// The deadline passed while the request was queued.
     #[error("deadline passed before it started")]
     DeadlinePassed,
-    /// The backend server refused the connection.
+    /// The agent could not connect to its backend server.
     #[error("backend server down")]
     BackendDown,
-    /// The request is suspected of killing backend servers.
+    /// The request is suspected of crashing backend servers.
     #[error("request suspected of crashing backend servers")]
     Suspect,
-    /// Same ticket, other request.
+    /// The ticket was already used for a different request.
     #[error("the ticket was used for another request")]
     TicketMismatch,
 }
 
-/// Why an attempt that may have run has no whole answer.
+/// Why an attempt that may have run has no complete answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 pub enum Failure {
-    /// The backend server's connection broke.
+    /// The connection to the backend server broke.
     #[error("backend server lost while the request ran")]
     BackendLost,
-    /// The backend server went silent.
+    /// The backend server sent nothing for too long.
     #[error("backend server silent")]
     BackendSilent,
     /// The backend server's answer was malformed.
@@ -246,25 +249,26 @@
     /// The chunks asked for are no longer kept.
     #[error("part of the answer is no longer kept")]
     ReplayGone,
-    /// The agent's records don't reach back to the attempt.
+    /// The agent no longer keeps records of the attempt's window.
     #[error("the agent's records do not reach back that far")]
     RecordGone,
 }
 
-/// Agent to entry.
+/// Messages from an agent to an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AgentMessage {
-    /// Queued or running; from here on silence is no proof of anything.
+    /// The attempt is queued or running. From here on a lost connection proves nothing about its
+    /// outcome.
     #[serde(rename = "a")]
     Accepted {
         /// The attempt.
         #[serde(rename = "i")]
         attempt: AttemptId,
-        /// Fresh load.
+        /// The agent's current load.
         #[serde(rename = "l")]
         load: Load,
     },
-    /// Proof that the attempt did not run and won't.
+    /// The attempt did not and will not run.
     #[serde(rename = "r")]
     Refused {
         /// The attempt.
@@ -273,7 +277,7 @@
         /// Why.
         #[serde(rename = "w")]
         refusal: Refusal,
-        /// Fresh load.
+        /// The agent's current load.
         #[serde(rename = "l")]
         load: Load,
     },
@@ -289,7 +293,7 @@
         /// Media type of the body.
         #[serde(rename = "t")]
         content_type: String,
-        /// Requests running or waiting, as of now.
+        /// Requests running or waiting at the agent.
         #[serde(rename = "l")]
         occupancy: Occupancy,
     },
@@ -299,30 +303,30 @@
         /// The attempt.
         #[serde(rename = "i")]
         attempt: AttemptId,
-        /// Counts from 0 within the answer.
+        /// Number of the chunk within the answer, from 0.
         #[serde(rename = "n")]
         number: u64,
         /// The bytes.
         #[serde(rename = "d", with = "serde_body")]
         data: Bytes,
-        /// Requests running or waiting, as of now.
+        /// Requests running or waiting at the agent.
         #[serde(rename = "l")]
         occupancy: Occupancy,
     },
-    /// The answer is whole.
+    /// The answer is complete.
     #[serde(rename = "e")]
     End {
         /// The attempt.
         #[serde(rename = "i")]
         attempt: AttemptId,
-        /// Number of chunks in the whole answer.
+        /// Number of chunks in the complete answer.
         #[serde(rename = "n")]
         chunk_count: u64,
-        /// Requests running or waiting, as of now.
+        /// Requests running or waiting at the agent.
         #[serde(rename = "l")]
         occupancy: Occupancy,
     },
-    /// The attempt may have run, but there is no whole answer.
+    /// The attempt may have run, but there is no complete answer.
     #[serde(rename = "f")]
     Failed {
         /// The attempt.
@@ -331,30 +335,31 @@
         /// Why.
         #[serde(rename = "w")]
         failure: Failure,
-        /// Requests running or waiting, as of now.
+        /// Requests running or waiting at the agent.
         #[serde(rename = "l")]
         occupancy: Occupancy,
     },
-    /// Sent several times a second, and at once when something in it changed.
+    /// Periodic report, also sent at once when something in it changes.
     #[serde(rename = "b")]
     Heartbeat {
-        /// Fresh load.
+        /// The agent's current load.
         #[serde(rename = "l")]
         load: Load,
-        /// The agent's present record window.
+        /// The agent's current record window.
         #[serde(rename = "w")]
         window: Window,
-        /// No new work is taken.
+        /// The agent accepts no new work.
         #[serde(rename = "x")]
         leaving: bool,
-        /// The backend server answered its last health check.
+        /// Whether the backend server passed its last health check.
         #[serde(rename = "u")]
         backend_up: bool,
     },
-    /// Suspicions the sender knows of.
+    /// The requests that the sender suspects of crashing backend servers.
     #[serde(rename = "s")]
     Suspicions(Vec<SuspectRecord>),
-    /// Changes of the engine's prefix cache, numbered by the agent; a jump tells of a gap.
+    /// Changes of the engine's prefix cache, numbered by the agent; a jump in the numbers shows a
+    /// gap.
     #[serde(rename = "k")]
     CacheEvents(Vec<CacheEvent>),
     /// The answer to an order.
@@ -370,7 +375,7 @@
 }
 
 impl AgentMessage {
-    /// The attempt the message is about, if it is about one.
+    /// The attempt that the message belongs to, if any.
     ///
     /// ```
     /// use flamingowheel_protocol::message::AgentMessage;
@@ -411,16 +416,16 @@
     }
 }
 
-/// Load carried by a message, as of the moment it was made.
+/// Load carried by a message, as of when the message was made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadHint {
-    /// All of it.
+    /// The full load.
     Whole(Load),
-    /// The short form.
+    /// The compact form.
     Occupancy(Occupancy),
 }
 
-/// Bodies as CBOR byte strings; without it, serde would write an array of numbers.
+/// Encodes bodies as CBOR byte strings; serde's default is an array of numbers.
 pub(crate) mod serde_body {
     use bytes::Bytes;
     use serde::{Deserializer, Serializer};
--- a/crates/protocol/src/packed.rs
+++ b/crates/protocol/src/packed.rs
@@ -1,7 +1,7 @@
-//! Values that are compressed within a message.
+//! Compressed values within a message.
 //!
-//! Links of some VMs carry a few Mbit/s, and a group's counts and maps are long lists of small
-//! numbers.
+//! Some VMs have links of a few Mbit/s, and a group's counts and maps are long lists of small
+//! numbers that compress well.
 
 use flate2::Compression;
 use flate2::read::{DeflateDecoder, DeflateEncoder};
@@ -9,15 +9,16 @@
 use serde::{Deserialize, Serialize};
 use std::io::Read;
 
-/// Most bytes that a packed value may take once it is inflated.
+/// Largest size of a packed value after decompression; bounds what a malformed message can
+/// allocate.
 const MAX_BYTES: u64 = 16 * 1024 * 1024;
 
-/// A value, encoded compactly and deflated.
+/// A value encoded with postcard and compressed with DEFLATE.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Packed(#[serde(with = "serde_bytes")] Vec<u8>);
 
 impl Packed {
-    /// Packs a value; `None` if it can't be encoded.
+    /// Encodes and compresses a value; `None` if it can't be encoded.
     ///
     /// ```
     /// use flamingowheel_protocol::packed::Packed;
@@ -32,7 +33,7 @@
         Self::deflate(&postcard::to_allocvec(value).ok()?)
     }
 
-    /// Packs bytes.
+    /// Compresses bytes that are already encoded.
     ///
     /// ```
     /// use flamingowheel_protocol::packed::Packed;
@@ -44,7 +45,7 @@
         Some(Self(deflated))
     }
 
-    /// The value; `None` if it can't be read.
+    /// Decompresses and decodes the value; `None` if it is malformed.
     pub fn unpack<T>(&self) -> Option<T>
     where
         T: DeserializeOwned,
@@ -52,7 +53,7 @@
         postcard::from_bytes(&self.inflate()?).ok()
     }
 
-    /// The bytes; `None` if they can't be read or are too many.
+    /// Decompresses the bytes; `None` if they are malformed or exceed 16 MiB.
     pub fn inflate(&self) -> Option<Vec<u8>> {
         let mut bytes = Vec::new();
         let mut decoder = DeflateDecoder::new(self.0.as_slice()).take(MAX_BYTES + 1);
@@ -60,7 +61,7 @@
         (bytes.len() as u64 <= MAX_BYTES).then_some(bytes)
     }
 
-    /// Size on the way, in bytes.
+    /// Compressed size, in bytes.
     pub fn size_bytes(&self) -> usize {
         self.0.len()
     }
--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -1,7 +1,8 @@
-//! Messages between entries: heartbeats with what each knows of the others, and configuration.
+//! Messages between entries: heartbeats with membership changes, configuration, loans of limits and
+//! idempotency keys.
 //!
-//! Documents and changes travel in the form in which the key-value service stores them; this
-//! package does not look into them.
+//! Configuration documents and changes are sent in the form in which the key-value service stores
+//! them; this crate does not interpret them.
 
 use crate::id::Incarnation;
 use crate::message::{ExpertShape, Serves};
@@ -9,65 +10,66 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// What an entry, or another on its behalf, says of it.
+/// The state of one entry, as stated by itself or, if it is silent or gone, by another entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRecord {
-    /// Its name, unique in the fleet.
+    /// Name, unique in the fleet.
     #[serde(rename = "n")]
     pub name: String,
-    /// Its VM.
+    /// Name of its VM.
     #[serde(rename = "m")]
     pub vm: String,
-    /// Its data centre.
+    /// Name of its data centre.
     #[serde(rename = "d")]
     pub data_centre: String,
-    /// The region of the data centre.
+    /// Region of its data centre.
     #[serde(rename = "g")]
     pub region: String,
-    /// Where other entries reach it.
+    /// Address for other entries.
     #[serde(rename = "i")]
     pub inner: SocketAddr,
-    /// Where callers reach it.
+    /// Address for callers.
     #[serde(rename = "c")]
     pub callers: SocketAddr,
-    /// Where operators reach it.
+    /// Address of its operator interface.
     #[serde(rename = "o")]
     pub operators: SocketAddr,
-    /// The process start that this is about.
+    /// The process start that the record describes.
     #[serde(rename = "s")]
     pub incarnation: Incarnation,
-    /// Raised by the process itself with everything it says of itself; the highest counts.
+    /// Increased by the process itself with each change of its own record; the highest version
+    /// wins.
     #[serde(rename = "v")]
     pub version: u64,
-    /// Its state.
+    /// State at this version.
     #[serde(rename = "t")]
     pub state: MemberState,
 }
 
-/// State of an entry. At equal versions the later in this list counts.
+/// State of an entry. Among records of the same version the state that is later in this list wins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum MemberState {
-    /// It takes requests; said by itself.
+    /// Accepts requests; stated by itself.
     Live,
-    /// It takes no new requests and finishes those it has; said by itself.
+    /// Accepts no new requests and finishes those in progress; stated by itself.
     Leaving,
-    /// It was not heard for a while; said by another. It may only be cut off.
+    /// Sent no heartbeat for a while; stated by another entry. It may only be partitioned.
     Silent,
-    /// It was silent and its VM is no longer listed; said by another.
+    /// Silent, and its VM is no longer listed; stated by another entry.
     Gone,
 }
 
-/// What entries tell each other of an agent, so that each can reach every one without a connection
-/// to it.
+/// An agent as entries gossip it, so that each entry can reach every agent without having been
+/// connected to it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AgentRecord {
-    /// Its name, unique in the fleet.
+    /// Name, unique in the fleet.
     #[serde(rename = "n")]
     pub name: String,
-    /// Where entries reach it.
+    /// Address for entries.
     #[serde(rename = "a")]
     pub address: SocketAddr,
-    /// Its data centre.
+    /// Name of its data centre.
     #[serde(rename = "d")]
     pub data_centre: String,
     /// What its backend server serves.
@@ -76,49 +78,50 @@
     /// The experts of its group, if the group's ranks share an expert map.
     #[serde(rename = "x", default, skip_serializing_if = "Option::is_none")]
     pub experts: Option<ExpertShape>,
-    /// The process start that this is about.
+    /// The process start that the record describes.
     #[serde(rename = "i")]
     pub incarnation: Incarnation,
-    /// Raised by whoever finds the record untrue; the highest counts.
+    /// Increased by any entry that finds the record outdated; the highest version wins.
     #[serde(rename = "v")]
     pub version: u64,
-    /// Live; leaving, by the VM list; or gone: on no listed VM and not reached.
+    /// `Live`; `Leaving` if the VM list says so; or `Gone`: its VM is not listed and it can't be
+    /// reached.
     #[serde(rename = "t")]
     pub state: MemberState,
 }
 
-/// Who sends a message. Its record is among the news as long as the receiver lacks it, so that
+/// The sender of a message. Its record is only sent along while the receiver lacks it, so that
 /// heartbeats stay small.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sender {
     /// Its name.
     #[serde(rename = "n")]
     pub name: String,
-    /// Its start.
+    /// The sender's process start.
     #[serde(rename = "i")]
     pub incarnation: Incarnation,
 }
 
-/// Asks a peer for what is new, and says what is new here.
+/// Asks a peer for membership changes and carries the sender's own.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// The sender.
     #[serde(rename = "f")]
     pub from: Sender,
-    /// The configuration revision the sender has in force.
+    /// Configuration revision in force at the sender.
     #[serde(rename = "r")]
     pub revision: u64,
-    /// The peer's table version up to which the sender has its news.
+    /// Version of the peer's member table up to which the sender has received its changes.
     #[serde(rename = "a")]
     pub after: u64,
-    /// The peer may hold its answer this long, until it has news.
+    /// Long poll: the peer may delay its answer up to this long until it has changes.
     #[serde(rename = "h")]
     pub hold_ms: u32,
-    /// What the sender learnt since the peer last answered.
+    /// Changes that the sender learnt of since the peer's last answer.
     #[serde(rename = "n", default, skip_serializing_if = "MembershipUpdate::is_empty")]
     pub updates: MembershipUpdate,
-    /// Digests of the sender's directory of agents. With them the answer holds what differs;
-    /// without, what is newer than `after`.
+    /// Digests of the parts of the sender's agent directory. If given, the answer contains the
+    /// agents of the parts that differ; otherwise those changed after version `after`.
     #[serde(rename = "g", default, skip_serializing_if = "Vec::is_empty")]
     pub agent_digests: Vec<u64>,
 }
@@ -126,41 +129,41 @@
 /// Answer to a [`Heartbeat`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeartbeatAnswer {
-    /// The one that answers.
+    /// The sender of the answer.
     #[serde(rename = "f")]
     pub from: Sender,
-    /// The configuration revision it has in force.
+    /// Configuration revision in force at the sender.
     #[serde(rename = "r")]
     pub revision: u64,
-    /// How long ago the key-value service is known to have answered, itself or a peer that told
-    /// it, in milliseconds.
+    /// Time since the key-value service last answered this entry or, as far as this entry knows,
+    /// one of its peers, in milliseconds.
     #[serde(rename = "s", default, skip_serializing_if = "Option::is_none")]
     pub service_answered_ms_ago: Option<u64>,
-    /// Its table version.
+    /// Version of the sender's member table.
     #[serde(rename = "v")]
     pub version: u64,
-    /// What it learnt since the version asked for.
+    /// Changes since the version asked for.
     #[serde(rename = "n", default, skip_serializing_if = "MembershipUpdate::is_empty")]
     pub updates: MembershipUpdate,
-    /// The parts of the directory of agents whose digests differ.
+    /// Numbers of the parts of the agent directory whose digests differ.
     #[serde(rename = "g", default, skip_serializing_if = "Vec::is_empty")]
     pub agent_parts: Vec<u8>,
 }
 
-/// Changes of the table of members.
+/// Changes of the member table and the agent directory.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MembershipUpdate {
-    /// Records.
+    /// Entries whose records changed.
     pub records: Vec<MemberRecord>,
-    /// VMs that the VM list calls leaving.
+    /// VMs that the VM list marks as leaving.
     pub leaving_vms: Vec<String>,
-    /// Agents.
+    /// Agents whose records changed.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub agents: Vec<AgentRecord>,
 }
 
 impl MembershipUpdate {
-    /// Whether there is nothing in it.
+    /// Whether there are no changes.
     ///
     /// ```
     /// use flamingowheel_protocol::peer::MembershipUpdate;
@@ -171,66 +174,67 @@
     }
 }
 
-/// What one entry asks another.
+/// A request from one entry to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerRequest {
-    /// What is new?
+    /// Exchange membership changes.
     Heartbeat(Box<Heartbeat>),
-    /// The changes of the configuration after this revision.
+    /// Fetch the configuration changes after a revision.
     Changes {
-        /// The revision the sender has.
+        /// The sender's revision.
         after: u64,
     },
-    /// One bucket of documents.
+    /// Fetch one bucket of configuration documents.
     Bucket {
-        /// 0 for the templates, then the buckets of workspaces from 1.
+        /// 0 for the templates; the buckets of workspaces count from 1.
         number: u8,
     },
-    /// Who are you, and what revision have you in force?
+    /// Fetch the peer's own record and its configuration revision.
     Status,
-    /// Lend me a part of your share of a workspace's limits.
+    /// Borrow a part of the peer's share of a workspace's limits.
     Loan {
         /// The workspace.
         workspace: String,
         /// Name of the entry that asks.
         borrower: String,
-        /// What it asks.
+        /// The amounts asked for.
         request: LoanRequest,
     },
-    /// Bind a caller's idempotency key, together with those of others. The claim is in the form of
-    /// the entry's own package.
+    /// Bind a caller's idempotency key; the peer batches it with others. The claim is encoded by
+    /// the entry crate.
     BindKey(StoredValue),
 }
 
 /// The answer to a [`PeerRequest`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerAnswer {
-    /// To a heartbeat.
+    /// Answers [`PeerRequest::Heartbeat`].
     Heartbeat(Box<HeartbeatAnswer>),
-    /// Changes in order, each as stored.
+    /// Configuration changes in order, each in its stored form.
     Changes(Vec<StoredValue>),
-    /// Some of the changes asked for are no longer kept.
+    /// Some of the configuration changes asked for have been compacted; the caller must fetch whole
+    /// buckets.
     NotKept,
-    /// A bucket as stored.
+    /// A bucket in its stored form.
     Bucket {
-        /// The revision it belongs to.
+        /// The revision of the bucket.
         revision: u64,
         /// The bucket.
         value: StoredValue,
     },
-    /// To a question about status.
+    /// Answers [`PeerRequest::Status`].
     Status {
-        /// What the process says of itself.
+        /// The peer's own record.
         record: Box<MemberRecord>,
-        /// The revision it has in force.
+        /// Configuration revision in force.
         revision: u64,
-        /// Digest of its table of members and its directory of agents; equal ones have equal
+        /// Digest of the member table and the agent directory; entries that agree have equal
         /// digests.
         digest: u64,
     },
-    /// What is lent.
+    /// The amounts lent.
     Loan(Loan),
-    /// What became of the claim.
+    /// The result of the claim, encoded by the entry crate.
     KeyBound(StoredValue),
 }
 
@@ -239,19 +243,19 @@
 #[serde(transparent)]
 pub struct StoredValue(#[serde(with = "serde_bytes")] pub Vec<u8>);
 
-/// What travels on a connection between two entries.
+/// A message on a connection between two entries.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerFrame {
-    /// A request under a number chosen by its sender.
+    /// A request.
     Request {
-        /// The number.
+        /// Chosen by the sender; the answer carries it.
         number: u64,
         /// The request.
         request: PeerRequest,
     },
-    /// The answer to the request of that number.
+    /// The answer to a request.
     Answer {
-        /// The number.
+        /// Number of the request.
         number: u64,
         /// The answer.
         answer: PeerAnswer,
--- a/crates/protocol/src/ranks.rs
+++ b/crates/protocol/src/ranks.rs
@@ -1,5 +1,5 @@
-//! Messages between the agents of one rank group: the coordinator states what a rank should be
-//! brought to, the rank's agent tells how it stands.
+//! Messages between the agents of one rank group: the coordinator sends each rank its target state,
+//! and each rank's agent reports the rank's current state.
 
 use crate::packed::Packed;
 use crate::targets::TargetMessage;
@@ -9,10 +9,11 @@
 
 pub use flamingowheel_policy::experts::Map;
 
-/// What a rank should be brought to. An absolute state, so that it can be stated again.
+/// The state that the coordinator wants a rank to reach. It is absolute rather than a step, so that
+/// it can be sent repeatedly.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RankTarget {
-    /// A map's experts are copied.
+    /// The experts of a map are copied to the rank.
     Prepared {
         /// The group's epoch.
         epoch: u64,
@@ -20,23 +21,24 @@
         version: u64,
         /// The map.
         map: Arc<Map>,
-        /// The engines by rank, for whoever must finish the change if its coordinator dies.
+        /// Engine addresses by rank, for the agent that must finish the change if the coordinator
+        /// dies.
         engines: Arc<Vec<SocketAddr>>,
     },
-    /// One rank's agent holds the engine of the coordinator's rank before a pass. The coordinator does not
-    /// do so itself: whoever gives the order may stop right after it, and then the agent beside the
-    /// held engine must be there to let it go.
+    /// One rank's agent holds the coordinator's own engine before a pass. The coordinator does not
+    /// do so itself: whoever gives the order may die right after it, and then the agent beside the
+    /// held engine must be alive to release it.
     Held {
         /// The group's epoch.
         epoch: u64,
         /// The pass.
         pass: u64,
-        /// The rank whose agent gives the order.
+        /// The rank whose agent holds the engine.
         by: usize,
-        /// The engine that is held.
+        /// Address of the held engine.
         engine: SocketAddr,
     },
-    /// A prepared map will be used from a pass on.
+    /// A prepared map comes into use with a given pass.
     Armed {
         /// The group's epoch.
         epoch: u64,
@@ -47,63 +49,64 @@
         /// The engines by rank.
         engines: Arc<Vec<SocketAddr>>,
     },
-    /// Nothing is to be done.
+    /// No change is in progress.
     Idle,
 }
 
-/// How a rank stands.
+/// The state of a rank.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RankState {
     /// The rank group.
     pub group: String,
-    /// Rises each time the group forms again.
+    /// Increases each time the group forms again.
     pub epoch: u64,
     /// The rank.
     pub rank: usize,
     /// Ranks in the group.
     pub size: usize,
-    /// Whether the group works.
+    /// Whether the group is running passes.
     pub is_open: bool,
-    /// The last pass that began.
+    /// The newest pass that has started.
     pub pass: u64,
-    /// Requests in the batch.
+    /// Requests in the current batch.
     pub running: u32,
-    /// Requests that wait for their first pass.
+    /// Requests that are queued for their first pass.
     pub waiting: u32,
-    /// Above 1 if the rank is slower than published.
+    /// The rank's pass time relative to the engine's published parameters; above 1 if it is slower.
     pub pace: f64,
     /// Version of the map in use.
     pub map_version: u64,
-    /// Version of the map whose experts have been copied.
+    /// Version of the map whose experts have been copied, if any.
     pub prepared_version: Option<u64>,
-    /// Version and pass of the switch to come.
+    /// Version of the map to switch to and the first pass that uses it, if a switch is pending.
     pub armed: Option<(u64, u64)>,
-    /// The pass that is held back.
+    /// The pass before which this rank's engine is held, if it is.
     pub held_pass: Option<u64>,
     /// The pass before which this rank's agent last held another rank's engine.
     pub gave_hold: Option<u64>,
 }
 
-/// Finest steps in which counts of one rank are told.
+/// Quantisation steps for the counts of one rank.
 const STEPS: u32 = 255;
 
-/// The same for sums over several ranks. They are larger, so that steps show less.
+/// Quantisation steps for sums over several ranks. Sums are larger, so that a relative error shows
+/// less.
 const SUM_STEPS: u32 = 63;
 
-/// How often experts were chosen, by set and expert in one row, as multiples of a common scale.
+/// How often each expert was chosen, by set and expert in one row, as multiples of a common scale.
 ///
-/// In full, ten times a second from 31 agents, counts need some 0.8 of a link of 8 Mbit/s by their
-/// size, and bursts of them come late.
+/// Sent unquantised ten times a second from 31 agents, the counts need about 0.8 of a link of 8
+/// Mbit/s, and bursts of them arrive late.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExpertCounts {
-    /// Ranks whose choices these are; 0 if there are none.
+    /// Ranks that the counts cover; 0 if there are no counts.
     pub ranks: u16,
     scale: u32,
     parts: Packed,
 }
 
 impl ExpertCounts {
-    /// Packs the counts of one rank; exact up to 255, and to a 255th of the largest one above.
+    /// Packs the counts of one rank: exact up to 255, else rounded to a 255th of the largest one.
     ///
     /// ```
     /// use flamingowheel_protocol::ranks::ExpertCounts;
@@ -113,7 +116,8 @@
         Self::pack_in_steps(counts, 1, STEPS)
     }
 
-    /// Packs the summed counts of several ranks.
+    /// Packs the summed counts of several ranks: exact up to 63, else rounded to a 63rd of the
+    /// largest one.
     ///
     /// ```
     /// use flamingowheel_protocol::ranks::ExpertCounts;
@@ -134,116 +138,118 @@
         Self { ranks, scale, parts: Packed::deflate(&parts).unwrap_or_default() }
     }
 
-    /// The counts; `None` if they can't be read.
+    /// Unpacks the counts; `None` if they are malformed.
     pub fn unpack(&self) -> Option<Vec<u32>> {
         let parts = self.parts.inflate()?;
         Some(parts.into_iter().map(|part| u32::from(part).saturating_mul(self.scale)).collect())
     }
 
-    /// Size on the way, in bytes.
+    /// Compressed size, in bytes.
     pub fn size_bytes(&self) -> usize {
         self.parts.size_bytes()
     }
 }
 
-/// What a rank has done since its state was told.
+/// The part of a rank's state that changes with every pass.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Progress {
-    /// The last pass that began.
+    /// The newest pass that has started.
     pub pass: u64,
-    /// Requests in the batch.
+    /// Requests in the current batch.
     pub running: u32,
-    /// Requests that wait for their first pass.
+    /// Requests that are queued for their first pass.
     pub waiting: u32,
-    /// Above 1 if the rank is slower than published.
+    /// The rank's pass time relative to the engine's published parameters; above 1 if it is slower.
     pub pace: f64,
 }
 
-/// What a rank's agent tells whoever is connected to it.
+/// An update from a rank's agent to its subscribers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum RankUpdate {
-    /// How the rank stands: at first, and when more than its progress has changed.
+    /// The whole state: first on a connection, and when more than the progress has changed.
     State(RankState),
-    /// The rank goes on as told.
+    /// Only the progress has changed since the last state.
     Progress(Progress),
-    /// The experts that the rank holds; at first, and when its map has changed.
+    /// The experts that the rank holds; sent first and whenever its map has changed.
     Experts {
         /// Version of the map.
         map_version: u64,
         /// The experts, by set.
         experts: Packed,
     },
-    /// How often the rank's requests chose each expert since this was told last.
+    /// How often the rank's requests chose each expert since the last such update.
     Choices(ExpertCounts),
-    /// The same of several ranks.
+    /// The same, summed over several ranks.
     Sum(ExpertCounts),
-    /// How the group stands; from the agent that coordinates it.
+    /// The group's status, from the agent that coordinates it.
     Group(GroupStatus),
 }
 
-/// How a group stands at one moment.
+/// The status of a group at one moment.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct GroupStatus {
     /// The group.
     pub group: String,
-    /// Rises each time the group forms again.
+    /// Increases each time the group forms again.
     pub epoch: u64,
-    /// Mean pass of the last second, in milliseconds; 0 before the first.
+    /// Mean pass time of the last second, in milliseconds; 0 before the first pass.
     pub pass_ms: f64,
-    /// Requests that run or wait at each rank; 255 stands for more.
+    /// Requests running or queued at each rank, capped at 255.
     #[serde(with = "serde_bytes")]
     pub requests: Vec<u8>,
-    /// Ranks of which neither agent nor engine is heard.
+    /// Ranks from which the coordinator receives nothing, neither from the agent nor from the
+    /// engine.
     pub silent: Vec<u16>,
-    /// Age of these figures when they were sent, in milliseconds.
+    /// Age of these values when they were sent, in milliseconds.
     pub age_ms: u64,
 }
 
-/// What an agent tells on a connection.
+/// Which updates an agent sends on a connection.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Subscription {
-    /// How its rank stands.
+    /// Its rank's state.
     #[default]
     State,
-    /// Its own rank's choices besides.
+    /// Its rank's state and expert counts.
     Choices,
-    /// The sums that it makes of several ranks' choices besides.
+    /// Its rank's state and the expert counts that it has summed over several ranks.
     Sums,
-    /// How its group stands, and nothing else.
+    /// Only its group's status.
     Group,
 }
 
-/// What is asked of a rank's agent.
+/// A request to a rank's agent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AgentRequest {
-    /// Tell this on the connection.
+    /// Send these updates on the connection.
     Tell(Subscription),
-    /// Sum up the choices told by the agents at these addresses.
+    /// Sum the expert counts of the agents at these addresses.
     Collect(Packed),
-    /// Bring the rank to a target.
+    /// Bring the rank to a target state.
     Target(TargetMessage),
 }
 
-/// What the coordinator of a group tells all entries, through the key-value store.
+/// A group as its coordinator publishes it to all entries through the key-value store.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct GroupRecord {
-    /// Rises each time the group forms again.
+    /// Increases each time the group forms again.
     pub epoch: u64,
-    /// The ranks in order.
+    /// The ranks, in order.
     pub ranks: Vec<RankRecord>,
 }
 
 /// One rank of a [`GroupRecord`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RankRecord {
-    /// The engine's address.
+    /// Address of the engine.
     pub engine: SocketAddr,
-    /// Above 1 if the rank is slower than published.
+    /// The rank's pass time relative to the engine's published parameters; above 1 if it is slower.
     pub pace: f64,
-    /// Whether neither its agent nor its engine is heard.
+    /// Whether the coordinator receives nothing from the rank, neither from the agent nor from the
+    /// engine.
     #[serde(default)]
     pub is_away: bool,
 }
 
-/// Prefix of the groups' keys; the rest is the group's name.
+/// Prefix of the keys of [`GroupRecord`]s; the group's name follows.
 pub const GROUPS_PREFIX: &str = "flamingowheel/groups/";
--- a/crates/protocol/src/targets.rs
+++ b/crates/protocol/src/targets.rs
@@ -1,9 +1,10 @@
-//! How a group's coordinator tells targets to the other ranks' agents on one connection.
+//! Encodes the targets that a group's coordinator sends to the other ranks' agents, per connection.
 //!
-//! A map of 96 ranks takes 10 KB and a step changes some lists of it. Told whole to 95 agents, it
-//! would keep a VM's link of 6 Mbit/s busy for a second, in which the group goes on with the old
-//! map. So a connection tells what changed since the map told last, or since the map that every group
-//! begins with; and what is the same for all connections is encoded once.
+//! A map of 96 ranks takes 10 KB, and each change affects only some of its lists. Sent whole to 95
+//! agents, it would occupy a VM's link of 6 Mbit/s for a second, while the group continues with the
+//! old map. So a connection carries only the differences from the map last sent on it, or from the
+//! map that every group starts with, and the encoding is shared between connections whose base is
+//! the same.
 
 use crate::lists::{apply_changes, pack_changes};
 use crate::packed::Packed;
@@ -13,15 +14,16 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// Most sets, experts or ranks that a first map is made for.
+/// Largest number of sets, experts or ranks for which an initial map is built; bounds the memory
+/// that a malformed message can claim.
 const MAX_COUNT: u16 = 4_096;
 
-/// The map that changes are told against.
+/// The map that a difference refers to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Base {
-    /// The one told last on this connection.
+    /// The map last sent on this connection.
     Told,
-    /// The one that a group begins with.
+    /// The map that a group starts with.
     First {
         /// Sets of layers.
         sets: u16,
@@ -32,16 +34,16 @@
     },
 }
 
-/// A map on its way.
+/// An encoded map.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MapMessage {
-    /// The map itself.
+    /// The whole map.
     Whole(Packed),
-    /// The lists by which it differs from another.
+    /// The expert lists in which it differs from a base.
     Changed(Base, Packed),
 }
 
-/// A target on its way.
+/// An encoded [`RankTarget`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TargetMessage {
     /// [`RankTarget::Idle`].
@@ -54,7 +56,7 @@
         version: u64,
         /// The map.
         map: MapMessage,
-        /// The engines by rank, unless they are those told last.
+        /// The engine addresses by rank; `None` if they equal those last sent.
         engines: Option<Packed>,
     },
     /// [`RankTarget::Held`].
@@ -63,9 +65,9 @@
         epoch: u64,
         /// The pass.
         pass: u64,
-        /// The rank whose agent gives the order.
+        /// The rank whose agent holds the engine.
         by: usize,
-        /// The engine that is held.
+        /// Address of the held engine.
         engine: SocketAddr,
     },
     /// [`RankTarget::Armed`].
@@ -74,20 +76,21 @@
         epoch: u64,
         /// The map's version.
         version: u64,
-        /// The first pass that uses it.
+        /// The first pass that uses the map.
         pass: u64,
-        /// The engines by rank, unless they are those told last.
+        /// The engine addresses by rank; `None` if they equal those last sent.
         engines: Option<Packed>,
     },
 }
 
 #[derive(Clone, Debug, Default)]
-struct Told {
+/// The values last sent or received on a connection, which later messages refer to.
+struct ConnectionState {
     map: Option<Arc<Map>>,
     engines: Arc<Vec<SocketAddr>>,
 }
 
-/// Encodings that the connections of one coordinator share.
+/// Encodings shared by the connections of one coordinator.
 #[derive(Debug, Default)]
 pub struct EncodingCache(Mutex<Encoded>);
 
@@ -98,17 +101,17 @@
 }
 
 impl EncodingCache {
-    fn map(&self, told: Option<&Arc<Map>>, map: &Arc<Map>) -> Option<MapMessage> {
+    fn map(&self, base: Option<&Arc<Map>>, map: &Arc<Map>) -> Option<MapMessage> {
         let mut encoded = self.lock();
         let cached = encoded
             .map
             .as_ref()
-            .filter(|(old, new, _)| Arc::ptr_eq(new, map) && is_same(old.as_ref(), told));
+            .filter(|(old, new, _)| Arc::ptr_eq(new, map) && is_same_map(old.as_ref(), base));
         if let Some((_, _, message)) = cached {
             return Some(message.clone());
         }
-        let message = encode_map(told.map(Arc::as_ref), map)?;
-        encoded.map = Some((told.cloned(), Arc::clone(map), message.clone()));
+        let message = encode_map(base.map(Arc::as_ref), map)?;
+        encoded.map = Some((base.cloned(), Arc::clone(map), message.clone()));
         Some(message)
     }
 
@@ -128,7 +131,7 @@
     }
 }
 
-fn is_same(a: Option<&Arc<Map>>, b: Option<&Arc<Map>>) -> bool {
+fn is_same_map(a: Option<&Arc<Map>>, b: Option<&Arc<Map>>) -> bool {
     match (a, b) {
         (Some(a), Some(b)) => Arc::ptr_eq(a, b),
         (None, None) => true,
@@ -136,20 +139,20 @@
     }
 }
 
-/// The sender's end of a connection.
+/// Encodes the targets of one connection.
 #[derive(Clone, Debug, Default)]
 pub struct TargetEncoder {
-    told: Told,
+    state: ConnectionState,
     cache: Arc<EncodingCache>,
 }
 
 impl TargetEncoder {
-    /// An encoder for a new connection.
+    /// Creates an encoder for a new connection.
     pub fn new(cache: Arc<EncodingCache>) -> Self {
-        Self { told: Told::default(), cache }
+        Self { state: ConnectionState::default(), cache }
     }
 
-    /// What to send for a target; `None` if it can't be encoded.
+    /// Encodes a target; `None` if it can't be encoded.
     ///
     /// ```
     /// use flamingowheel_protocol::ranks::RankTarget;
@@ -161,8 +164,8 @@
         let message = match target {
             RankTarget::Idle => TargetMessage::Idle,
             RankTarget::Prepared { epoch, version, map, engines } => {
-                let message = self.cache.map(self.told.map.as_ref(), map)?;
-                self.told.map = Some(Arc::clone(map));
+                let message = self.cache.map(self.state.map.as_ref(), map)?;
+                self.state.map = Some(Arc::clone(map));
                 let (epoch, version) = (*epoch, *version);
                 let engines = self.engines(engines)?;
                 TargetMessage::Prepared { epoch, version, map: message, engines }
@@ -178,24 +181,23 @@
         Some(message)
     }
 
-    /// The engines, unless they were told before.
+    /// The packed engine addresses; the inner `None` if they equal those last sent.
     fn engines(&mut self, engines: &Arc<Vec<SocketAddr>>) -> Option<Option<Packed>> {
-        if self.told.engines == *engines {
+        if self.state.engines == *engines {
             return Some(None);
         }
         let packed = self.cache.engines(engines)?;
-        self.told.engines = Arc::clone(engines);
+        self.state.engines = Arc::clone(engines);
         Some(Some(packed))
     }
 }
 
-/// The receiver's end of a connection.
+/// Decodes the targets of one connection.
 #[derive(Clone, Debug, Default)]
-pub struct TargetDecoder(Told);
+pub struct TargetDecoder(ConnectionState);
 
 impl TargetDecoder {
-    /// The target that a message tells; `None` if it can't be read or rests on a map that was never
-    /// told.
+    /// Decodes a target; `None` if it is malformed or refers to a map that was never received.
     pub fn decode(&mut self, message: TargetMessage) -> Option<RankTarget> {
         match message {
             TargetMessage::Idle => Some(RankTarget::Idle),
@@ -230,16 +232,16 @@
         }
     }
 
-    fn engines(&mut self, told: Option<Packed>) -> Option<Arc<Vec<SocketAddr>>> {
-        if let Some(packed) = told {
+    fn engines(&mut self, received: Option<Packed>) -> Option<Arc<Vec<SocketAddr>>> {
+        if let Some(packed) = received {
             self.0.engines = Arc::new(packed.unpack()?);
         }
         Some(Arc::clone(&self.0.engines))
     }
 }
 
-fn encode_map(told: Option<&Map>, map: &Map) -> Option<MapMessage> {
-    if let Some(changes) = told.and_then(|told| pack_changes(told, map)) {
+fn encode_map(base: Option<&Map>, map: &Map) -> Option<MapMessage> {
+    if let Some(changes) = base.and_then(|base| pack_changes(base, map)) {
         return Some(MapMessage::Changed(Base::Told, changes));
     }
     let whole = Packed::pack(map)?;
--- a/crates/protocol/src/ticket.rs
+++ b/crates/protocol/src/ticket.rs
@@ -1,7 +1,8 @@
 //! Tickets for non-idempotent work.
 //!
 //! A ticket names one agent process and a number. Only that process runs the work, at most once,
-//! from memory. Minting needs no agreement, so it works while the key-value service is down.
+//! and keeps its record in memory. Issuing a ticket needs no coordination, so it works while the
+//! key-value service is down.
 
 use crate::auth::FleetKey;
 use crate::id::{ExecutionKey, Incarnation, RequestId, Window};
@@ -16,33 +17,34 @@
 /// The right to run one piece of non-idempotent work at most once.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ticket {
-    /// The agent that holds the execution's record.
+    /// Name of the agent that keeps the execution's record.
     pub agent: String,
     /// The agent process; no other will ever run the work.
     pub incarnation: Incarnation,
-    /// The agent's record window at minting; bounds how long the agent must remember.
+    /// The agent's record window when the ticket was issued; bounds how long the agent must keep
+    /// the record.
     pub window: Window,
-    /// Unique number.
+    /// Number of the ticket, unique.
     pub number: Uuid,
-    /// The workspace it was minted for.
+    /// The workspace that it was issued for.
     pub workspace: String,
-    /// The service it was minted for.
+    /// The service that it was issued for.
     pub service: String,
 }
 
-/// Why a ticket's text was not accepted.
+/// Why the text of a ticket or stream token was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TicketError {
-    /// Not the text of a ticket.
+    /// The text is malformed.
     #[error("malformed ticket")]
     Malformed,
-    /// Not minted by this fleet, or altered.
+    /// The text was not issued by this fleet, or was altered.
     #[error("ticket not authentic")]
     NotAuthentic,
 }
 
 impl Ticket {
-    /// Writes the ticket as text for an HTTP header, authenticated by the fleet key.
+    /// Encodes the ticket as text for an HTTP header, authenticated by the fleet key.
     ///
     /// ```
     /// use flamingowheel_protocol::{auth::FleetKey, id::{Incarnation, Window}, ticket::Ticket};
@@ -59,22 +61,22 @@
         seal(PURPOSE, self, key)
     }
 
-    /// Reads a ticket back and checks that this fleet minted it.
+    /// Decodes a ticket and checks that this fleet issued it.
     pub fn from_text(text: &str, key: &FleetKey) -> Result<Self, TicketError> {
         open(PURPOSE, text, key)
     }
 }
 
-/// The right to go on reading one answer through any entry.
+/// The right to continue reading one answer through any entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StreamToken {
-    /// The agent that holds the answer.
+    /// Name of the agent that keeps the answer.
     pub agent: String,
     /// The agent process.
     pub incarnation: Incarnation,
     /// The agent's record window when the request was sent.
     pub window: Window,
-    /// What the agent filed it under.
+    /// Key of the execution in the agent's records.
     pub key: ExecutionKey,
     /// The request.
     pub request: RequestId,
@@ -83,7 +85,7 @@
 }
 
 impl StreamToken {
-    /// Writes the token as text, authenticated by the fleet key.
+    /// Encodes the token as text, authenticated by the fleet key.
     ///
     /// ```
     /// use flamingowheel_protocol::auth::FleetKey;
@@ -100,7 +102,7 @@
         seal(STREAM_PURPOSE, self, key)
     }
 
-    /// Reads a token back and checks that this fleet gave it.
+    /// Decodes a token and checks that this fleet issued it.
     pub fn from_text(text: &str, key: &FleetKey) -> Result<Self, TicketError> {
         open(STREAM_PURPOSE, text, key)
     }
@@ -111,7 +113,7 @@
     T: Serialize,
 {
     let mut bytes = Vec::with_capacity(128);
-    // Writing plain values into memory can't fail.
+    // Encoding plain values into memory can't fail.
     let _ = ciborium::into_writer(value, &mut bytes);
     let tag = key.tag(purpose, &[&bytes]);
     bytes.extend_from_slice(&tag);
--- a/crates/protocol/src/websocket.rs
+++ b/crates/protocol/src/websocket.rs
@@ -20,21 +20,23 @@
 use tokio_tungstenite::tungstenite::protocol::WebSocketConfig;
 use tokio_util::sync::CancellationToken;
 
-/// A handshake that takes longer is given up.
+/// Handshakes that take longer are aborted.
 const HANDSHAKE_LIMIT: Duration = Duration::from_secs(2);
 
-/// Handshake messages are small; a stranger can't make this side hold more.
+/// Handshake messages are small; this bounds what an unauthenticated peer can make this side
+/// buffer.
 const MAX_HANDSHAKE_BYTES: usize = 16 * 1024;
 
-/// Buffer of each connection. Batches are small, and a process holds a hundred connections; the
-/// library's default would cost 128 KiB each.
+/// Read buffer of each connection. Batches are small, and a process has about a hundred
+/// connections; the library's default would cost 128 KiB each.
 const READ_BUFFER_BYTES: usize = 8 * 1024;
 
-/// Most connections that one listener has at one time. Few processes connect to any other; without a
-/// bound a stranger that opens connections and says nothing would use up this one's descriptors.
+/// Most concurrent connections of one listener. Few processes connect to any one; without a bound,
+/// a stranger that opens connections and sends nothing would exhaust this process's file
+/// descriptors.
 const MAX_ACCEPTED: usize = 256;
 
-/// Pause after a failed accept.
+/// Pause after a failed accept, which most likely means that file descriptors have run out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
 
 /// Why a connection could not be opened.
@@ -43,40 +45,41 @@
     /// The TCP connection failed.
     #[error("can't connect: {0}")]
     Connect(#[from] std::io::Error),
-    /// The other side does not speak the protocol.
+    /// The WebSocket handshake failed.
     #[error("handshake failed: {0}")]
     Protocol(#[from] Box<tokio_tungstenite::tungstenite::Error>),
-    /// The other side closed or sent something else.
+    /// The other side closed the connection or sent something other than the expected message.
     #[error("malformed handshake")]
     Malformed,
-    /// The other side took too long.
+    /// The handshake exceeded its time limit.
     #[error("handshake took longer than {} ms", HANDSHAKE_LIMIT.as_millis())]
     TimedOut,
-    /// Another protocol version.
+    /// The peer speaks another protocol version.
     #[error("peer speaks protocol version {theirs}, this side {VERSION}")]
     Version {
         /// The peer's version.
         theirs: u16,
     },
-    /// The other side does not know the fleet key.
+    /// The peer's tag does not match: it does not know the fleet key.
     #[error("peer does not know the fleet key")]
     NotAuthentic,
 }
 
-/// What this side needs to introduce itself.
+/// What a process needs to open and accept authenticated connections.
 #[derive(Clone, Debug)]
 pub struct Identity {
-    /// Who this side is.
+    /// Identity sent to peers.
     pub hello: Hello,
-    /// The fleet's key.
+    /// Key that authenticates both sides.
     pub key: FleetKey,
-    /// How connections are kept.
+    /// Options of each connection.
     pub link_options: LinkOptions,
 }
 
 impl Identity {
-    /// Who a process is in a deployment that gives its processes no secret. The key that all share proves no
-    /// more than that: the network is trusted as far as the platform keeps others out.
+    /// An identity for a deployment that gives its processes no secret. The key is the same
+    /// everywhere and known, so it authenticates nobody: the network is trusted as far as the
+    /// platform isolates it.
     ///
     /// ```
     /// use flamingowheel_protocol::{link::Timing, message::Role, websocket::Identity};
@@ -114,55 +117,55 @@
             tokio_tungstenite::client_async_with_config(uri, stream, Some(config()))
                 .await
                 .map_err(Box::new)?;
-        let peer = prove(&mut socket, identity).await?;
+        let peer = open_handshake(&mut socket, identity).await?;
         Ok(start(peer, socket, identity.link_options.clone()))
     };
     timeout(HANDSHAKE_LIMIT, opening).await.map_err(|_| HandshakeError::TimedOut)?
 }
 
-/// Accepts connections and has each attended, until `stop` fires; then they close.
-pub async fn accept_links<Out, In, Attend, Attending>(
+/// Accepts connections and passes each to `serve_link` until `stop` fires; then closes them.
+pub async fn accept_links<Out, In, ServeLink, Serving>(
     listener: TcpListener,
     identity: Identity,
     stop: CancellationToken,
-    attend: Attend,
+    serve_link: ServeLink,
 ) where
     Out: Serialize + Send + Sync + 'static,
     In: DeserializeOwned + Send + 'static,
-    Attend: Fn(Link<Out, In>) -> Attending + Clone + Send + 'static,
-    Attending: Future<Output = ()> + Send + 'static,
+    ServeLink: Fn(Link<Out, In>) -> Serving + Clone + Send + 'static,
+    Serving: Future<Output = ()> + Send + 'static,
 {
     let permits = Arc::new(Semaphore::new(MAX_ACCEPTED));
     loop {
         let (stream, remote) = tokio::select! {
-            accepted = next_stream(&listener) => accepted,
+            accepted = accept_stream(&listener) => accepted,
             () = stop.cancelled() => return,
         };
         let Ok(permit) = Arc::clone(&permits).try_acquire_owned() else {
             tracing::warn!(%remote, "too many connections");
             continue;
         };
-        let (identity, attend, stop) = (identity.clone(), attend.clone(), stop.clone());
+        let (identity, serve_link, stop) = (identity.clone(), serve_link.clone(), stop.clone());
         tokio::spawn(async move {
             let _permit = permit;
-            let attending = async move {
+            let serving = async move {
                 match accept(stream, &identity).await {
-                    Ok(link) => attend(link).await,
+                    Ok(link) => serve_link(link).await,
                     Err(error) => tracing::warn!(%remote, %error, "connection refused"),
                 }
             };
-            stop.run_until_cancelled(attending).await;
+            stop.run_until_cancelled(serving).await;
         });
     }
 }
 
-async fn next_stream(listener: &TcpListener) -> (TcpStream, SocketAddr) {
+async fn accept_stream(listener: &TcpListener) -> (TcpStream, SocketAddr) {
     loop {
         match listener.accept().await {
             Ok(accepted) => return accepted,
-            // Out of descriptors, most likely; trying again at once would only spin.
+            // Most likely out of file descriptors; retrying at once would spin.
             Err(error) => {
-                tracing::warn!(%error, "can't accept");
+                tracing::warn!(%error, "can't accept a connection");
                 sleep(ACCEPT_PAUSE).await;
             }
         }
@@ -183,7 +186,7 @@
         let mut socket = tokio_tungstenite::accept_async_with_config(stream, Some(config()))
             .await
             .map_err(Box::new)?;
-        let peer = check(&mut socket, identity).await?;
+        let peer = accept_handshake(&mut socket, identity).await?;
         Ok(start(peer, socket, identity.link_options.clone()))
     };
     timeout(HANDSHAKE_LIMIT, accepting).await.map_err(|_| HandshakeError::TimedOut)?
@@ -196,7 +199,7 @@
         .max_frame_size(Some(MAX_BATCH_BYTES))
 }
 
-async fn prove(
+async fn open_handshake(
     socket: &mut WebSocketStream<TcpStream>,
     identity: &Identity,
 ) -> Result<Hello, HandshakeError> {
@@ -214,7 +217,7 @@
     Ok(reply.hello)
 }
 
-async fn check(
+async fn accept_handshake(
     socket: &mut WebSocketStream<TcpStream>,
     identity: &Identity,
 ) -> Result<Hello, HandshakeError> {
--- a/crates/protocol/tests/link.rs
+++ b/crates/protocol/tests/link.rs
@@ -1,4 +1,4 @@
-//! Connections that go silent, get stuck or speak something else.
+//! Closing of silent, stuck and malformed connections, and the handshake.
 
 use bytes::Bytes;
 use flamingowheel_protocol::auth::FleetKey;
@@ -15,8 +15,8 @@
 
 type TestLink = Link<String, String>;
 
-/// Silence is noticed within this time.
-const NOTICED: Duration = Duration::from_secs(3);
+/// Longest time until a dead connection is closed.
+const MAX_DETECTION_TIME: Duration = Duration::from_secs(3);
 
 fn hello(name: &str) -> Hello {
     Hello {
@@ -44,19 +44,19 @@
     (link, peer_reads, peer_writes)
 }
 
-// Something between the two ends loses track of the connection: what is sent goes nowhere and
-// nothing arrives, but nobody closes it. Requests behind it would wait for ever.
+// A device between the two ends loses track of the connection: nothing arrives, but nobody closes
+// it. Requests on it would wait for ever.
 #[tokio::test(start_paused = true)]
 async fn link_silent_is_closed() {
     let (mut link, peer_reads, peer_writes) = start();
     tokio::spawn(peer_reads.for_each(|_| async {}));
     let began = Instant::now();
     assert_eq!(link.receiver.recv().await, None);
-    assert!(began.elapsed() <= NOTICED);
+    assert!(began.elapsed() <= MAX_DETECTION_TIME);
     drop(peer_writes);
 }
 
-// The peer's process is frozen: the connection takes no more data.
+// The peer's process is frozen: the connection accepts no more data.
 #[tokio::test(start_paused = true)]
 async fn link_stuck_is_closed() {
     let (mut link, _peer_reads, mut peer_writes) = start();
@@ -67,7 +67,7 @@
     });
     let began = Instant::now();
     assert_eq!(link.receiver.recv().await, None);
-    assert!(began.elapsed() <= NOTICED);
+    assert!(began.elapsed() <= MAX_DETECTION_TIME);
 }
 
 // A connection without traffic must stay open for as long as both ends live.
@@ -82,7 +82,7 @@
     assert_eq!(a.receiver.recv().await.as_deref(), Some("still here"));
 }
 
-// A peer of another build or a stranger sends bytes that are no messages.
+// A peer of another build, or a stranger, sends bytes that are no batch.
 #[tokio::test(start_paused = true)]
 async fn link_malformed_is_closed() {
     let (mut link, peer_reads, mut peer_writes) = start();
@@ -107,8 +107,7 @@
     assert_eq!(server.receiver.recv().await.as_deref(), Some("hello"));
 }
 
-// A process without the fleet's key connects, or pretends to be an agent. Neither side may talk to
-// it.
+// A process without the fleet key connects, or pretends to be an agent. Neither side may accept it.
 #[tokio::test]
 async fn handshake_other_key_refused() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
--- a/crates/protocol/tests/targets.rs
+++ b/crates/protocol/tests/targets.rs
@@ -1,4 +1,4 @@
-//! Targets on a connection between the agents of a group.
+//! Encoding of targets and expert counts between the agents of a group.
 
 use flamingowheel_protocol::ranks::{ExpertCounts, Map, RankTarget};
 use flamingowheel_protocol::targets::{TargetDecoder, TargetEncoder, TargetMessage};
@@ -10,7 +10,7 @@
 const SETS: usize = 12;
 const RANKS: usize = 32;
 
-/// Lists without a pattern: regular ones would pack to nothing.
+/// A map of random lists: regular ones would compress to almost nothing.
 fn map() -> Map {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let mut experts = || (0..5).map(|_| rng.random_range(0..128)).collect();
@@ -48,8 +48,8 @@
     }
 }
 
-/// An agent restarts and its connection is a new one. Told only what changed since a map that it never
-/// had, it would prepare another map than the other ranks.
+/// An agent restarts and its connection is new. If it accepted changes to a map that it never
+/// received, it would prepare a different map from the other ranks.
 #[test]
 fn decode_change_without_map() {
     let mut encoder = TargetEncoder::default();
@@ -58,16 +58,16 @@
     assert_eq!(TargetDecoder::default().decode(message), None);
 }
 
-/// A step of a large group's map is told to 31 agents over a link of 8 Mbit/s. Maps told whole kept
-/// it busy for longer than a pass, and all passes meanwhile used the old map.
+/// A change of a large group's map goes to 31 agents over a link of 8 Mbit/s. Whole maps would
+/// occupy it for longer than a pass, and all passes meanwhile would use the old map.
 #[test]
-fn encode_step_small() {
+fn encode_change_small() {
     let mut encoder = TargetEncoder::default();
     let whole = size_bytes(&encoder.encode(&prepared(5, map())).unwrap());
     let mut next = map();
     (0..RANKS).for_each(|rank| next[rank % SETS][rank][0] = 127);
-    let step = size_bytes(&encoder.encode(&prepared(6, next)).unwrap());
-    assert!(step * 3 < whole, "{step} of {whole} bytes");
+    let change = size_bytes(&encoder.encode(&prepared(6, next)).unwrap());
+    assert!(change * 3 < whole, "{change} of {whole} bytes");
 }
 
 #[test]
@@ -76,7 +76,8 @@
     assert_eq!(ExpertCounts::pack(&counts).unpack(), Some(counts.to_vec()));
 }
 
-/// Counts of a busy window exceed a byte. What the planner needs are their shares.
+/// Counts of a busy window exceed a byte. The planner needs only their ratios, so rounding is
+/// allowed.
 #[test]
 fn unpack_large_counts_close() {
     let counts = [0, 400, 10_000, 90_000];
