--- a/crates/policy/src/experts.rs
+++ b/crates/policy/src/experts.rs
@@ -1,39 +1,40 @@
-//! Keeps the experts of a lock-step rank group even, in small steps.
+//! Balances the experts of a rank group that executes passes in lockstep, in small steps.
 //!
-//! A pass lasts as long as its most loaded rank, set by set. Demand jumps within a pass and then
-//! stays for seconds; copying one expert takes longer than several passes. So demand is learnt
-//! from a few short windows, and each step copies only the few experts that shorten passes most.
+//! In each set of layers a pass takes as long as the most loaded rank. Demand shifts within a pass
+//! and then stays the same for seconds, while copying one expert takes longer than several passes.
+//! So demand is estimated from a few short windows, and each step copies only the few experts that
+//! shorten passes most.
 
 pub use crate::demand::Demand;
 
-/// Exponent of the norm that stands for the most loaded rank. A plain maximum is flat where two
-/// ranks are equally loaded, so that no single move would seem to help.
+/// Exponent of the norm that approximates the load of the most loaded rank. With a plain maximum no
+/// single move would seem to help when two ranks are equally loaded.
 const NORM_EXPONENT: i32 = 12;
 
-/// Copies as which a change counts that copies nothing, when it is weighed against others.
-const FREE_COPIES: f64 = 0.25;
+/// Cost, in copies, of a change that copies nothing, when changes are compared by gain per copy.
+const DROP_COST_COPIES: f64 = 0.25;
 
-/// Ranks that are looked at as receivers of load at the least.
-const LEAST_RECEIVERS: usize = 16;
+/// Fewest ranks considered as receivers of load.
+const MIN_RECEIVERS: usize = 16;
 
-/// Experts by set and rank.
+/// Experts held, by set and rank.
 pub type Map = Vec<Vec<Vec<u16>>>;
 
-/// Sizes of a group's map.
+/// Dimensions of a group's expert map.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Shape {
-    /// Sets of layers with a placement of their own.
+    /// Sets of layers; each set has its own placement.
     pub sets: usize,
-    /// Experts in a set.
+    /// Experts per set.
     pub experts: usize,
-    /// Ranks of the group.
+    /// Ranks in the group.
     pub ranks: usize,
-    /// Experts that a rank holds in a set, at most.
+    /// Most experts that a rank holds per set.
     pub replicas_per_rank: usize,
 }
 
 impl Shape {
-    /// The map that a group begins with: experts in turn.
+    /// The initial map of a group: experts are distributed round-robin.
     ///
     /// ```
     /// use flamingowheel_policy::experts::Shape;
@@ -47,91 +48,95 @@
     }
 }
 
-/// How long the parts of a change of the map take.
+/// Durations of the parts of a map change.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ChangeTimes {
-    /// Copying one expert to a rank, in milliseconds.
+    /// Time to copy one expert to a rank, in milliseconds.
     pub copy_ms: f64,
-    /// From the last copy until the next change can begin, in milliseconds.
+    /// Time from the last copy until the next change can start, in milliseconds.
     pub switch_ms: f64,
 }
 
-/// What one step may copy.
+/// Limits of one step.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StepLimits {
-    /// How long copies take, and what a change takes besides.
+    /// Durations of copies and of the switch to a new map.
     pub times: ChangeTimes,
-    /// Experts that are new to a rank in one set.
+    /// Most experts that one step copies to a rank in one set.
     pub copies_per_rank_and_set: usize,
-    /// What a copy must save at least, as a share of an even rank's load in its set.
+    /// Smallest reduction of the load norm by one copy, relative to the mean rank load of its set.
     pub min_gain: f64,
-    /// What the step must save of the mean skew.
+    /// Smallest reduction of the mean skew by a step.
     pub min_saving: f64,
 }
 
 impl StepLimits {
-    /// Limits for a group whose passes take `pressure` of the time that a stream's pause may take.
+    /// Limits for a group whose pass time is the share `pressure` of the pause goal.
     ///
-    /// A copy is paid for and makes passes 15 % longer while it lasts. While passes are short,
-    /// only what halves a shifted set's load is worth that; close to the goal every gain is.
+    /// A copy is charged for and lengthens passes by 15 % while it lasts. While passes are short,
+    /// only a gain that halves the load of a shifted set justifies that; close to the goal every
+    /// gain does.
     ///
     /// ```
     /// use flamingowheel_policy::experts::{ChangeTimes, StepLimits};
     /// let times = ChangeTimes { copy_ms: 150.0, switch_ms: 350.0 };
-    /// let (calm, full) =
+    /// let (low, high) =
     ///     (StepLimits::for_pressure(0.3, 4, times), StepLimits::for_pressure(0.9, 4, times));
-    /// assert!(calm.min_saving > full.min_saving);
+    /// assert!(low.min_saving > high.min_saving);
     /// ```
     pub fn for_pressure(pressure: f64, copies_per_rank_and_set: usize, times: ChangeTimes) -> Self {
-        let ease = ((FULL_PRESSURE - pressure) / (FULL_PRESSURE - CALM_PRESSURE)).clamp(0.0, 1.0);
+        let slack = ((HIGH_PRESSURE - pressure) / (HIGH_PRESSURE - LOW_PRESSURE)).clamp(0.0, 1.0);
         Self {
             times,
             copies_per_rank_and_set,
-            min_gain: FULL_MIN_GAIN + ease * (CALM_MIN_GAIN - FULL_MIN_GAIN),
-            min_saving: FULL_MIN_SAVING + ease * (CALM_MIN_SAVING - FULL_MIN_SAVING),
+            min_gain: HIGH_PRESSURE_MIN_GAIN
+                + slack * (LOW_PRESSURE_MIN_GAIN - HIGH_PRESSURE_MIN_GAIN),
+            min_saving: HIGH_PRESSURE_MIN_SAVING
+                + slack * (LOW_PRESSURE_MIN_SAVING - HIGH_PRESSURE_MIN_SAVING),
         }
     }
 }
 
-/// Most experts that one step copies to a rank, however quick copies are.
+/// Most experts that one step copies to a rank, even if copies are fast.
 const MAX_COPIES_PER_RANK: usize = 4;
 
-/// Part by which passes take longer while a rank copies.
+/// Relative increase of the pass time while a rank copies.
 const COPY_SLOWDOWN: f64 = 0.15;
 
-/// Time in which a step must pay back what its copies slow, in milliseconds. Demand that shifts every
-/// few seconds gives it no more.
+/// Time in which a step must compensate for the slowdown by its copies. Demand that shifts every
+/// few seconds leaves no more.
 const PAYBACK_MS: f64 = 1_000.0;
 
-/// Share of the pause goal that passes take when every gain counts, and when few do.
-const FULL_PRESSURE: f64 = 0.6;
-const CALM_PRESSURE: f64 = 0.35;
+/// Pressure at and above which the lowest thresholds apply, and at and below which the highest do.
+const HIGH_PRESSURE: f64 = 0.6;
+const LOW_PRESSURE: f64 = 0.35;
 
-/// What a copy must save in a full group: below it, chance in the next passes outweighs the gain.
-const FULL_MIN_GAIN: f64 = 0.01;
+/// Lowest threshold of the gain of a copy. Random variation of the next passes outweighs smaller
+/// gains.
+const HIGH_PRESSURE_MIN_GAIN: f64 = 0.01;
 
-/// The same in a calm group.
-const CALM_MIN_GAIN: f64 = 0.05;
+/// Highest threshold of the gain of a copy, at low pressure.
+const LOW_PRESSURE_MIN_GAIN: f64 = 0.05;
 
-/// What a step must save of the mean skew, in a full and in a calm group.
-const FULL_MIN_SAVING: f64 = 0.04;
-const CALM_MIN_SAVING: f64 = 0.2;
+/// Thresholds of the mean skew saved by a step, at high and at low pressure.
+const HIGH_PRESSURE_MIN_SAVING: f64 = 0.04;
+const LOW_PRESSURE_MIN_SAVING: f64 = 0.2;
 
-/// A better map.
+/// A step to a better map.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
-    /// The map.
+    /// The map after the step.
     pub map: Map,
-    /// Most copies to one rank.
+    /// Largest number of copies to one rank.
     pub copies: usize,
-    /// Skew by the demand that is known, mean of the sets, before.
+    /// Mean skew over the sets before the step, under the estimated demand.
     pub skew_before: f64,
-    /// The same with the new map.
+    /// Mean skew over the sets after the step, under the estimated demand.
     pub skew_after: f64,
 }
 
-/// The most loaded rank against the mean, averaged over the sets. A rank's load counts as often as it is
-/// slower than published.
+/// Load of the most loaded rank relative to the mean, averaged over the sets. `paces` holds the
+/// slowdown factor of each rank relative to its published speed; a rank's load is multiplied by it.
 pub fn skew(map: &Map, demand: &Demand, paces: &[f64]) -> f64 {
     let skews = map.iter().enumerate().map(|(set, ranks)| {
         let placement = Placement::new(ranks, demand.of_set(set), paces);
@@ -140,15 +145,15 @@
     skews.sum::<f64>() / map.len().max(1) as f64
 }
 
-/// The next small step to an even map, if one is worth its copies.
+/// Plans the next small step to a balanced map, if its gain justifies its copies.
 ///
-/// All ranks copy at the same time, so that a step takes as long as the rank that copies most. The
-/// group keeps its old map all that while, and streams are late by its skew. So a step lets each rank
-/// copy one expert, and a further one only if what that saves, for the time that another change
-/// would take to bring it, outweighs the wait of what was already gained.
+/// All ranks copy concurrently, so a step takes as long as the rank with the most copies. The group
+/// keeps its old map until then, and its skew delays the streams. So a step copies one expert to
+/// each rank. It copies a further one only if the skew that this saves over the time of a separate
+/// change outweighs the delay of the gain of the first copies.
 pub fn step(map: &Map, demand: &Demand, paces: &[f64], limits: StepLimits) -> Option<Step> {
     let skew_before = skew(map, demand, paces);
-    // Not even a perfect map would save enough.
+    // Even a perfectly balanced map would not save enough.
     if skew_before - 1.0 < limits.min_saving {
         return None;
     }
@@ -156,33 +161,33 @@
     let mut skew_after = skew_before;
     let mut chosen = None;
     for copies_per_rank in 1..=MAX_COPIES_PER_RANK {
-        draft.fill(copies_per_rank, limits);
+        draft.apply_best_changes(copies_per_rank, limits);
         let next = draft.skew();
-        let slowed = COPY_SLOWDOWN * skew_before;
-        let waited = (skew_before - skew_after + slowed) * limits.times.copy_ms;
-        let spared = (skew_after - next) * limits.times.switch_ms;
-        if copies_per_rank > 1 && spared <= waited {
+        let slowdown = COPY_SLOWDOWN * skew_before;
+        let delay_cost = (skew_before - skew_after + slowdown) * limits.times.copy_ms;
+        let gain = (skew_after - next) * limits.times.switch_ms;
+        if copies_per_rank > 1 && gain <= delay_cost {
             break;
         }
         skew_after = next;
         chosen = Some(draft.clone());
     }
     let draft = chosen?;
-    let copies = draft.copied.iter().copied().max().unwrap_or(0);
+    let copies = draft.copies_by_rank.iter().copied().max().unwrap_or(0);
     let map: Map = draft.placements.into_iter().map(|placement| placement.ranks).collect();
     let slowed_ms = COPY_SLOWDOWN * skew_before * copies as f64 * limits.times.copy_ms;
-    let least_saving = limits.min_saving.max(slowed_ms / PAYBACK_MS);
-    let is_worth_it = skew_before - skew_after >= least_saving;
-    is_worth_it.then_some(Step { map, copies, skew_before, skew_after })
+    let min_saving = limits.min_saving.max(slowed_ms / PAYBACK_MS);
+    let is_sufficient = skew_before - skew_after >= min_saving;
+    is_sufficient.then_some(Step { map, copies, skew_before, skew_after })
 }
 
-/// A map on the way to a better one.
+/// A map that is being improved.
 #[derive(Clone, Debug)]
 struct Draft {
     shape: Shape,
     placements: Vec<Placement>,
     /// Copies by rank, over all sets.
-    copied: Vec<usize>,
+    copies_by_rank: Vec<usize>,
 }
 
 impl Draft {
@@ -192,11 +197,11 @@
         };
         let placements = map.iter().enumerate().map(placement).collect();
         let shape = demand.shape();
-        Self { shape, placements, copied: vec![0; shape.ranks] }
+        Self { shape, placements, copies_by_rank: vec![0; shape.ranks] }
     }
 
-    /// Makes the changes that save most for each copy, until no rank may copy more.
-    fn fill(&mut self, copies_per_rank: usize, limits: StepLimits) {
+    /// Applies the changes with the highest gain per copy until no rank may copy more.
+    fn apply_best_changes(&mut self, copies_per_rank: usize, limits: StepLimits) {
         let mut best: Vec<Option<Change>> =
             (0..self.placements.len()).map(|s| self.best(s, copies_per_rank, limits)).collect();
         loop {
@@ -208,40 +213,40 @@
             let Some((set, change)) = chosen else {
                 return;
             };
-            if change.copies().all(|rank| self.copied[rank] < copies_per_rank) {
+            if change.copies().all(|rank| self.copies_by_rank[rank] < copies_per_rank) {
                 self.placements[set].apply(&change);
-                change.copies().for_each(|rank| self.copied[rank] += 1);
+                change.copies().for_each(|rank| self.copies_by_rank[rank] += 1);
             }
             best[set] = self.best(set, copies_per_rank, limits);
         }
     }
 
     fn best(&self, set: usize, copies_per_rank: usize, limits: StepLimits) -> Option<Change> {
-        self.placements[set].best_change(&self.shape, &self.copied, copies_per_rank, limits)
+        self.placements[set].best_change(&self.shape, &self.copies_by_rank, copies_per_rank, limits)
     }
 
     fn skew(&self) -> f64 {
-        let most = |placement: &Placement| placement.loads.iter().copied().fold(0.0, f64::max);
-        self.placements.iter().map(most).sum::<f64>() / self.placements.len().max(1) as f64
+        let max_load = |placement: &Placement| placement.loads.iter().copied().fold(0.0, f64::max);
+        self.placements.iter().map(max_load).sum::<f64>() / self.placements.len().max(1) as f64
     }
 }
 
-/// One set's experts on the ranks, with their loads; 1 is an even rank's.
+/// Placement of one set's experts, with rank loads relative to the mean load.
 #[derive(Clone, Debug)]
 struct Placement {
     ranks: Vec<Vec<u16>>,
     shares: Vec<f64>,
-    /// Ranks by the expert that they hold.
+    /// Ranks that hold each expert.
     holders: Vec<Vec<usize>>,
-    /// Loads as the ranks feel them: times their pace.
+    /// Load of each rank multiplied by its pace.
     loads: Vec<f64>,
-    /// Powers of the loads, whose sum is that of the norm.
+    /// Loads raised to [`NORM_EXPONENT`].
     powers: Vec<f64>,
     paces: Vec<f64>,
     copies: Vec<usize>,
 }
 
-/// What a change does to the loads of a few ranks.
+/// Load changes of the few ranks that a change touches.
 #[derive(Debug, Default)]
 struct Deltas {
     by_rank: Vec<f64>,
@@ -276,12 +281,12 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ChangeKind {
-    /// Rank `to` gets a replica, in the place of `victim` if it is full.
+    /// Rank `to` gets a replica; if the rank is full, it replaces `victim`.
     Add { to: usize, victim: Option<u16> },
-    /// Rank `to` gets the expert and gives back `victim`, which nobody else holds.
+    /// Rank `to` gets the expert in exchange for `victim`, which no other rank holds.
     Exchange { to: usize, victim: u16 },
-    /// The other holders carry the expert alone. Nothing is copied, which is the fastest way to relieve
-    /// a rank that has become slow.
+    /// The rank drops its replica and the other holders take its load. Nothing is copied, so this
+    /// is the fastest way to relieve a rank that has become slow.
     Drop,
 }
 
@@ -290,7 +295,7 @@
         match self.kind {
             ChangeKind::Add { .. } => self.gain,
             ChangeKind::Exchange { .. } => self.gain / 2.0,
-            ChangeKind::Drop => self.gain / FREE_COPIES,
+            ChangeKind::Drop => self.gain / DROP_COST_COPIES,
         }
     }
 
@@ -322,7 +327,9 @@
     }
 
     fn sum_loads(&mut self) {
-        let load = |held: &Vec<u16>| held.iter().map(|expert| self.part(*expert, 0.0)).sum::<f64>();
+        let load = |held: &Vec<u16>| {
+            held.iter().map(|expert| self.load_per_holder(*expert, 0.0)).sum::<f64>()
+        };
         let loads = self.ranks.iter().zip(&self.paces).map(|(held, pace)| load(held) * pace);
         self.loads = loads.collect();
         self.powers = self.loads.iter().map(|load| power(*load)).collect();
@@ -331,7 +338,7 @@
     fn best_change(
         &self,
         shape: &Shape,
-        copied: &[usize],
+        copies_by_rank: &[usize],
         copies_per_rank: usize,
         limits: StepLimits,
     ) -> Option<Change> {
@@ -339,14 +346,15 @@
         let power_sum: f64 = self.powers.iter().sum();
         let norm = root(power_sum);
         let may_copy = |rank: usize| {
-            copied[rank] < copies_per_rank && self.copies[rank] < limits.copies_per_rank_and_set
+            copies_by_rank[rank] < copies_per_rank
+                && self.copies[rank] < limits.copies_per_rank_and_set
         };
         let receivers = self.receivers(from, &may_copy);
         let mut best: Option<Change> = None;
         let mut deltas = Deltas::new(self.ranks.len());
         for &expert in &self.ranks[from] {
             let may_give_back = may_copy(from);
-            for kind in self.kinds(shape, expert, from, &receivers, may_give_back) {
+            for kind in self.change_kinds(shape, expert, from, &receivers, may_give_back) {
                 let mut change = Change { expert, from, kind, gain: 0.0 };
                 self.shift_loads(&change, &mut deltas);
                 change.gain = norm - root(self.power_sum_after(power_sum, &deltas));
@@ -361,7 +369,7 @@
         best
     }
 
-    /// The sum of the loads' powers after a change, from the ranks that it touches.
+    /// The sum of `powers` after a change, updated for the touched ranks only.
     fn power_sum_after(&self, before: f64, deltas: &Deltas) -> f64 {
         let mut sum = before;
         for (index, &rank) in deltas.touched.iter().enumerate() {
@@ -372,7 +380,8 @@
         sum.max(0.0)
     }
 
-    /// Ranks that may take load: the less loaded half, since others would soon have to give it on.
+    /// Ranks that may receive load: the less loaded half, since the others would soon have to pass
+    /// it on.
     fn receivers<F>(&self, from: usize, may_copy: &F) -> Vec<usize>
     where
         F: Fn(usize) -> bool,
@@ -380,12 +389,12 @@
         let mut ranks: Vec<usize> =
             (0..self.ranks.len()).filter(|rank| *rank != from && may_copy(*rank)).collect();
         ranks.sort_unstable_by(|a, b| self.loads[*a].total_cmp(&self.loads[*b]));
-        ranks.truncate(self.ranks.len().div_ceil(2).max(LEAST_RECEIVERS));
+        ranks.truncate(self.ranks.len().div_ceil(2).max(MIN_RECEIVERS));
         ranks
     }
 
-    /// The ways to take load of an expert from a rank.
-    fn kinds(
+    /// All changes that reduce the load of an expert on a rank.
+    fn change_kinds(
         &self,
         shape: &Shape,
         expert: u16,
@@ -393,31 +402,31 @@
         receivers: &[usize],
         may_give_back: bool,
     ) -> Vec<ChangeKind> {
-        let mut kinds = Vec::new();
+        let mut change_kinds = Vec::new();
         if self.holders[usize::from(expert)].len() > 1 {
-            kinds.push(ChangeKind::Drop);
+            change_kinds.push(ChangeKind::Drop);
         }
         for &to in receivers {
             if self.ranks[to].contains(&expert) {
                 continue;
             }
             if self.ranks[to].len() < shape.replicas_per_rank {
-                kinds.push(ChangeKind::Add { to, victim: None });
+                change_kinds.push(ChangeKind::Add { to, victim: None });
                 continue;
             }
             for &victim in &self.ranks[to] {
                 if self.holders[usize::from(victim)].len() > 1 {
-                    kinds.push(ChangeKind::Add { to, victim: Some(victim) });
+                    change_kinds.push(ChangeKind::Add { to, victim: Some(victim) });
                 } else if may_give_back && !self.ranks[from].contains(&victim) {
-                    kinds.push(ChangeKind::Exchange { to, victim });
+                    change_kinds.push(ChangeKind::Exchange { to, victim });
                 }
             }
         }
-        kinds
+        change_kinds
     }
 
-    /// The load that one holder of an expert has from it, with `more` holders than now.
-    fn part(&self, expert: u16, more: f64) -> f64 {
+    /// Load of an expert on each of its holders if it had `more` additional holders.
+    fn load_per_holder(&self, expert: u16, more: f64) -> f64 {
         let expert = usize::from(expert);
         self.shares[expert] / (self.holders[expert].len() as f64 + more)
     }
@@ -427,13 +436,14 @@
         match change.kind {
             ChangeKind::Drop => self.remove_replica(expert, from, deltas),
             ChangeKind::Exchange { to, victim } => {
-                let (given, back) = (self.part(expert, 0.0), self.part(victim, 0.0));
+                let (given, back) =
+                    (self.load_per_holder(expert, 0.0), self.load_per_holder(victim, 0.0));
                 deltas.add(from, (back - given) * self.paces[from]);
                 deltas.add(to, (given - back) * self.paces[to]);
             }
             ChangeKind::Add { to, victim } => {
-                let after = self.part(expert, 1.0);
-                let change_each = after - self.part(expert, 0.0);
+                let after = self.load_per_holder(expert, 1.0);
+                let change_each = after - self.load_per_holder(expert, 0.0);
                 for &rank in &self.holders[usize::from(expert)] {
                     deltas.add(rank, change_each * self.paces[rank]);
                 }
@@ -446,8 +456,8 @@
     }
 
     fn remove_replica(&self, expert: u16, of: usize, deltas: &mut Deltas) {
-        let before = self.part(expert, 0.0);
-        let change_each = self.part(expert, -1.0) - before;
+        let before = self.load_per_holder(expert, 0.0);
+        let change_each = self.load_per_holder(expert, -1.0) - before;
         for &rank in &self.holders[usize::from(expert)] {
             let change = if rank == of { -before } else { change_each };
             deltas.add(rank, change * self.paces[rank]);
--- a/crates/policy/src/limits.rs
+++ b/crates/policy/src/limits.rs
@@ -1,18 +1,18 @@
 //! Limits of a workspace, split over the entries of its subset.
 //!
-//! Each of the k entries holds 1/k of all three limits. One whose demand is higher borrows from
-//! peers whose demand is lower; a loan has a time limit that the borrower counts from its asking
-//! and the lender from its granting, which is later, so no clock needs to agree and no share is
-//! ever in two hands.
+//! Each of the k entries gets 1/k of all three limits. An entry with higher demand borrows from
+//! peers with lower demand. A loan expires after a fixed duration, which the borrower counts from
+//! its loan request and the lender from the later grant. So clocks don't need to be synchronised,
+//! and no share is ever used by two entries.
 //!
 //! Bound: while the entries agree on the subset, requests and tokens admitted in any window `w` are
-//! at most `limit * (w + burst)` plus one request per member, whatever messages are lost, late or
-//! repeated. While they don't, each entry that joined or left and is not yet known everywhere adds
-//! at most `1/k` of the limit, and so does one that restarts, until the loans that it gave end.
-//! Requests in flight are at most the limit plus one per member (a share is rounded up, so that a
-//! small limit can be used at all), plus what ran on loans that have since ended: running requests
-//! are not cut off. Tokens are taken by estimate, and the difference is settled at the end of the
-//! request, so they can exceed the bound by what is in flight was underestimated.
+//! at most `limit * (w + burst)` plus one request per member, even if messages are lost, delayed or
+//! duplicated. While they disagree, each entry that joined or left and is not yet known everywhere
+//! adds at most `1/k` of the limit; so does an entry that restarts, until the loans that it granted
+//! expire. Requests in flight are at most the limit plus one per member (shares are rounded up, or
+//! a small limit could not be used at all), plus those started on loans that have since expired:
+//! running requests are not aborted. Tokens are charged by estimate and corrected at the end of the
+//! request, so they can exceed the bound by the underestimate of the requests in flight.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -22,30 +22,31 @@
 
 use crate::key::EntryKey;
 
-/// Limits of a workspace over all entries.
+/// Limits of a workspace, for all entries together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Requests started in a second.
+    /// Requests started per second.
     pub requests_per_s: f64,
-    /// Tokens read and generated in a second.
+    /// Prompt and generated tokens per second.
     pub tokens_per_s: f64,
-    /// Requests in flight.
+    /// Requests in flight at the same time.
     pub in_flight: u32,
 }
 
-/// Settings of the split.
+/// Settings of the split over entries.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SplitConfig {
-    /// Time of the full rate that may be saved up.
+    /// Size of the token buckets, as time at the full rate.
     pub burst: Duration,
-    /// How long a loan lasts.
+    /// Time after which a loan expires.
     pub loan_duration: Duration,
-    /// Shortest time between two requests for a loan.
+    /// Shortest time between two loan requests.
     pub loan_request_interval: Duration,
-    /// The time doubles, up to this, each time that no peer had anything to lend. Otherwise the
-    /// members of a workspace at its limit would keep asking each other.
+    /// The interval doubles, up to this, after each round in which no peer granted a loan.
+    /// Otherwise the members of a workspace at its limit would keep sending each other loan
+    /// requests.
     pub max_loan_request_interval: Duration,
-    /// Time over which demand is averaged.
+    /// Time constant of the decayed demand rates.
     pub demand_window: Duration,
 }
 
@@ -61,22 +62,22 @@
     }
 }
 
-/// Which limit refused a request, and when to try again.
+/// Which limit refused a request, and when to retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum LimitRefusal {
-    /// Too many requests a second.
+    /// The limit of requests per second is reached.
     #[error("request rate limit reached")]
     Requests {
-        /// When this entry can admit the next request.
+        /// Time until this entry can admit the request.
         retry_after: Duration,
     },
-    /// Too many tokens a second.
+    /// The limit of tokens per second is reached.
     #[error("token rate limit reached")]
     Tokens {
-        /// When this entry can admit the next request.
+        /// Time until this entry can admit the request.
         retry_after: Duration,
     },
-    /// Too many requests in flight.
+    /// The limit of requests in flight is reached.
     #[error("limit of requests in flight reached")]
     InFlight,
     /// This entry is outside the workspace's subset and has borrowed nothing yet.
@@ -84,44 +85,44 @@
     NoShare,
 }
 
-/// Asks a peer for a part of its share.
+/// Request to a peer for a part of its share.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LoanRequest {
-    /// Counts up per borrower and workspace.
+    /// Sequence number per borrower and workspace.
     pub number: u64,
-    /// Part of the whole limit that is wanted.
+    /// Requested part of the whole limit, from 0 to 1.
     pub share: f64,
-    /// An earlier loan of this lender that the borrower no longer uses.
+    /// Number of an earlier loan from this lender that the borrower returns.
     pub returns: Option<u64>,
 }
 
-/// Answers a [`LoanRequest`].
+/// Answer to a [`LoanRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Loan {
-    /// The request's number.
+    /// Number of the loan request that this answers.
     pub number: u64,
-    /// Part of the whole limit that is lent; zero for none.
+    /// Granted part of the whole limit; zero if none.
     pub share: f64,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Asked {
+struct PendingRequest {
     number: u64,
-    at: Duration,
+    sent_at: Duration,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Held {
+struct HeldLoan {
     lender: EntryKey,
     number: u64,
     share: f64,
-    until: Duration,
+    expires_at: Duration,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Lent {
+struct GrantedLoan {
     share: f64,
-    until: Duration,
+    expires_at: Duration,
 }
 
 /// A token bucket whose rate and size follow the share.
@@ -131,10 +132,10 @@
 }
 
 impl Bucket {
-    /// `least` is what a full bucket holds whatever the rate.
-    fn refill(&mut self, rate_per_s: f64, elapsed: Duration, burst: Duration, least: f64) {
-        let most = (rate_per_s * burst.as_secs_f64()).max(least);
-        self.level = (self.level + rate_per_s * elapsed.as_secs_f64()).min(most);
+    /// A full bucket holds at least `min_size`, whatever the rate.
+    fn refill(&mut self, rate_per_s: f64, elapsed: Duration, burst: Duration, min_size: f64) {
+        let size = (rate_per_s * burst.as_secs_f64()).max(min_size);
+        self.level = (self.level + rate_per_s * elapsed.as_secs_f64()).min(size);
     }
 
     /// Time until `amount` can be taken.
@@ -144,122 +145,125 @@
     }
 }
 
-/// Told to a caller where the true wait is longer or not defined.
+/// Reported where the wait is too long for a [`Duration`] or undefined, as with a rate of zero.
 const MAX_WAIT: Duration = Duration::from_secs(60);
-/// A lender keeps this much more than its own demand, and a borrower asks for as much more.
+/// Factor by which a lender keeps more, and a borrower requests more, than its own demand.
 const HEADROOM: f64 = 1.2;
-/// Part of its base share that an entry never lends, so that its first callers after a quiet time
-/// are not refused until a loan ends.
-const KEPT: f64 = 0.1;
-/// A small limit's bucket still holds one request, else it would admit none.
-const ONE_REQUEST: f64 = 1.0;
-/// Smallest part of a limit worth a message.
+/// Part of its base share that an entry never lends, so that its first requests after an idle
+/// period are not refused until a loan expires.
+const MIN_KEPT_PART: f64 = 0.1;
+/// Smallest size of the request bucket; the bucket of a small limit would admit no request
+/// otherwise.
+const MIN_REQUEST_BUCKET: f64 = 1.0;
+/// Smallest part of a limit for which a loan is requested or granted.
 const MIN_LOAN: f64 = 0.005;
-/// An entry asks for at least this much.
-const MIN_ASKED: f64 = 0.02;
-/// And for no more than this, unless demand calls for it.
-const MAX_FIRST_ASKED: f64 = 0.4;
-/// The share asked for fills its bucket with one request in this time, so that the first caller of
-/// an entry waits only briefly.
-const FIRST_WAIT: Duration = Duration::from_millis(250);
-/// Part of a loan's time after which the borrower renews it.
-const RENEW_AFTER: f64 = 0.6;
-
-/// One workspace's limits on one entry.
+/// A loan request is for at least this part of a limit.
+const MIN_REQUESTED_SHARE: f64 = 0.02;
+/// Largest minimum of a loan request; only higher demand leads to a larger one.
+const MAX_MIN_REQUESTED_SHARE: f64 = 0.4;
+/// The minimum requested share refills the bucket by one request in this time, so that the first
+/// request at an entry waits only briefly.
+const FIRST_REQUEST_WAIT: Duration = Duration::from_millis(250);
+/// Part of a loan's duration after which the borrower renews it.
+const RENEWAL_PART: f64 = 0.6;
+
+/// One entry's share of a workspace's limits.
 ///
 /// ```
 /// use flamingowheel_policy::key::EntryKey;
 /// use flamingowheel_policy::limits::{Limits, SplitConfig, WorkspaceLimits};
 /// use std::time::Duration;
 /// let limits = Limits { requests_per_s: 2.0, tokens_per_s: 1e6, in_flight: 10 };
-/// let mut own = WorkspaceLimits::new(SplitConfig::default(), limits, EntryKey(1), Duration::ZERO);
-/// own.set_members(&[EntryKey(1)], Duration::ZERO);
+/// let mut entry = WorkspaceLimits::new(SplitConfig::default(), limits, EntryKey(1), Duration::ZERO);
+/// entry.set_members(&[EntryKey(1)], Duration::ZERO);
 /// let now = Duration::from_secs(1);
-/// assert!(own.try_admit(100.0, now).is_ok());
-/// assert!(own.try_admit(100.0, now).is_ok());
-/// assert!(own.try_admit(100.0, now).is_err());
+/// assert!(entry.try_admit(100.0, now).is_ok());
+/// assert!(entry.try_admit(100.0, now).is_ok());
+/// assert!(entry.try_admit(100.0, now).is_err());
 /// ```
 #[derive(Clone, Debug)]
 pub struct WorkspaceLimits {
     config: SplitConfig,
     limits: Limits,
-    own: EntryKey,
+    own_key: EntryKey,
     base_share: f64,
     peers: Vec<EntryKey>,
     next_peer: usize,
     number: u64,
-    asked: HashMap<EntryKey, Asked>,
-    last_asked: Option<Duration>,
-    ask_after: Duration,
-    asked_in_vain: usize,
-    held: Vec<Held>,
-    lent: HashMap<(EntryKey, u64), Lent>,
+    pending: HashMap<EntryKey, PendingRequest>,
+    last_request_at: Option<Duration>,
+    request_interval: Duration,
+    ungranted_requests: usize,
+    held: Vec<HeldLoan>,
+    granted: HashMap<(EntryKey, u64), GrantedLoan>,
     requests: Bucket,
     tokens: Bucket,
     in_flight: u32,
-    /// Decayed rates of what callers wanted, whether or not it was admitted.
-    wanted_requests_per_s: f64,
-    wanted_tokens_per_s: f64,
-    updated: Duration,
+    /// Decayed rates of what callers requested, whether or not it was admitted.
+    demand_requests_per_s: f64,
+    demand_tokens_per_s: f64,
+    updated_at: Duration,
 }
 
 impl WorkspaceLimits {
-    /// Holds no share until [`WorkspaceLimits::set_members`] is called.
+    /// Starts without a share until [`WorkspaceLimits::set_members`] is called.
     #[must_use]
-    pub fn new(config: SplitConfig, limits: Limits, own: EntryKey, now: Duration) -> Self {
+    pub fn new(config: SplitConfig, limits: Limits, own_key: EntryKey, now: Duration) -> Self {
         Self {
             config,
             limits,
-            own,
+            own_key,
             base_share: 0.0,
             peers: Vec::new(),
             next_peer: 0,
             number: 0,
-            asked: HashMap::new(),
-            last_asked: None,
-            ask_after: config.loan_request_interval,
-            asked_in_vain: 0,
+            pending: HashMap::new(),
+            last_request_at: None,
+            request_interval: config.loan_request_interval,
+            ungranted_requests: 0,
             held: Vec::new(),
-            lent: HashMap::new(),
+            granted: HashMap::new(),
             requests: Bucket::default(),
             tokens: Bucket::default(),
             in_flight: 0,
-            wanted_requests_per_s: 0.0,
-            wanted_tokens_per_s: 0.0,
-            updated: now,
+            demand_requests_per_s: 0.0,
+            demand_tokens_per_s: 0.0,
+            updated_at: now,
         }
     }
 
-    /// Takes in the workspace's subset.
+    /// Sets the members of the workspace's subset, which determines the base share.
     pub fn set_members(&mut self, members: &[EntryKey], now: Duration) {
         self.update(now);
-        let is_member = members.contains(&self.own);
+        let is_member = members.contains(&self.own_key);
         self.base_share = if is_member { 1.0 / members.len() as f64 } else { 0.0 };
-        self.peers = members.iter().copied().filter(|member| *member != self.own).collect();
+        self.peers = members.iter().copied().filter(|member| *member != self.own_key).collect();
         self.next_peer = 0;
     }
 
-    /// Takes in changed limits.
+    /// Replaces the workspace's limits.
     pub fn set_limits(&mut self, limits: Limits, now: Duration) {
         self.update(now);
         self.limits = limits;
     }
 
-    /// The part of the limits that this entry may use now.
+    /// Part of the limits that this entry may use now: its base share minus loans granted plus
+    /// loans held.
     #[must_use]
     pub fn share(&self, now: Duration) -> f64 {
-        let held: f64 = self.held.iter().filter(|held| held.until > now).map(|h| h.share).sum();
-        (self.base_share - self.lent_share(now) + held).max(0.0)
+        let held: f64 =
+            self.held.iter().filter(|held| held.expires_at > now).map(|h| h.share).sum();
+        (self.base_share - self.granted_share(now) + held).max(0.0)
     }
 
-    /// Admits a request that is expected to take so many tokens.
+    /// Admits a request that is expected to use `tokens` tokens.
     ///
     /// # Errors
     ///
-    /// When one of the limits is reached; nothing is taken then.
+    /// When one of the limits is reached; nothing is charged then.
     pub fn try_admit(&mut self, tokens: f64, now: Duration) -> Result<(), LimitRefusal> {
         self.update(now);
-        self.note_wanted(tokens);
+        self.record_demand(tokens);
         let share = self.share(now);
         if share <= 0.0 {
             return Err(LimitRefusal::NoShare);
@@ -272,7 +276,8 @@
             return Err(LimitRefusal::Requests { retry_after: wait });
         }
         let rate_per_s = self.limits.tokens_per_s * share;
-        // A request larger than the bucket passes once the bucket is full, and leaves it in debt.
+        // A request larger than the bucket is admitted once the bucket is full, and makes its level
+        // negative.
         let needed = tokens.min(rate_per_s * self.config.burst.as_secs_f64());
         let wait = self.tokens.wait(needed, rate_per_s);
         if !wait.is_zero() {
@@ -284,164 +289,178 @@
         Ok(())
     }
 
-    /// Notes that an admitted request has ended, and settles its tokens.
+    /// Records that an admitted request has ended, and charges the difference between expected and
+    /// actual tokens.
     pub fn finish(&mut self, expected_tokens: f64, tokens: f64, now: Duration) {
         self.update(now);
         self.in_flight = self.in_flight.saturating_sub(1);
         self.tokens.level -= tokens - expected_tokens;
     }
 
-    /// Whom to ask for a loan now, if one is needed.
+    /// Returns the next loan request and the peer to send it to, if a loan is needed now.
     pub fn next_loan_request(&mut self, now: Duration) -> Option<(EntryKey, LoanRequest)> {
         self.update(now);
-        let is_early = self.last_asked.is_some_and(|last| now < last + self.ask_after);
+        let is_early = self.last_request_at.is_some_and(|last| now < last + self.request_interval);
         if is_early || self.peers.is_empty() {
             return None;
         }
-        let renewed = self.take_renewable(now);
-        let missing = self.wanted_share() - self.share(now);
+        let renewed = self.remove_renewable(now);
+        let missing = self.demand_share() - self.share(now);
         if missing < MIN_LOAN {
             return None;
         }
-        let missing = missing.max(self.least_asked());
-        let lender = renewed.map_or_else(|| self.take_peer(), |held| held.lender);
+        let missing = missing.max(self.min_requested_share());
+        let lender = renewed.map_or_else(|| self.pick_peer(), |held| held.lender);
         self.number += 1;
         self.back_off();
-        self.last_asked = Some(now);
-        self.asked.insert(lender, Asked { number: self.number, at: now });
+        self.last_request_at = Some(now);
+        self.pending.insert(lender, PendingRequest { number: self.number, sent_at: now });
         let returns = renewed.map(|held| held.number);
         Some((lender, LoanRequest { number: self.number, share: missing, returns }))
     }
 
-    /// Lends what own demand leaves of the base share. A repeated request lends nothing twice.
+    /// Grants a loan from the part of the base share that this entry's demand leaves. A duplicate
+    /// of a request grants nothing.
     pub fn lend(&mut self, borrower: EntryKey, request: &LoanRequest, now: Duration) -> Loan {
         self.update(now);
         let number = request.number;
-        if self.lent.contains_key(&(borrower, number)) {
+        if self.granted.contains_key(&(borrower, number)) {
             return Loan { number, share: 0.0 };
         }
         if let Some(returned) = request.returns {
-            self.lent.remove(&(borrower, returned));
+            self.granted.remove(&(borrower, returned));
         }
-        // Own loans are not lent on: their end would not bind the third entry.
+        // Borrowed shares are not lent again: the third entry would not know when they expire.
         let held: f64 = self.held.iter().map(|held| held.share).sum();
-        let needed = (self.wanted_share() - held).max(self.base_share * KEPT);
-        let spare = self.base_share - self.lent_share(now) - needed;
+        let reserved = (self.demand_share() - held).max(self.base_share * MIN_KEPT_PART);
+        let spare = self.base_share - self.granted_share(now) - reserved;
         let share = request.share.min(spare);
         if share < MIN_LOAN {
             return Loan { number, share: 0.0 };
         }
-        let until = now + self.config.loan_duration;
-        self.lent.insert((borrower, number), Lent { share, until });
+        let expires_at = now + self.config.loan_duration;
+        self.granted.insert((borrower, number), GrantedLoan { share, expires_at });
         self.clamp(now);
         Loan { number, share }
     }
 
-    /// Takes in a loan. One that does not answer the last request to this lender is dropped: its
-    /// time would be counted from the wrong moment.
+    /// Applies a loan. A loan that does not answer the last request to this lender is dropped: its
+    /// duration would be counted from the wrong time.
     pub fn on_loan(&mut self, lender: EntryKey, loan: &Loan, now: Duration) {
         self.update(now);
-        let Some(asked) = self.asked.get(&lender).copied() else { return };
-        if asked.number != loan.number {
+        let Some(pending) = self.pending.get(&lender).copied() else { return };
+        if pending.number != loan.number {
             return;
         }
-        self.asked.remove(&lender);
-        let until = asked.at + self.config.loan_duration;
-        if loan.share <= 0.0 || until <= now {
+        self.pending.remove(&lender);
+        let expires_at = pending.sent_at + self.config.loan_duration;
+        if loan.share <= 0.0 || expires_at <= now {
             return;
         }
-        self.asked_in_vain = 0;
-        self.ask_after = self.config.loan_request_interval;
-        self.held.push(Held { lender, number: loan.number, share: loan.share, until });
+        self.ungranted_requests = 0;
+        self.request_interval = self.config.loan_request_interval;
+        self.held.push(HeldLoan { lender, number: loan.number, share: loan.share, expires_at });
     }
 
-    /// Requests in flight.
+    /// Number of requests in flight.
     #[must_use]
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    fn lent_share(&self, now: Duration) -> f64 {
-        self.lent.values().filter(|lent| lent.until > now).map(|lent| lent.share).sum()
+    fn granted_share(&self, now: Duration) -> f64 {
+        self.granted
+            .values()
+            .filter(|granted| granted.expires_at > now)
+            .map(|granted| granted.share)
+            .sum()
     }
 
-    /// Part of the limits that demand calls for.
-    fn wanted_share(&self) -> f64 {
-        let requests = self.wanted_requests_per_s / self.limits.requests_per_s;
-        let tokens = self.wanted_tokens_per_s / self.limits.tokens_per_s;
+    /// Part of the limits that the demand requires, including headroom.
+    fn demand_share(&self) -> f64 {
+        let requests = self.demand_requests_per_s / self.limits.requests_per_s;
+        let tokens = self.demand_tokens_per_s / self.limits.tokens_per_s;
         let in_flight = f64::from(self.in_flight) / f64::from(self.limits.in_flight);
         let wanted = requests.max(tokens).max(in_flight) * HEADROOM;
         if wanted.is_finite() { wanted.min(1.0) } else { 0.0 }
     }
 
-    fn least_asked(&self) -> f64 {
-        let share = 1.0 / (self.limits.requests_per_s * FIRST_WAIT.as_secs_f64());
-        share.clamp(MIN_ASKED, MAX_FIRST_ASKED)
+    fn min_requested_share(&self) -> f64 {
+        let share = 1.0 / (self.limits.requests_per_s * FIRST_REQUEST_WAIT.as_secs_f64());
+        share.clamp(MIN_REQUESTED_SHARE, MAX_MIN_REQUESTED_SHARE)
     }
 
-    fn note_wanted(&mut self, tokens: f64) {
+    fn record_demand(&mut self, tokens: f64) {
         let window = self.config.demand_window.as_secs_f64();
-        self.wanted_requests_per_s += 1.0 / window;
-        self.wanted_tokens_per_s += tokens / window;
+        self.demand_requests_per_s += 1.0 / window;
+        self.demand_tokens_per_s += tokens / window;
     }
 
-    /// A loan that is about to end: it is given up here before the lender hears of it.
-    fn take_renewable(&mut self, now: Duration) -> Option<Held> {
-        let left = self.config.loan_duration.mul_f64(1.0 - RENEW_AFTER);
-        let index = self.held.iter().position(|held| held.until < now + left)?;
+    /// Removes a loan that is about to expire. The share is given up before the lender receives the
+    /// return.
+    fn remove_renewable(&mut self, now: Duration) -> Option<HeldLoan> {
+        let renewal_window = self.config.loan_duration.mul_f64(1.0 - RENEWAL_PART);
+        let index = self.held.iter().position(|held| held.expires_at < now + renewal_window)?;
         let held = self.held.swap_remove(index);
         self.clamp(now);
         Some(held)
     }
 
-    /// Counts a request as in vain until a loan comes.
+    /// Counts a loan request as ungranted until a loan arrives. Once each peer was asked without a
+    /// grant, the interval doubles.
     fn back_off(&mut self) {
-        self.asked_in_vain += 1;
-        if self.asked_in_vain > self.peers.len() {
-            self.asked_in_vain = 0;
-            self.ask_after = (self.ask_after * 2).min(self.config.max_loan_request_interval);
+        self.ungranted_requests += 1;
+        if self.ungranted_requests > self.peers.len() {
+            self.ungranted_requests = 0;
+            self.request_interval =
+                (self.request_interval * 2).min(self.config.max_loan_request_interval);
         }
     }
 
-    fn take_peer(&mut self) -> EntryKey {
+    fn pick_peer(&mut self) -> EntryKey {
         let peer = self.peers[self.next_peer % self.peers.len()];
         self.next_peer += 1;
         peer
     }
 
-    /// Brings buckets and demand up to now, and drops loans that have ended.
+    /// Advances buckets and demand to `now` and removes expired loans.
     fn update(&mut self, now: Duration) {
-        let mut ends: Vec<Duration> = self.held.iter().map(|held| held.until).collect();
-        ends.extend(self.lent.values().map(|lent| lent.until));
-        ends.retain(|end| *end > self.updated && *end < now);
-        ends.sort_unstable();
-        ends.push(now);
-        for end in ends {
-            self.refill(end);
+        let mut expiries: Vec<Duration> = self.held.iter().map(|held| held.expires_at).collect();
+        expiries.extend(self.granted.values().map(|granted| granted.expires_at));
+        expiries.retain(|expiry| *expiry > self.updated_at && *expiry < now);
+        expiries.sort_unstable();
+        expiries.push(now);
+        for expiry in expiries {
+            self.refill(expiry);
         }
-        self.held.retain(|held| held.until > now);
-        self.lent.retain(|_, lent| lent.until > now);
+        self.held.retain(|held| held.expires_at > now);
+        self.granted.retain(|_, granted| granted.expires_at > now);
         self.clamp(now);
     }
 
-    /// Refills over a span in which the share is constant.
+    /// Refills the buckets over a period in which the share is constant.
     fn refill(&mut self, until: Duration) {
-        let share = self.share(self.updated);
-        let elapsed = until.saturating_sub(self.updated);
+        let share = self.share(self.updated_at);
+        let elapsed = until.saturating_sub(self.updated_at);
         let burst = self.config.burst;
-        self.requests.refill(self.limits.requests_per_s * share, elapsed, burst, ONE_REQUEST);
+        self.requests.refill(
+            self.limits.requests_per_s * share,
+            elapsed,
+            burst,
+            MIN_REQUEST_BUCKET,
+        );
         self.tokens.refill(self.limits.tokens_per_s * share, elapsed, burst, 0.0);
-        let kept = (-elapsed.as_secs_f64() / self.config.demand_window.as_secs_f64()).exp();
-        self.wanted_requests_per_s *= kept;
-        self.wanted_tokens_per_s *= kept;
-        self.updated = self.updated.max(until);
+        let decay = (-elapsed.as_secs_f64() / self.config.demand_window.as_secs_f64()).exp();
+        self.demand_requests_per_s *= decay;
+        self.demand_tokens_per_s *= decay;
+        self.updated_at = self.updated_at.max(until);
     }
 
-    /// Cuts what was saved up to the size that the share of now allows.
+    /// Limits the bucket levels to the size that the current share allows.
     fn clamp(&mut self, now: Duration) {
         let (share, burst) = (self.share(now), self.config.burst);
         let requests_per_s = self.limits.requests_per_s * share;
-        self.requests.refill(requests_per_s, Duration::ZERO, burst, ONE_REQUEST);
+        self.requests.refill(requests_per_s, Duration::ZERO, burst, MIN_REQUEST_BUCKET);
         self.tokens.refill(self.limits.tokens_per_s * share, Duration::ZERO, burst, 0.0);
     }
 }
--- a/crates/policy/src/rebalance/baseline.rs
+++ b/crates/policy/src/rebalance/baseline.rs
@@ -2,9 +2,10 @@
 
 use super::placement::{Expert, Placement};
 
-/// Places all experts anew without regard to where they stand: spare slots go one by one to the
-/// expert with the largest share a replica, then the replicas, largest first, to the rank that
-/// would finish first. The first placement of a group, and the baseline of the measurements.
+/// Places all experts without regard to the current placement. Spare slots go one by one to the
+/// expert with the largest load per replica, then the replicas, largest first, to the rank that
+/// would finish first. Used for the initial placement of a group and as the baseline of the
+/// benchmark.
 ///
 /// ```
 /// use flamingowheel_policy::rebalance::repack;
@@ -38,8 +39,9 @@
     let spare = (ranks * slots_per_rank).saturating_sub(loads.len());
     for _ in 0..spare {
         let share = |expert: usize| loads[expert] / replicas[expert] as f64;
-        let open = (0..loads.len()).filter(|&expert| replicas[expert] < ranks);
-        let Some(heaviest) = open.max_by(|&a, &b| share(a).total_cmp(&share(b)).then(b.cmp(&a)))
+        let expandable = (0..loads.len()).filter(|&expert| replicas[expert] < ranks);
+        let Some(heaviest) =
+            expandable.max_by(|&a, &b| share(a).total_cmp(&share(b)).then(b.cmp(&a)))
         else {
             break;
         };
@@ -48,8 +50,8 @@
     replicas
 }
 
-/// The rank with a free slot that finishes first with the replica; one that holds the expert
-/// already only if no other has room.
+/// The rank with a free slot that finishes first with the replica. A rank that already holds the
+/// expert is chosen only if no other has a free slot.
 fn first_to_finish(
     ranks: &[Vec<Expert>],
     rank_loads: &[f64],
--- a/crates/policy/src/rebalance/load.rs
+++ b/crates/policy/src/rebalance/load.rs
@@ -1,34 +1,36 @@
-//! Decayed loads of the experts of one layer, and where they are heading.
+//! Decayed loads of the experts of one layer, and forecasts of them.
 
-/// How much slower the second mean decays than the first.
-const SLOWER: f64 = 2.8;
+/// Ratio of an observation's weight in the fast mean to its weight in the slow mean.
+const SLOW_DECAY_RATIO: f64 = 2.8;
 
-/// Part of the trends that is put down to noise, as a multiple of what noise alone would make of
-/// them. Trends of noise move experts for nothing, and back at the next plan.
-const DOUBT: f64 = 1.5;
+/// Part of the squared trends that is attributed to noise, as a multiple of the value expected from
+/// noise alone. Trends that are only noise would move experts needlessly, and back in the next
+/// plan.
+const NOISE_MARGIN: f64 = 1.5;
 
-/// Observations from which a forecast can be held against the next load.
-const FORECAST_FROM: u32 = 4;
+/// Number of observations above which the error of the forecast is tracked rather than that of the
+/// mean.
+const MIN_FORECAST_OBSERVATIONS: u32 = 4;
 
-/// Smallest part of a mean that one observation may weigh.
+/// Smallest weight of one observation in a mean.
 const MIN_SHARE: f64 = 1e-3;
 
-/// Exponentially decayed means of each expert's load, a fast and a slow one. Both lag behind a
-/// drifting load, the slow one more; their difference tells the drift.
+/// A fast and a slow exponentially decayed mean of each expert's load. Both lag behind a drifting
+/// load, the slow one more; their difference indicates the drift.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DecayedLoads {
     fast_share: f64,
     slow_share: f64,
-    /// Steps observed, as long as that number matters.
+    /// Number of steps observed, saturating.
     observed: u32,
     fast: Vec<f64>,
     slow: Vec<f64>,
-    /// Decayed squares of how far each load was from its forecast.
+    /// Decayed mean of the squared forecast error of each load.
     errors: Vec<f64>,
 }
 
 impl DecayedLoads {
-    /// Starts from a first observation; each later one weighs `share` of the fast mean.
+    /// Starts with a first observation; each later one has the weight `share` in the fast mean.
     ///
     /// ```
     /// use flamingowheel_policy::rebalance::DecayedLoads;
@@ -39,7 +41,7 @@
     pub fn new(share: f64, first: &[f64]) -> Self {
         Self {
             fast_share: share.clamp(MIN_SHARE, 1.0),
-            slow_share: share.clamp(MIN_SHARE, 1.0) / SLOWER,
+            slow_share: share.clamp(MIN_SHARE, 1.0) / SLOW_DECAY_RATIO,
             observed: 1,
             fast: first.to_vec(),
             slow: first.to_vec(),
@@ -47,10 +49,10 @@
         }
     }
 
-    /// Takes in the loads of one more step.
+    /// Records the loads of one more step.
     pub fn observe(&mut self, loads: &[f64]) {
-        // The first observations count alike. Else the slow mean would hold on to the noise of the
-        // very first one, which would look like drift for many steps and cause needless moves.
+        // The first observations have equal weights. Otherwise the slow mean would retain the noise
+        // of the first one, which would look like drift for many steps and cause needless moves.
         self.observe_errors(loads);
         self.observed = self.observed.saturating_add(1);
         let even_share = 1.0 / f64::from(self.observed);
@@ -63,21 +65,21 @@
     }
 
     fn observe_errors(&mut self, loads: &[f64]) {
-        let known = self.observed > FORECAST_FROM;
-        let expected = if known { self.forecast(1.0) } else { self.fast.clone() };
+        let can_forecast = self.observed > MIN_FORECAST_OBSERVATIONS;
+        let expected = if can_forecast { self.forecast(1.0) } else { self.fast.clone() };
         let share = self.slow_share.max(1.0 / f64::from(self.observed));
         for ((error, load), expected) in self.errors.iter_mut().zip(loads).zip(&expected) {
             *error += share * ((load - expected).powi(2) - *error);
         }
     }
 
-    /// The fast means.
+    /// The fast decayed mean of each expert's load.
     pub fn means(&self) -> &[f64] {
         &self.fast
     }
 
-    /// The loads expected so many steps after the last one observed, or before it if negative, on
-    /// a line through both means; flat as far as noise explains the slope.
+    /// The expected loads `ahead_steps` after the last observation, or before it if negative,
+    /// extrapolated linearly from both means. The slope is reduced by the part that noise explains.
     ///
     /// ```
     /// use flamingowheel_policy::rebalance::DecayedLoads;
@@ -90,32 +92,32 @@
         let fast_lag_steps = lag_steps(self.fast_share);
         let slow_lag_steps = lag_steps(self.slow_share);
         let steps = (fast_lag_steps + ahead_steps) / (slow_lag_steps - fast_lag_steps);
-        let reach = steps * self.trust();
+        let extrapolation = steps * self.signal_part();
         let pairs = self.fast.iter().zip(&self.slow);
-        pairs.map(|(fast, slow)| (fast + (fast - slow) * reach).max(0.0)).collect()
+        pairs.map(|(fast, slow)| (fast + (fast - slow) * extrapolation).max(0.0)).collect()
     }
 
-    /// Part of the trends that noise does not explain, from all experts together: noise makes the
-    /// means differ by a known part of the loads' own variance.
-    fn trust(&self) -> f64 {
+    /// Part of the trends that noise does not explain, from 0 to 1, over all experts. Noise alone
+    /// makes the means differ by a known part of the loads' variance.
+    fn signal_part(&self) -> f64 {
         let share = difference_variance(self.fast_share, self.slow_share);
         let pairs = self.fast.iter().zip(&self.slow).zip(&self.errors);
         let by_noise = |((fast, slow), error): ((&f64, &f64), &f64)| {
             (fast - slow).powi(2) / (share * error).max(f64::MIN_POSITIVE)
         };
         let mean = pairs.map(by_noise).sum::<f64>() / self.fast.len().max(1) as f64;
-        if mean > DOUBT { 1.0 - DOUBT / mean } else { 0.0 }
+        if mean > NOISE_MARGIN { 1.0 - NOISE_MARGIN / mean } else { 0.0 }
     }
 }
 
-/// Variance of the difference of two decayed means of the same noise of variance 1.
+/// Variance of the difference between two decayed means of the same noise of variance 1.
 fn difference_variance(fast_share: f64, slow_share: f64) -> f64 {
-    let own = |share: f64| share / (2.0 - share);
+    let variance = |share: f64| share / (2.0 - share);
     let common = 1.0 - (1.0 - fast_share) * (1.0 - slow_share);
-    own(fast_share) + own(slow_share) - 2.0 * fast_share * slow_share / common
+    variance(fast_share) + variance(slow_share) - 2.0 * fast_share * slow_share / common
 }
 
-/// Steps by which a mean lags behind a load that changes evenly.
+/// Steps by which a mean lags behind a load that changes linearly.
 fn lag_steps(share: f64) -> f64 {
     (1.0 - share) / share
 }
--- a/crates/policy/src/rebalance/mod.rs
+++ b/crates/policy/src/rebalance/mod.rs
@@ -1,8 +1,8 @@
 //! Rebalancing of experts over the ranks of a group.
 //!
-//! [`plan()`] is a pure function from decayed loads, rank speeds and the placement in use to a list
-//! of moves. It weighs the step-time skew that it expects to save against the expert weights that
-//! have to be loaded, so that it moves few experts and none for noise.
+//! [`plan()`] is a pure function from decayed loads, rank speeds and the current placement to a
+//! list of moves. It compares the predicted reduction of step-time skew with the cost of loading
+//! expert weights, so that it moves few experts and doesn't react to noise.
 
 mod baseline;
 mod load;
--- a/crates/policy/src/rebalance/params.rs
+++ b/crates/policy/src/rebalance/params.rs
@@ -1,27 +1,28 @@
-//! What a template's operator can weigh.
+//! Rebalancing parameters that operators set in templates.
 
 use serde::{Deserialize, Serialize};
 
-/// Weights and bounds of the rebalancer. The two presets are starting points for templates.
+/// Cost weights and limits of the rebalancer. The two presets are starting points for templates.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Params {
-    /// Cost of one step that takes twice the time of a balanced one.
+    /// Cost of one step at a skew of 2, twice the time of a balanced step.
     pub skew_weight: f64,
-    /// Cost of loading the weights of one expert on one rank.
+    /// Cost of loading one expert's weights on one rank.
     pub move_weight: f64,
-    /// Steps over which a better placement is expected to pay back. Loads are forecast for now and
-    /// for the horizon's end and traced back a little further; a placement must be good for all.
+    /// Number of steps over which a better placement must compensate for its moves. Loads are
+    /// forecast for the present and the end of the horizon and extrapolated into the past a little
+    /// further; a placement must suit all three.
     pub horizon_steps: f64,
-    /// Nothing moves unless the whole plan saves at least this much predicted skew. Set above
-    /// what noise in the loads makes appear.
+    /// Smallest predicted reduction of a layer's skew for which experts are moved. Must be above
+    /// the apparent gain that noise in the loads causes.
     pub min_gain: f64,
-    /// Most expert weights loaded by one plan over all layers.
+    /// Most expert weights that one plan loads, over all layers.
     pub max_moves: usize,
 }
 
 impl Params {
-    /// For services where a slow step hurts more than loading experts does.
+    /// Preset for services where slow steps cost more than loading experts.
     ///
     /// ```
     /// use flamingowheel_policy::rebalance::Params;
@@ -37,13 +38,13 @@
         }
     }
 
-    /// For services whose long batches suffer from each expert that is loaded.
+    /// Preset for services with long batches, which each loaded expert slows down.
     pub fn move_weighted() -> Self {
         Self { move_weight: 0.17, min_gain: 0.175, ..Self::skew_weighted() }
     }
 
-    /// What a template's two weights stand for: `min_gain` goes with their ratio, from that of the
-    /// one preset to that of the other.
+    /// Parameters for a template's two weights. `min_gain` is interpolated between the two presets
+    /// by the ratio of the weights.
     ///
     /// ```
     /// use flamingowheel_policy::rebalance::Params;
@@ -51,14 +52,14 @@
     /// assert_eq!(Params::from_weights(preset.skew_weight, preset.move_weight), preset);
     /// ```
     pub fn from_weights(skew_weight: f64, move_weight: f64) -> Self {
-        let (eager, sparing) = (Self::skew_weighted(), Self::move_weighted());
-        let range = sparing.move_weight - eager.move_weight;
-        let part = ((move_weight / skew_weight - eager.move_weight) / range).clamp(0.0, 1.0);
-        let min_gain = eager.min_gain * (1.0 - part) + sparing.min_gain * part;
-        Self { skew_weight, move_weight, min_gain, ..eager }
+        let (skew_preset, move_preset) = (Self::skew_weighted(), Self::move_weighted());
+        let range = move_preset.move_weight - skew_preset.move_weight;
+        let part = ((move_weight / skew_weight - skew_preset.move_weight) / range).clamp(0.0, 1.0);
+        let min_gain = skew_preset.min_gain * (1.0 - part) + move_preset.min_gain * part;
+        Self { skew_weight, move_weight, min_gain, ..skew_preset }
     }
 
-    /// Predicted skew that one move must save at least.
+    /// Smallest reduction of the predicted skew that justifies one move.
     pub fn min_gain_per_move(&self) -> f64 {
         self.move_weight / (self.skew_weight * self.horizon_steps)
     }
--- a/crates/policy/src/rebalance/placement.rs
+++ b/crates/policy/src/rebalance/placement.rs
@@ -1,4 +1,4 @@
-//! Where the experts of one layer stand, and the moves between two such placements.
+//! Placements of one layer's experts, and the moves between two placements.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,45 +8,45 @@
 /// Index of a rank within its group.
 pub type Rank = u16;
 
-/// The experts of one layer by rank and slot. Every slot holds an expert; an expert that stands on
-/// several ranks has its load split evenly over them.
+/// The experts of one layer by rank and slot. Every slot holds an expert. The load of an expert
+/// with several replicas is split evenly over them.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Placement {
     /// `ranks[rank][slot]` is the expert in that slot.
     pub ranks: Vec<Vec<Expert>>,
 }
 
-/// One expert's weights loaded into a slot in place of another's.
+/// Replacement of one expert in a slot by another one, whose weights have to be loaded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Move {
-    /// The rank that loads the weights.
+    /// Rank that loads the weights.
     pub rank: Rank,
-    /// The slot on that rank.
+    /// Slot on that rank.
     pub slot: u16,
-    /// The expert that leaves the slot.
+    /// Expert that is removed from the slot.
     pub drop: Expert,
-    /// The expert that is loaded.
+    /// Expert whose weights are loaded.
     pub load: Expert,
 }
 
-/// Why a placement can't be used.
+/// Why a placement is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PlacementError {
     /// An expert has no replica, so its tokens could not be served.
-    #[error("expert {expert} stands on no rank")]
+    #[error("expert {expert} is not placed on any rank")]
     Missing {
-        /// The expert.
+        /// Index of the expert within the layer.
         expert: Expert,
     },
-    /// A slot names an expert that the layer does not have.
-    #[error("expert {expert} is not one of the layer's {experts}")]
+    /// A slot holds an expert that the layer does not have.
+    #[error("expert {expert} does not exist in a layer of {experts} experts")]
     Unknown {
-        /// The expert named.
+        /// Index of the expert in the placement.
         expert: Expert,
-        /// Experts of the layer.
+        /// Number of experts in the layer.
         experts: usize,
     },
-    /// There are no ranks.
+    /// The placement has no ranks.
     #[error("the placement has no ranks")]
     Empty,
 }
@@ -63,7 +63,7 @@
         self.ranks.iter().map(Vec::len).sum()
     }
 
-    /// Checks that each of the layer's experts has a replica and no other is named.
+    /// Checks that each of the layer's experts has a replica and that there are no other experts.
     ///
     /// ```
     /// use flamingowheel_policy::rebalance::Placement;
@@ -105,8 +105,8 @@
     }
 }
 
-/// Gives `target` the slot order of `current` where a rank keeps an expert, so that only what a
-/// rank does not yet hold counts as a move.
+/// Reorders the slots of `target` so that experts that stay on their rank keep their slot, and only
+/// experts that are new to a rank count as moves.
 pub(super) fn align(current: &Placement, target: &Placement) -> Placement {
     let ranks = current.ranks.iter().zip(&target.ranks).map(|(old, new)| align_rank(old, new));
     Placement { ranks: ranks.collect() }
@@ -126,8 +126,8 @@
         .collect()
 }
 
-/// The moves that lead from `current` to `target`; both have the same ranks and slots. An expert
-/// that stays on its rank is no move, whatever slot `target` names for it.
+/// The moves from `current` to `target`, which must have the same ranks and slots. An expert that
+/// stays on its rank is not a move, whatever its slot in `target`.
 ///
 /// ```
 /// use flamingowheel_policy::rebalance::{Placement, moves_between};
--- a/crates/policy/src/rebalance/plan.rs
+++ b/crates/policy/src/rebalance/plan.rs
@@ -6,90 +6,91 @@
 use super::score::Score;
 use super::search::probe;
 
-/// How far the loads are traced back, in horizons. What is popular comes back: a placement that is
-/// good for the last hours too needs no moves when they do.
-const LOOK_BACK: f64 = 1.45;
+/// How far loads are extrapolated into the past, in horizons. Past popularity recurs: a placement
+/// that also suits the past hours needs no moves when it does.
+const LOOK_BACK_HORIZONS: f64 = 1.45;
 
-/// Layers, those in most need first, that are searched thoroughly in one plan. Such a search takes
-/// as long as a dozen probes; a plan for many layers has to end soon.
+/// Number of layers per plan, those with the highest potential gain first, that are searched
+/// thoroughly. Such a search takes as long as a dozen probes, and the time of a plan for many
+/// layers has to be short.
 const THOROUGH_LAYERS: usize = 1;
 
-/// What a plan is made from. All slices run over the same layers.
+/// Input of a plan. All slices by layer have the same length.
 #[derive(Clone, Copy, Debug)]
 pub struct Request<'a> {
-    /// The placement in use, by layer.
+    /// Current placement, by layer.
     pub current: &'a [Placement],
-    /// Decayed load of each expert, by layer.
+    /// Decayed loads of the experts, by layer.
     pub loads: &'a [DecayedLoads],
-    /// Speed of each rank; one at half speed takes half the load.
+    /// Relative speed of each rank; a rank at half speed gets half the load.
     pub speeds: &'a [f64],
     /// Weights and bounds.
     pub params: &'a Params,
 }
 
-/// Why no plan can be made.
+/// Why a plan request is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
-    /// Placement and loads are of different layers.
-    #[error("{placements} layers placed, loads of {loads}")]
+    /// Placements and loads are for different numbers of layers.
+    #[error("placements for {placements} layers, but loads for {loads}")]
     Layers {
-        /// Layers with a placement.
+        /// Number of layers with a placement.
         placements: usize,
-        /// Layers with loads.
+        /// Number of layers with loads.
         loads: usize,
     },
-    /// A layer is placed on another number of ranks than there are speeds.
-    #[error("layer {layer} stands on {ranks} ranks, speeds of {speeds}")]
+    /// The number of ranks of a layer differs from the number of speeds.
+    #[error("layer {layer} is placed on {ranks} ranks, but there are {speeds} speeds")]
     Ranks {
-        /// The layer.
+        /// Index of the layer.
         layer: usize,
-        /// Ranks it is placed on.
+        /// Number of ranks in the layer's placement.
         ranks: usize,
-        /// Speeds given.
+        /// Number of speeds in the request.
         speeds: usize,
     },
     /// A load is negative or not a number, or a speed is not above zero.
     #[error("loads must be finite and not negative, speeds above zero")]
     InvalidNumber,
-    /// The placement in use is not valid.
+    /// The current placement of a layer is invalid.
     #[error("layer {layer}: {error}")]
     Placement {
-        /// The layer.
+        /// Index of the layer.
         layer: usize,
-        /// What is wrong.
+        /// Why the placement is invalid.
         error: PlacementError,
     },
 }
 
-/// The change of one layer.
+/// Planned change of one layer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LayerPlan {
-    /// The layer.
+    /// Index of the layer.
     pub layer: usize,
-    /// The weights to load.
+    /// Weights to load.
     pub moves: Vec<Move>,
-    /// The placement after the moves.
+    /// Placement after the moves.
     pub target: Placement,
-    /// Predicted skew saved by them.
+    /// Predicted reduction of the skew by the moves.
     pub gain: f64,
 }
 
-/// Changes that are worth their moves; layers not named stay as they are.
+/// Changes whose gain justifies their moves. Layers without an entry keep their placement.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Plan {
-    /// The layers that change, in order.
+    /// The changed layers, by increasing index.
     pub layers: Vec<LayerPlan>,
 }
 
 impl Plan {
-    /// Expert weights that have to be loaded.
+    /// Number of expert weights that have to be loaded.
     pub fn move_count(&self) -> usize {
         self.layers.iter().map(|layer| layer.moves.len()).sum()
     }
 }
 
-/// Plans moves that save more predicted skew over the horizon than they cost. The same request
-/// always gives the same plan.
+/// Plans moves that save more predicted skew over the horizon than they cost. The result is
+/// deterministic.
 ///
 /// ```
 /// use flamingowheel_policy::rebalance::{DecayedLoads, Params, Placement, Request, plan};
@@ -101,31 +102,33 @@
 /// ```
 pub fn plan(request: &Request<'_>) -> Result<Plan, RequestError> {
     check(request)?;
-    let mut left = request.params.max_moves;
+    let mut moves_left = request.params.max_moves;
     let mut layers = Vec::new();
-    for (layer, score) in by_need(request) {
-        if left == 0 {
+    for (layer, score) in layers_by_potential_gain(request) {
+        if moves_left == 0 {
             break;
         }
         let thorough = layers.len() < THOROUGH_LAYERS;
-        let Some(planned) = plan_layer(layer, score, request, left, thorough) else { continue };
-        left -= planned.moves.len();
+        let Some(planned) = plan_layer(layer, score, request, moves_left, thorough) else {
+            continue;
+        };
+        moves_left -= planned.moves.len();
         layers.push(planned);
     }
     layers.sort_by_key(|layer| layer.layer);
     Ok(Plan { layers })
 }
 
-/// Layers that could save enough, those that could save most first: when the budget is small it
-/// goes where steps are slowest, and the search is spared where nothing can come of it, as no
-/// placement beats a perfectly even split.
-fn by_need(request: &Request<'_>) -> Vec<(usize, Score)> {
+/// Layers whose distance from a perfectly even split is at least `min_gain`, largest distance
+/// first. So a small budget goes to the layers with the slowest steps, and layers that can't gain
+/// enough are not searched, since no placement is better than an even split.
+fn layers_by_potential_gain(request: &Request<'_>) -> Vec<(usize, Score)> {
     let mut layers = Vec::new();
     for (layer, (current, loads)) in request.current.iter().zip(request.loads).enumerate() {
         let score = forecast_score(current, loads, request);
-        let could_save = score.predicted() - score.floor();
-        if could_save >= request.params.min_gain {
-            layers.push((could_save, layer, score));
+        let potential_gain = score.predicted() - score.floor();
+        if potential_gain >= request.params.min_gain {
+            layers.push((potential_gain, layer, score));
         }
     }
     layers.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
@@ -134,7 +137,7 @@
 
 fn forecast_score(current: &Placement, loads: &DecayedLoads, request: &Request<'_>) -> Score {
     let horizon_steps = request.params.horizon_steps;
-    let forecasts = [-horizon_steps * LOOK_BACK, 0.0, horizon_steps];
+    let forecasts = [-horizon_steps * LOOK_BACK_HORIZONS, 0.0, horizon_steps];
     let [past, near, far] = forecasts.map(|ahead_steps| loads.forecast(ahead_steps));
     Score::new(current, [&past, &near, &far], request.speeds)
 }
@@ -147,7 +150,7 @@
     thorough: bool,
 ) -> Option<LayerPlan> {
     let probe = probe(score, request.params, max_moves)?;
-    let found = if thorough { probe.search_on() } else { probe.found() };
+    let found = if thorough { probe.refine() } else { probe.result() };
     let current = &request.current[layer];
     let target = align(current, &found.target);
     Some(LayerPlan { layer, moves: moves_between(current, &target), target, gain: found.gain })
--- a/crates/policy/src/rebalance/score.rs
+++ b/crates/policy/src/rebalance/score.rs
@@ -1,12 +1,12 @@
-//! Step times of the ranks under a placement, kept up to date while the search tries changes.
+//! Step times of the ranks under a placement, updated incrementally during the search.
 
 use super::placement::{Expert, Placement};
 
-/// Squarings in [`powers`]: the norm's exponent is two to this number.
+/// Number of squarings in [`powers`]: the norm's exponent is two to the power of this.
 const EXPONENT_LOG2: u32 = 5;
 
-/// The slowest rank's step time over that of a perfectly even split, which a group with ranks of
-/// different speed reaches when each rank's load is in proportion to its speed.
+/// The slowest rank's step time divided by that of a perfectly even split, in which each rank's
+/// load is proportional to its speed.
 ///
 /// ```
 /// use flamingowheel_policy::rebalance::{Placement, skew};
@@ -20,13 +20,13 @@
 /// A slot, numbered over all ranks.
 pub(super) type Slot = u32;
 
-/// An expert written into a slot.
+/// A slot and the expert to write into it.
 pub(super) type Write = (Slot, Expert);
 
-/// Points in time for which loads are forecast.
+/// Number of points in time for which loads are forecast.
 pub(super) const FORECASTS: usize = 3;
 
-/// One value for each forecast.
+/// One value per forecast.
 pub(super) type Values = [f64; FORECASTS];
 
 fn each<F>(value: F) -> Values
@@ -48,26 +48,26 @@
 /// A change of one slot or an exchange between two ranks.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Change {
-    /// A replica gives way to a replica of another expert that its rank does not hold.
+    /// Replaces a replica by one of another expert that the rank does not hold.
     Replace(Write),
-    /// Two experts change places; neither stands on the other's rank yet.
+    /// Swaps two experts, neither of which is placed on the other's rank.
     Swap(Write, Write),
 }
 
-/// A placement with the step time of each rank, in units of the evenly split step time.
+/// A placement with the step time of each rank, relative to the step time of an even split.
 #[derive(Clone, Debug)]
 pub(super) struct Score {
     slots: Vec<Expert>,
     first_slot: Vec<Slot>,
     rank_of: Vec<u16>,
-    /// The ranks of each expert's replicas, one expert after another.
+    /// Ranks of the replicas, ordered by expert.
     hosts: Vec<u16>,
-    /// Where each expert's ranks begin in `hosts`.
+    /// Index in `hosts` at which each expert's ranks begin.
     first_host: Vec<Slot>,
-    /// Replicas by rank and expert.
+    /// Number of replicas, by rank and expert.
     held: Vec<u8>,
     loads: Vec<Values>,
-    /// Load of each replica of an expert with one replica less, as now, and with one more.
+    /// Load per replica of each expert with one replica less, the current number, and one more.
     shares: Vec<[Values; 3]>,
     inverse_speeds: Vec<f64>,
     times: Vec<Values>,
@@ -116,7 +116,7 @@
         self.first_slot.push(next);
     }
 
-    /// Lists each expert's ranks anew.
+    /// Recomputes the ranks of each expert's replicas.
     fn list_hosts(&mut self) {
         self.first_host.fill(0);
         for &expert in &self.slots {
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Computes all times anew.
+    /// Recomputes all shares, times and powers.
     fn refresh(&mut self) {
         self.list_hosts();
         self.shares.clear();
@@ -158,7 +158,7 @@
         self.total = each(|index| self.powers.iter().map(|powers| powers[index]).sum());
     }
 
-    /// The placement as it now stands.
+    /// The current placement.
     pub(super) fn placement(&self) -> Placement {
         let bounds = self.first_slot.windows(2);
         let ranks = bounds.map(|pair| self.slots[pair[0] as usize..pair[1] as usize].to_vec());
@@ -176,12 +176,12 @@
         step_time(&self.total.map(|total| if total > 0.0 { even } else { 0.0 }))
     }
 
-    /// The slowest rank's time, by the first forecast.
+    /// The slowest rank's time under the first forecast.
     pub(super) fn max_time(&self) -> f64 {
         self.times.iter().map(|times| times[0]).fold(0.0, f64::max)
     }
 
-    /// The `count` ranks that add most to the predicted step time.
+    /// The `count` ranks that contribute most to the predicted step time.
     pub(super) fn slowest(&self, count: usize) -> Vec<u16> {
         let weight = |rank: u16| -> f64 {
             let powers = &self.powers[usize::from(rank)];
@@ -231,7 +231,7 @@
         &mut self.held[usize::from(rank) * self.loads.len() + usize::from(expert)]
     }
 
-    pub(super) fn stands_on(&self, expert: Expert, rank: u16) -> bool {
+    pub(super) fn is_placed_on(&self, expert: Expert, rank: u16) -> bool {
         self.held[usize::from(rank) * self.loads.len() + usize::from(expert)] > 0
     }
 
@@ -244,31 +244,31 @@
         [share(replicas.saturating_sub(1)), share(replicas), share(replicas + 1)]
     }
 
-    /// Load of each replica of the expert.
+    /// Load per replica of the expert.
     fn share(&self, expert: Expert) -> Values {
         self.shares[usize::from(expert)][1]
     }
 
-    /// Load of each replica of the expert if it had one less.
+    /// Load per replica of the expert if it had one replica less.
     fn share_with_less(&self, expert: Expert) -> Values {
         self.shares[usize::from(expert)][0]
     }
 
-    /// Load of each replica of the expert if it had `more` replicas, none or one.
+    /// Load per replica of the expert if it had `more` additional replicas, at most one.
     fn share_with(&self, expert: Expert, more: usize) -> Values {
         self.shares[usize::from(expert)][1 + more.min(1)]
     }
 
-    /// Whether the slot's rank has less load, by any forecast, with `expert` there and that many
-    /// replicas more of it.
+    /// Whether the slot's rank has less load under any forecast if `expert` is placed there with
+    /// `more_replicas` additional replicas.
     pub(super) fn relieves(&self, slot: Slot, expert: Expert, more_replicas: usize) -> bool {
         let before = self.share(self.expert_in(slot));
         let after = self.share_with(expert, more_replicas);
         after.iter().zip(&before).any(|(after, before)| after < before)
     }
 
-    /// Whether the slot's rank, with `expert` there and that many replicas more of it, stays below
-    /// the time that `hot` takes now, by any forecast.
+    /// Whether the slot's rank stays below the current time of rank `hot` under any forecast if
+    /// `expert` is placed there with `more_replicas` additional replicas.
     pub(super) fn fits(&self, slot: Slot, expert: Expert, more_replicas: usize, hot: u16) -> bool {
         let rank = usize::from(self.rank_of(slot));
         let before = self.share(self.expert_in(slot));
@@ -279,7 +279,7 @@
         (0..FORECASTS).any(|index| time(index) < self.times[usize::from(hot)][index])
     }
 
-    /// Carries out a change.
+    /// Applies a change.
     pub(super) fn apply(&mut self, change: &Change) {
         match *change {
             Change::Replace(write) => self.write(write),
@@ -298,14 +298,15 @@
         *self.held_mut(expert, rank) += 1;
     }
 
-    /// Predicted step time after [`Change::Replace`], unless it is surely no less than `limit`.
+    /// Predicted step time after [`Change::Replace`]; `None` if it is provably not below `limit`.
     pub(super) fn after_replace(&self, write: Write, limit: f64) -> Option<f64> {
         let mut total = self.total;
-        self.try_replace(write, &mut total);
-        (!reaches(&total, limit)).then(|| step_time(&total))
+        self.apply_replace(write, &mut total);
+        (!is_at_least(&total, limit)).then(|| step_time(&total))
     }
 
-    /// One side of added replicas of an expert: the totals once its hosts share with one more.
+    /// First part of adding a replica of an expert: the totals after its current hosts share their
+    /// load with one more replica.
     pub(super) fn half_add(&self, expert: Expert) -> Values {
         let less = self.less_each(expert);
         let mut total = self.total;
@@ -315,8 +316,9 @@
         total
     }
 
-    /// Predicted step time if `slot` gave up its replica for one of `expert`, whose rank does not
-    /// hold that yet, after `half` was done; `None` if it is surely no less than `limit`.
+    /// Predicted step time if the replica in `slot` is replaced by one of `expert`, which the rank
+    /// does not hold yet, given the totals `half` from [`Score::half_add`]; `None` if it is
+    /// provably not below `limit`.
     pub(super) fn after_add(
         &self,
         half: &Values,
@@ -328,30 +330,31 @@
         let (given, taken) = (self.share(dropped), self.share_with(expert, 1));
         let mut total = *half;
         self.shift(rank, &each(|index| taken[index] - given[index]), &mut total);
-        // The other hosts of what is dropped only get more.
-        if reaches(&total, limit) {
+        // The load of the other hosts of the dropped expert can only increase.
+        if is_at_least(&total, limit) {
             return None;
         }
         let dropped_after = self.share_with_less(dropped);
         let more = each(|index| dropped_after[index] - given[index]);
         let less = self.less_each(expert);
         for &host in self.hosts_of(dropped).iter().filter(|host| **host != rank) {
-            if self.stands_on(expert, host) {
+            if self.is_placed_on(expert, host) {
                 self.shift_twice(host, &less, &more, &mut total);
             } else {
                 self.shift(host, &more, &mut total);
             }
         }
-        (!reaches(&total, limit)).then(|| step_time(&total))
+        (!is_at_least(&total, limit)).then(|| step_time(&total))
     }
 
-    /// What one more replica of an expert takes off each of its hosts.
+    /// Load change of each host of an expert if it had one more replica.
     fn less_each(&self, expert: Expert) -> Values {
         let (before, after) = (self.share(expert), self.share_with(expert, 1));
         each(|index| after[index] - before[index])
     }
 
-    /// Changes the total by `second` as if `rank` had `first` more load already.
+    /// Adds the effect of the load change `second` to the total, given that it already includes
+    /// `first` on `rank`.
     fn shift_twice(&self, rank: u16, first: &Values, second: &Values, total: &mut Values) {
         let mut undone = [0.0; FORECASTS];
         self.shift(rank, first, &mut undone);
@@ -361,7 +364,7 @@
         }
     }
 
-    /// One side of exchanges of `slot`: the totals if its rank gave up its expert for `resident`.
+    /// First part of a swap: the totals after the expert in `slot` is replaced by `resident`.
     pub(super) fn half_swap(&self, slot: Slot, resident: Expert) -> Values {
         let (given, taken) = (self.share(self.expert_in(slot)), self.share(resident));
         let mut total = self.total;
@@ -369,8 +372,8 @@
         total
     }
 
-    /// Predicted step time if `other` gave up its expert for `expert`, after `half` was done;
-    /// `None` if it is surely no less than `limit`.
+    /// Predicted step time if the expert in slot `other` is replaced by `expert`, given the totals
+    /// `half` from [`Score::half_swap`]; `None` if it is provably not below `limit`.
     pub(super) fn after_swap(
         &self,
         half: &Values,
@@ -378,18 +381,18 @@
         limit: f64,
     ) -> Option<f64> {
         let rank = self.rank_of(other);
-        let own = &self.powers[usize::from(rank)];
-        // Even with nothing left to do for the other rank.
-        if reaches(&each(|index| half[index] - own[index]), limit) {
+        let rank_powers = &self.powers[usize::from(rank)];
+        // Lower bound: the other rank without any load.
+        if is_at_least(&each(|index| half[index] - rank_powers[index]), limit) {
             return None;
         }
         let (given, taken) = (self.share(self.expert_in(other)), self.share(expert));
         let mut total = *half;
         self.shift(rank, &each(|index| taken[index] - given[index]), &mut total);
-        (!reaches(&total, limit)).then(|| step_time(&total))
+        (!is_at_least(&total, limit)).then(|| step_time(&total))
     }
 
-    fn try_replace(&self, (slot, expert): Write, total: &mut Values) {
+    fn apply_replace(&self, (slot, expert): Write, total: &mut Values) {
         let rank = self.rank_of(slot);
         let dropped = self.expert_in(slot);
         let (dropped_share, share) = (self.share(dropped), self.share(expert));
@@ -397,26 +400,26 @@
         let after = self.share_with(expert, 1);
         let more = each(|index| dropped_after[index] - dropped_share[index]);
         let less = each(|index| after[index] - share[index]);
-        let own = each(|index| after[index] - dropped_share[index]);
-        self.shift(rank, &own, total);
+        let load_change = each(|index| after[index] - dropped_share[index]);
+        self.shift(rank, &load_change, total);
         for &host in self.hosts_of(dropped) {
             if host == rank {
                 continue;
             }
-            if self.stands_on(expert, host) {
+            if self.is_placed_on(expert, host) {
                 self.shift(host, &each(|index| more[index] + less[index]), total);
             } else {
                 self.shift(host, &more, total);
             }
         }
         for &host in self.hosts_of(expert) {
-            if !self.stands_on(dropped, host) {
+            if !self.is_placed_on(dropped, host) {
                 self.shift(host, &less, total);
             }
         }
     }
 
-    /// Changes the total as if `rank` had so much more load.
+    /// Adds the effect of additional `load` on `rank` to the total.
     fn shift(&self, rank: u16, load: &Values, total: &mut Values) {
         let rank = usize::from(rank);
         let inverse_speed = self.inverse_speeds[rank];
@@ -428,10 +431,11 @@
     }
 }
 
-/// Predicted step time: for each forecast a norm that lies a little above the slowest rank, the
-/// more so the more ranks are nearly as slow, as the expected maximum under noise does.
+/// Predicted step time, averaged over the forecasts. For each forecast it is a norm that lies
+/// slightly above the slowest rank's time. It grows with the number of ranks that are nearly as
+/// slow, like the expected maximum under noise.
 fn step_time(total: &Values) -> f64 {
-    // Rounding may leave a total just below zero if all loads are zero.
+    // Rounding errors may leave a total slightly below zero if all loads are zero.
     let mut roots = total.map(|total| total.max(0.0));
     for _ in 0..EXPONENT_LOG2 {
         roots = roots.map(f64::sqrt);
@@ -439,12 +443,12 @@
     roots.iter().sum::<f64>() / FORECASTS as f64
 }
 
-/// Limits above this are not compared by powers, which would overflow.
+/// Larger limits are not compared by powers, which would overflow.
 const MAX_LIMIT: f64 = 8.0;
 
-/// Whether the step time is surely not below `limit`: a mean is at least the geometric mean, and
-/// that needs no roots to be compared. Most candidates of a search end here.
-fn reaches(total: &Values, limit: f64) -> bool {
+/// Whether the step time is provably not below `limit`. The mean is at least the geometric mean,
+/// which can be compared without computing roots. This rejects most candidates of a search.
+fn is_at_least(total: &Values, limit: f64) -> bool {
     if limit <= 0.0 {
         return true;
     }
--- a/crates/policy/src/rebalance/search.rs
+++ b/crates/policy/src/rebalance/search.rs
@@ -4,21 +4,21 @@
 use super::placement::{Expert, Placement};
 use super::score::{Change, Score, Slot, Values, Write};
 
-/// Costs closer than this are taken for the same placement.
+/// Candidates whose costs differ by less than this are considered duplicates.
 const SAME_COST: f64 = 1e-9;
 
-/// Depths without a better chain after which the search ends: a chain may pass through placements
-/// that are no better yet, which single greedy swaps never do.
-const PATIENCE: usize = 3;
+/// Number of successive depths without a better chain after which the search ends. Unlike single
+/// greedy swaps, a chain may pass through placements that are not better yet.
+const MAX_DEPTHS_WITHOUT_GAIN: usize = 3;
 
-/// How wide a search looks.
+/// Size of a search.
 #[derive(Clone, Copy)]
 struct Beam {
     /// Chains kept from one depth to the next.
     width: usize,
-    /// Ranks, slowest first, whose slots a change starts from.
+    /// Number of ranks, slowest first, at whose slots changes start.
     hot_ranks: usize,
-    /// Longest chain, so that the time of a plan is bounded; the next plan goes on from there.
+    /// Longest chain. Bounds the time of a plan; the next plan continues from its result.
     depth: usize,
 }
 
@@ -36,21 +36,21 @@
     cost: f64,
 }
 
-/// A change that may be tried from one state of the beam.
+/// A possible change to one state of the beam.
 struct Candidate {
     cost: f64,
     from: usize,
     change: Change,
 }
 
-/// The cheapest candidates offered, cheapest first.
+/// The cheapest candidates so far, cheapest first.
 struct Cheapest {
     found: Vec<Candidate>,
     width: usize,
 }
 
 impl Cheapest {
-    /// Candidates that cost this or more are not kept.
+    /// Candidates at or above this cost are not kept.
     fn limit(&self) -> f64 {
         let full = self.found.len() >= self.width;
         self.found.last().filter(|_| full).map_or(f64::INFINITY, |last| last.cost)
@@ -61,7 +61,7 @@
         if full && self.found.last().is_some_and(|last| last.cost <= candidate.cost) {
             return;
         }
-        // The same changes in another order reach the same cost, but for rounding.
+        // The same changes in another order have the same cost, except for rounding errors.
         let same = |other: &Candidate| (other.cost - candidate.cost).abs() < SAME_COST;
         if self.found.iter().any(same) {
             return;
@@ -69,20 +69,20 @@
         if full {
             self.found.pop();
         }
-        let place = self.found.partition_point(|other| other.cost < candidate.cost);
-        self.found.insert(place, candidate);
+        let index = self.found.partition_point(|other| other.cost < candidate.cost);
+        self.found.insert(index, candidate);
     }
 }
 
-/// What a search found.
-pub(super) struct Found {
+/// Result of a search.
+pub(super) struct SearchResult {
     pub(super) target: Placement,
-    /// Predicted skew saved.
+    /// Predicted reduction of the skew.
     pub(super) gain: f64,
 }
 
-/// What a narrow search found worth its moves. It costs a small part of a thorough one, and most
-/// layers have nothing to gain at most plans.
+/// Result of a narrow search that found a gain. A narrow search takes a small part of the time of a
+/// thorough one, and most layers have nothing to gain in most plans.
 pub(super) struct Probe {
     search: Search,
     start: Score,
@@ -90,10 +90,11 @@
     min_gain: f64,
 }
 
-/// Looks for a placement that saves at least `min_gain` and more than its moves are priced at.
+/// Searches for a placement that saves at least `min_gain` and more than its moves cost.
 pub(super) fn probe(start: Score, params: &Params, max_moves: usize) -> Option<Probe> {
     let origin = Origin::new(&start);
-    let search = Search { origin, price: params.min_gain_per_move(), max_moves, beam: PROBE };
+    let search =
+        Search { origin, min_gain_per_move: params.min_gain_per_move(), max_moves, beam: PROBE };
     let best = search.run(start.clone())?;
     let probe = Probe { search, start, best, min_gain: params.min_gain };
     (probe.gain(&probe.best) >= params.min_gain).then_some(probe)
@@ -104,26 +105,27 @@
         self.start.predicted() - state.score.predicted()
     }
 
-    pub(super) fn found(&self) -> Found {
-        Found { target: self.best.score.placement(), gain: self.gain(&self.best) }
+    pub(super) fn result(&self) -> SearchResult {
+        SearchResult { target: self.best.score.placement(), gain: self.gain(&self.best) }
     }
 
-    /// The same or better, from a thorough search.
-    pub(super) fn search_on(mut self) -> Found {
+    /// Result of a thorough search, at least as good as that of the narrow one.
+    pub(super) fn refine(mut self) -> SearchResult {
         self.search.beam = THOROUGH;
         let wide = self.search.run(self.start.clone());
         let better = |wide: &State| {
-            // It may be cheaper by saving less with far fewer moves.
+            // It may have a lower cost because it saves less with far fewer moves.
             wide.cost < self.best.cost && self.gain(wide) >= self.min_gain
         };
         if let Some(wide) = wide.filter(better) {
             self.best = wide;
         }
-        self.found()
+        self.result()
     }
 }
 
-/// Which expert stood on which rank before the search: putting one back costs nothing.
+/// The placement before the search, by rank and expert: moving an expert back to its rank costs
+/// nothing.
 struct Origin {
     experts: usize,
     held: Vec<bool>,
@@ -147,7 +149,7 @@
 
 struct Search {
     origin: Origin,
-    price: f64,
+    min_gain_per_move: f64,
     max_moves: usize,
     beam: Beam,
 }
@@ -158,24 +160,24 @@
         let mut beam = vec![State { score: start, moves: 0, cost }];
         let mut best: Option<State> = None;
         let mut best_cost = cost;
-        let mut stale = 0;
+        let mut depths_without_gain = 0;
         for _ in 0..self.beam.depth {
-            if stale > PATIENCE || beam.is_empty() {
+            if depths_without_gain > MAX_DEPTHS_WITHOUT_GAIN || beam.is_empty() {
                 break;
             }
             beam = self.deepen(&beam);
-            stale += 1;
+            depths_without_gain += 1;
             let Some(first) = beam.first() else { break };
             if first.cost < best_cost {
                 best_cost = first.cost;
-                stale = 0;
+                depths_without_gain = 0;
                 best = Some(first.clone());
             }
         }
         best
     }
 
-    /// The cheapest states one change further.
+    /// The cheapest states reached by one more change.
     fn deepen(&self, beam: &[State]) -> Vec<State> {
         let mut cheapest = Cheapest { found: Vec::new(), width: self.beam.width };
         for (from, state) in beam.iter().enumerate() {
@@ -189,11 +191,12 @@
         let mut score = state.score.clone();
         let moves = self.moves_after(state, change);
         score.apply(change);
-        let cost = score.predicted() + self.price * moves as f64;
+        let cost = score.predicted() + self.min_gain_per_move * moves as f64;
         State { score, moves, cost }
     }
 
-    /// Weights to load after one more change; fewer than before if it takes one back.
+    /// Number of weights to load after one more change; decreases if the change reverts an earlier
+    /// one.
     fn moves_after(&self, state: &State, change: &Change) -> usize {
         let delta = |(slot, expert): Write| {
             let rank = state.score.rank_of(slot);
@@ -212,12 +215,12 @@
         for rank in state.score.slowest(self.beam.hot_ranks) {
             for slot in state.score.slots_of(rank) {
                 self.replace(from, state, slot, cheapest);
-                self.share_out(from, state, slot, cheapest);
+                self.swap_or_add(from, state, slot, cheapest);
             }
         }
     }
 
-    /// Drops a replica from a hot rank for any other expert.
+    /// Replaces a replica on a hot rank by any other expert.
     fn replace(&self, from: usize, state: &State, slot: Slot, cheapest: &mut Cheapest) {
         let score = &state.score;
         if score.replicas(score.expert_in(slot)) < 2 {
@@ -225,14 +228,14 @@
         }
         let rank = score.rank_of(slot);
         for expert in 0..state.score.expert_count() {
-            if !state.score.stands_on(expert, rank) && state.score.relieves(slot, expert, 1) {
-                self.weigh_replace(from, state, (slot, expert), cheapest);
+            if !state.score.is_placed_on(expert, rank) && state.score.relieves(slot, expert, 1) {
+                self.evaluate_replace(from, state, (slot, expert), cheapest);
             }
         }
     }
 
-    /// Exchanges the slot of a hot rank with one elsewhere, or adds a replica there.
-    fn share_out(&self, from: usize, state: &State, slot: Slot, cheapest: &mut Cheapest) {
+    /// Swaps an expert of a hot rank with one on another rank, or adds a replica there.
+    fn swap_or_add(&self, from: usize, state: &State, slot: Slot, cheapest: &mut Cheapest) {
         let expert = state.score.expert_in(slot);
         let rank = state.score.rank_of(slot);
         let mut halves: Vec<Option<Values>> = vec![None; usize::from(state.score.expert_count())];
@@ -241,10 +244,10 @@
         for other in 0..score.slot_count() {
             let resident = score.expert_in(other);
             let host = score.rank_of(other);
-            if host == rank || score.stands_on(expert, host) {
+            if host == rank || score.is_placed_on(expert, host) {
                 continue;
             }
-            let swaps = !score.stands_on(resident, rank)
+            let swaps = !score.is_placed_on(resident, rank)
                 && score.relieves(slot, resident, 0)
                 && score.fits(other, expert, 0, rank);
             let adds = score.replicas(resident) > 1 && score.fits(other, expert, 1, rank);
@@ -252,24 +255,24 @@
                 let half = halves[usize::from(resident)]
                     .get_or_insert_with(|| score.half_swap(slot, resident));
                 let change = Change::Swap((slot, resident), (other, expert));
-                let weigh = |limit| score.after_swap(half, (other, expert), limit);
-                self.weigh(from, state, change, weigh, cheapest);
+                let evaluate = |limit| score.after_swap(half, (other, expert), limit);
+                self.evaluate(from, state, change, evaluate, cheapest);
             }
             if adds {
                 let write = (other, expert);
-                let weigh = |limit| score.after_add(&half_add, write, limit);
-                self.weigh(from, state, Change::Replace(write), weigh, cheapest);
+                let evaluate = |limit| score.after_add(&half_add, write, limit);
+                self.evaluate(from, state, Change::Replace(write), evaluate, cheapest);
             }
         }
     }
 
-    fn weigh_replace(&self, from: usize, state: &State, write: Write, cheapest: &mut Cheapest) {
-        let weigh = |limit| state.score.after_replace(write, limit);
-        self.weigh(from, state, Change::Replace(write), weigh, cheapest);
+    fn evaluate_replace(&self, from: usize, state: &State, write: Write, cheapest: &mut Cheapest) {
+        let evaluate = |limit| state.score.after_replace(write, limit);
+        self.evaluate(from, state, Change::Replace(write), evaluate, cheapest);
     }
 
-    /// Offers a change with what it is predicted to make of the step time, below a limit.
-    fn weigh<Predict>(
+    /// Offers a change as candidate if its predicted cost is below the limit.
+    fn evaluate<Predict>(
         &self,
         from: usize,
         state: &State,
@@ -283,8 +286,8 @@
         if moves > self.max_moves {
             return;
         }
-        let paid = self.price * moves as f64;
-        let Some(predicted) = predict(cheapest.limit() - paid) else { return };
-        cheapest.offer(Candidate { cost: predicted + paid, from, change });
+        let move_cost = self.min_gain_per_move * moves as f64;
+        let Some(predicted) = predict(cheapest.limit() - move_cost) else { return };
+        cheapest.offer(Candidate { cost: predicted + move_cost, from, change });
     }
 }
--- a/crates/policy/src/rebalance/speed.rs
+++ b/crates/policy/src/rebalance/speed.rs
@@ -1,36 +1,37 @@
-//! Speeds of a group's ranks, from what they did and how long they were busy with it.
+//! Speeds of a group's ranks, from the tokens they processed and the time they were busy.
 
-/// Samples that must agree before a rank counts as slow, or as recovered: a single one may come
-/// from a report that was cut short or counted twice.
-const AGREEING: usize = 2;
+/// Samples that must agree before a rank counts as slow or as recovered. A single one may come from
+/// a report that was truncated or counted twice.
+const AGREEING_SAMPLES: usize = 2;
 
-/// Smallest lag behind the other ranks that counts.
+/// Smallest lag behind the median rate that counts as slow.
 const MIN_LAG: f64 = 0.15;
 
-/// Standard deviations of the samples that a lag must exceed.
-const DEVIATIONS: f64 = 4.0;
+/// Number of standard deviations of the samples that a lag must exceed.
+const LAG_DEVIATIONS: f64 = 4.0;
 
-/// Part of that lag by which the speed of a rank that is known to be slow may be off.
-const SLOW_STEP: f64 = 3.0;
+/// Divisor of the lag for a rank already known to be slow, whose speed is adjusted in smaller
+/// steps.
+const SLOW_STEP_DIVISOR: f64 = 3.0;
 
-/// Median distance of two normal numbers in standard deviations.
+/// Median distance between two normal samples, in standard deviations.
 const MEDIAN_DISTANCE: f64 = 0.954;
 
-/// Intervals whose distances tell the noise.
+/// Number of intervals from whose distances the noise is estimated.
 const NOISE_INTERVALS: usize = 3;
 
-/// Intervals without a sample after which nothing is known of a rank any more.
-const FORGET_AFTER: u32 = 6;
+/// Consecutive intervals without a sample after which a rank's state is reset.
+const MAX_MISSED_INTERVALS: u32 = 6;
 
-/// Slowest speed that is believed.
+/// Lower bound of the estimated speed.
 const MIN_SPEED: f64 = 0.1;
 
-/// What a rank did between two reports.
+/// Work of a rank between two reports.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Work {
-    /// Tokens its experts worked on.
+    /// Tokens that its experts processed.
     pub tokens: f64,
-    /// Time it was busy with them, without waiting for others.
+    /// Time that it was busy with them, excluding waits for other ranks.
     pub busy_us: f64,
 }
 
@@ -47,34 +48,34 @@
         Self { speed: 1.0, samples: Vec::new(), missed: 0 }
     }
 
-    /// Takes in a sample; tells its distance from the one before.
+    /// Records a sample and returns its distance from the previous one.
     fn observe(&mut self, sample: f64) -> Option<f64> {
         self.missed = 0;
         let before = self.samples.last().copied();
         self.samples.push(sample);
-        if self.samples.len() > AGREEING {
+        if self.samples.len() > AGREEING_SAMPLES {
             self.samples.remove(0);
         }
         before.map(|before| (sample - before).abs())
     }
 
-    fn miss(&mut self) {
+    fn record_missed(&mut self) {
         self.missed += 1;
-        if self.missed >= FORGET_AFTER {
+        if self.missed >= MAX_MISSED_INTERVALS {
             *self = Self::new();
         }
     }
 
-    fn judge(&mut self, lag: f64) {
-        if self.samples.len() < AGREEING {
+    fn update_speed(&mut self, lag: f64) {
+        if self.samples.len() < AGREEING_SAMPLES {
             return;
         }
         let all = |test: &dyn Fn(f64) -> bool| self.samples.iter().all(|sample| test(*sample));
         let mean = self.samples.iter().sum::<f64>() / self.samples.len() as f64;
         let speed = self.speed;
-        let step = if speed < 1.0 { lag / SLOW_STEP } else { lag };
-        // Between the two bounds a rank stays what it was: one that is just at a bound would
-        // otherwise have its experts moved to and fro.
+        let step = if speed < 1.0 { lag / SLOW_STEP_DIVISOR } else { lag };
+        // Hysteresis: between the two bounds a rank keeps its speed. Otherwise the experts of a
+        // rank close to a bound would be moved back and forth.
         if speed < 1.0 && all(&|sample| sample > 1.0 - lag / 2.0) {
             self.speed = 1.0;
         } else if all(&|sample| sample < speed - step) || all(&|sample| sample > speed + step) {
@@ -83,8 +84,8 @@
     }
 }
 
-/// The speeds of a group's ranks relative to the group's median, 1 unless a rank lags behind for
-/// sure.
+/// Speeds of a group's ranks relative to the group's median. A rank's speed is 1 unless it lags
+/// behind significantly.
 ///
 /// ```
 /// use flamingowheel_policy::rebalance::{RankSpeeds, Work};
@@ -101,20 +102,20 @@
 }
 
 impl RankSpeeds {
-    /// All ranks count as 1 until they report.
+    /// Starts with a speed of 1 for all ranks.
     pub fn new(ranks: usize) -> Self {
         Self { ranks: vec![Rank::new(); ranks], distances: Vec::new() }
     }
 
-    /// Takes in what each rank did in an interval; `None` for one that did not report.
+    /// Records the work of each rank in an interval; `None` for a rank that did not report.
     pub fn observe(&mut self, work: &[Option<Work>]) {
         let rates: Vec<Option<f64>> = work.iter().map(|work| rate((*work)?)).collect();
-        let Some(usual) = median(rates.iter().flatten().copied().collect()) else { return };
+        let Some(median_rate) = median(rates.iter().flatten().copied().collect()) else { return };
         let mut distances = Vec::new();
         for (rank, rate) in self.ranks.iter_mut().zip(&rates) {
             match rate {
-                Some(rate) => distances.extend(rank.observe(rate / usual)),
-                None => rank.miss(),
+                Some(rate) => distances.extend(rank.observe(rate / median_rate)),
+                None => rank.record_missed(),
             }
         }
         self.distances.push(distances);
@@ -122,20 +123,20 @@
             self.distances.remove(0);
         }
         let lag = self.lag();
-        self.ranks.iter_mut().for_each(|rank| rank.judge(lag));
+        self.ranks.iter_mut().for_each(|rank| rank.update_speed(lag));
     }
 
-    /// The speed of each rank.
+    /// The speed of each rank relative to the median, at most 1.
     pub fn speeds(&self) -> Vec<f64> {
         self.ranks.iter().map(|rank| rank.speed).collect()
     }
 
-    /// The lag that noise does not explain. A rank that is slow for good has steady samples, so
-    /// its slowness is not taken for noise.
+    /// The smallest lag that noise does not explain. The samples of a permanently slow rank are
+    /// steady, so its slowness doesn't count as noise.
     fn lag(&self) -> f64 {
         let distances = self.distances.iter().flatten().copied().collect();
         let deviation = median(distances).unwrap_or(0.0) / MEDIAN_DISTANCE;
-        (DEVIATIONS * deviation).max(MIN_LAG)
+        (LAG_DEVIATIONS * deviation).max(MIN_LAG)
     }
 }
 
@@ -144,7 +145,7 @@
     (rate.is_finite() && rate > 0.0).then_some(rate)
 }
 
-/// The upper median, so that of two ranks the faster one is the measure.
+/// The upper median, so that of two ranks the faster one is the reference.
 fn median(mut values: Vec<f64>) -> Option<f64> {
     values.sort_by(f64::total_cmp);
     values.get(values.len() / 2).copied()
