--- a/crates/ranks/src/collect.rs
+++ b/crates/ranks/src/collect.rs
@@ -41,8 +41,8 @@
 /// assert!(max_direct_agents(3_072, 750_000) < 95);
 /// ```
 pub fn max_direct_agents(counts: usize, link_bytes_per_s: u64) -> usize {
-    let each_bytes_per_s = counts.max(1) as f64 * COUNT_BYTES / COUNTS_INTERVAL.as_secs_f64();
-    (link_bytes_per_s as f64 * LINK_SHARE / each_bytes_per_s) as usize
+    let agent_bytes_per_s = counts.max(1) as f64 * COUNT_BYTES / COUNTS_INTERVAL.as_secs_f64();
+    (link_bytes_per_s as f64 * LINK_SHARE / agent_bytes_per_s) as usize
 }
 
 /// Which agents send choices to the coordinator and which to collectors, by the agents' addresses.
@@ -64,8 +64,8 @@
 }
 
 impl AgentAssignment {
-    /// Returns the requests that bring the agent from the part `sent`, which it was sent last, to
-    /// this one.
+    /// Returns the requests that change the agent's assignment from `sent`, the one that it was sent
+    /// last, to this one.
     pub fn requests(&self, sent: &(Subscription, Arc<Vec<SocketAddr>>)) -> Vec<AgentRequest> {
         let mut requests = Vec::new();
         if self.members != sent.1
@@ -109,7 +109,7 @@
             assignment.direct = agents.into_iter().map(|(_, _, agent)| agent).collect();
             return assignment;
         }
-        let members = (2.0 * agents.len() as f64).sqrt().ceil() as usize;
+        let max_part_size = (2.0 * agents.len() as f64).sqrt().ceil() as usize;
         let mut by_data_centre: BTreeMap<Arc<str>, BTreeMap<usize, SocketAddr>> = BTreeMap::new();
         for (data_centre, rank, agent) in agents {
             by_data_centre.entry(data_centre).or_default().insert(rank, agent);
@@ -117,7 +117,7 @@
         for agents in by_data_centre.into_values() {
             let agents: Vec<SocketAddr> = agents.into_values().collect();
             // Equal parts instead of full ones and a small remainder.
-            let parts = agents.len().div_ceil(members);
+            let parts = agents.len().div_ceil(max_part_size);
             for part in agents.chunks(agents.len().div_ceil(parts)) {
                 let Some((collector, others)) = part.split_first() else {
                     continue;
@@ -128,7 +128,7 @@
         assignment
     }
 
-    /// Returns the part of one agent.
+    /// Returns the assignment of one agent.
     pub fn for_agent(&self, agent: SocketAddr) -> AgentAssignment {
         if let Some(members) = self.collectors.get(&agent) {
             return AgentAssignment {
@@ -198,8 +198,8 @@
                 () = flush => flush_at = Some(Instant::now()),
             }
             let is_due = flush_at.is_some_and(|at| at <= Instant::now());
-            let is_whole = usize::from(sum.ranks) > connected.len();
-            if is_due || is_whole {
+            let is_complete = usize::from(sum.ranks) > connected.len();
+            if is_due || is_complete {
                 flush_at = None;
                 if let Some(choices) = sum.take() {
                     // Fails only while no coordinator is connected.
@@ -234,8 +234,8 @@
             let (identity, choices) = (self.identity.clone(), choices.clone());
             tokio::spawn(async move {
                 let serve = |link| forward_choices(link, choices.clone());
-                let keeping = keep_connected(agent, &identity, serve);
-                stop.run_until_cancelled(keeping).await;
+                let connection = keep_connected(agent, &identity, serve);
+                stop.run_until_cancelled(connection).await;
             });
         }
     }
@@ -246,8 +246,8 @@
         return Reconnect::Yes;
     }
     while let Some(update) = link.receiver.recv().await {
-        if let RankUpdate::Choices(choices_update) = update
-            && choices.send(choices_update).await.is_err()
+        if let RankUpdate::Choices(counts) = update
+            && choices.send(counts).await.is_err()
         {
             return Reconnect::No;
         }
--- a/crates/ranks/src/coordinator.rs
+++ b/crates/ranks/src/coordinator.rs
@@ -56,7 +56,7 @@
 /// prepared.
 const VERSION_SPREAD: u64 = 1 << 20;
 
-/// The coordinator of one group. It does nothing until its own engine reports that it is rank 0.
+/// The coordinator of one group. It does nothing until the local engine reports that it is rank 0.
 #[derive(Debug)]
 pub struct Coordinator<K> {
     /// Finds the engines of the group.
@@ -251,8 +251,8 @@
         let assignment =
             group.assignment(self.local_address, self.peers.port, self.link_bytes_per_s);
         self.assignment.send_if_modified(|current| {
-            let is_other = **current != assignment;
-            if is_other {
+            let has_changed = **current != assignment;
+            if has_changed {
                 tracing::info!(
                     group = group.name,
                     sources = assignment.sources(),
@@ -261,7 +261,7 @@
                 );
                 *current = Arc::new(assignment);
             }
-            is_other
+            has_changed
         });
     }
 
--- a/crates/ranks/src/engine.rs
+++ b/crates/ranks/src/engine.rs
@@ -191,7 +191,7 @@
         };
         let (map_version, packed) = (held.map_version, Packed::pack(&held.experts));
         let Some(experts) = packed else {
-            tracing::error!("list of experts can't be encoded");
+            tracing::error!("can't encode the list of experts");
             return;
         };
         self.experts_sent_for = Some(map);
@@ -329,14 +329,14 @@
 /// Whether a state must be published at once. Passes and loads change constantly; they are sent
 /// with the periodic progress updates.
 fn needs_state_update(last: &RankState, now: &RankState) -> bool {
-    let unchanged = RankState {
+    let comparable = RankState {
         pass: last.pass,
         running: last.running,
         waiting: last.waiting,
         pace: last.pace,
         ..now.clone()
     };
-    unchanged != *last
+    comparable != *last
 }
 
 /// Returns the counts since `last`; `None` if the engine restarted or the group formed again in
--- a/crates/ranks/src/group.rs
+++ b/crates/ranks/src/group.rs
@@ -50,6 +50,7 @@
     pub(crate) size: usize,
     pub(crate) ranks: BTreeMap<usize, Rank>,
     pub(crate) demand: Option<Demand>,
+    /// Sum of the choices in the current window, by set and expert.
     pub(crate) window: Vec<u64>,
     /// Last pass of the previous window.
     pub(crate) window_pass: Option<u64>,
@@ -60,6 +61,7 @@
     pub(crate) last_switch: Option<(u64, Arc<Map>)>,
     /// Configuration of its service; `None` until it was read.
     pub parameters: Option<ServiceParameters>,
+    /// Engines to whose agents connections were opened.
     pub(crate) connected: HashSet<SocketAddr>,
     /// Engines of the service from the last lookup.
     pub(crate) listed: Vec<SocketAddr>,
--- a/crates/ranks/src/lookup.rs
+++ b/crates/ranks/src/lookup.rs
@@ -52,7 +52,7 @@
     store: K,
     service: String,
     sender: mpsc::Sender<LookupResult>,
-    found: mpsc::Receiver<LookupResult>,
+    results: mpsc::Receiver<LookupResult>,
     reading: Option<JoinHandle<()>>,
 }
 
@@ -62,8 +62,8 @@
 {
     /// Creates a lookup of the engines of `service`; it reads nothing until it is started.
     pub fn new(store: K, service: String) -> Self {
-        let (sender, found) = mpsc::channel(1);
-        Self { store, service, sender, found, reading: None }
+        let (sender, results) = mpsc::channel(1);
+        Self { store, service, sender, results, reading: None }
     }
 
     /// Starts reading, with retries until the store answers, unless a read is in progress.
@@ -74,25 +74,25 @@
         let (store, service) = (self.store.clone(), self.service.clone());
         let sender = self.sender.clone();
         self.reading = Some(tokio::spawn(async move {
-            let mut limit = FIRST_TIMEOUT;
+            let mut timeout = FIRST_TIMEOUT;
             loop {
-                let next_at = Instant::now() + limit;
+                let deadline = Instant::now() + timeout;
                 let reading = read(&store, &service, with_parameters);
-                match timeout_at(next_at, reading).await {
+                match timeout_at(deadline, reading).await {
                     // Fails only when the process is shutting down.
                     Ok(Ok(found)) => return drop(sender.send(found).await),
                     Ok(Err(error)) => tracing::debug!(%error, "can't list backend servers"),
                     Err(_) => tracing::debug!("reading the key-value store timed out"),
                 }
-                sleep_until(next_at.min(Instant::now() + FIRST_TIMEOUT)).await;
-                limit = (limit * 2).min(MAX_TIMEOUT);
+                sleep_until(deadline.min(Instant::now() + FIRST_TIMEOUT)).await;
+                timeout = (timeout * 2).min(MAX_TIMEOUT);
             }
         }));
     }
 
     /// Waits for the result of the read in progress.
     pub async fn next(&mut self) -> Option<LookupResult> {
-        self.found.recv().await
+        self.results.recv().await
     }
 }
 
@@ -150,7 +150,7 @@
     }
 
     /// Writes the group's record, unless an equivalent one was written last, a write is in progress
-    /// or the last one was less than [`PUBLISH_INTERVAL`] ago.
+    /// or the last one was less than `PUBLISH_INTERVAL` ago.
     pub fn publish(&mut self, group: &str, record: GroupRecord) {
         let now = Instant::now();
         let is_early = self.attempted_at.is_some_and(|at| now - at < PUBLISH_INTERVAL);
--- a/crates/ranks/src/pass_times.rs
+++ b/crates/ranks/src/pass_times.rs
@@ -2,7 +2,7 @@
 
 use tokio::time::Instant;
 
-/// Weight of the newest pass time in the moving average, which so spans about ten observations or
+/// Weight of the newest pass time in the moving average, which then spans about ten observations or
 /// one second.
 const PASS_TIME_WEIGHT: f64 = 0.1;
 
--- a/crates/ranks/src/peers.rs
+++ b/crates/ranks/src/peers.rs
@@ -116,8 +116,8 @@
             tokio::spawn(async move {
                 let agent = SocketAddr::new(engine.ip(), peers.port);
                 let serve = |link| peers.serve(engine, agent, link);
-                let keeping = keep_connected(agent, &peers.identity, serve);
-                stop.run_until_cancelled(keeping).await;
+                let connection = keep_connected(agent, &peers.identity, serve);
+                stop.run_until_cancelled(connection).await;
             });
         }
     }
--- a/crates/ranks/src/process.rs
+++ b/crates/ranks/src/process.rs
@@ -58,18 +58,25 @@
 {
     let engine = settings.backend_server.ok_or(StartError::NoBackendServer)?;
     let local_engine = EngineClient::new(engine, LOCAL_ENGINE_TIMEOUT_MS)?;
-    let (targets, watched) = watch::channel(RankTarget::Idle);
+    let (targets, watched_targets) = watch::channel(RankTarget::Idle);
     let (updates, local_updates) = broadcast::channel(UPDATE_CAPACITY);
-    let poller =
-        EnginePoller::new(local_engine.clone(), Polling::LOCAL, watched.clone(), updates.clone());
+    let poller = EnginePoller::new(
+        local_engine.clone(),
+        Polling::LOCAL,
+        watched_targets.clone(),
+        updates.clone(),
+    );
     let snapshot = poller.snapshot();
     tokio::spawn(poller.run());
 
     let identity = identity(settings);
     let port = settings.internal_ports.0;
-    let (members, collected) = watch::channel(Arc::default());
-    let collector =
-        Collector { identity: identity.clone(), members: collected, updates: updates.clone() };
+    let (members, watched_members) = watch::channel(Arc::default());
+    let collector = Collector {
+        identity: identity.clone(),
+        members: watched_members,
+        updates: updates.clone(),
+    };
     tokio::spawn(collector.run());
 
     let listener = TcpListener::bind(SocketAddr::new(settings.ip, port)).await?;
@@ -80,10 +87,10 @@
     tokio::spawn(accept_links(listener, identity.clone(), stop.clone(), serve));
 
     let (peer_sender, peer_updates) = mpsc::channel(PEER_UPDATE_CAPACITY);
-    let (assignment, assigned) = watch::channel(Arc::new(Assignment::default()));
+    let (assignment, watched_assignment) = watch::channel(Arc::new(Assignment::default()));
     let store = StoreClient::new(settings.key_value)?;
     let service = settings.backend_service.clone().unwrap_or_default();
-    let remote_pollers = RemotePollers::new(watched.clone(), peer_sender.clone());
+    let remote_pollers = RemotePollers::new(watched_targets.clone(), peer_sender.clone());
     let coordinator = Coordinator {
         lookup: Lookup::new(store.clone(), service),
         publisher: GroupPublisher::new(store),
@@ -96,8 +103,8 @@
             identity,
             port,
             group: String::new(),
-            targets: watched,
-            assignment: assigned,
+            targets: watched_targets,
+            assignment: watched_assignment,
             updates: peer_sender,
             encodings: Arc::new(EncodingCache::default()),
         },
--- a/crates/ranks/src/remote.rs
+++ b/crates/ranks/src/remote.rs
@@ -1,6 +1,6 @@
 //! Polls the engines of ranks without a living agent from the coordinator's VM.
 //!
-//! Calls between VMs are billed and use the coordinator's link, so only a few ranks are pollers
+//! Calls between VMs are billed and use the coordinator's link, so only a few ranks are polled
 //! this way. The map of a group that lacks more agents is left unchanged.
 
 use crate::engine::{EnginePoller, Polling, UPDATE_CAPACITY};
@@ -12,7 +12,7 @@
 use tokio::sync::{broadcast, mpsc, watch};
 use tokio_util::sync::CancellationToken;
 
-/// Maximum number of ranks that are pollers remotely.
+/// Maximum number of ranks that are polled remotely.
 pub const MAX_REMOTE_RANKS: usize = 8;
 
 /// Timeout of calls to the engines. On a slow link, sending a complete map takes 40 ms.
--- a/crates/ranks/src/rescue.rs
+++ b/crates/ranks/src/rescue.rs
@@ -41,11 +41,11 @@
     else {
         return;
     };
-    let Some(holder) = clients.first() else {
+    let Some(held_engine) = clients.first() else {
         return;
     };
     // Calls between VMs are billed, and without a hold there is nothing to finish.
-    let is_held = match holder.report().await {
+    let is_held = match held_engine.report().await {
         Ok(report) => report.held_pass.is_some(),
         Err(error) => {
             tracing::info!(%error, "can't read the report of rank 0");
@@ -62,15 +62,15 @@
         };
         let (epoch, pass) = match find_unfinished(&states) {
             Some(UnfinishedSwitch::Armed { epoch, version, pass }) => {
-                let lacking: Vec<usize> = (0..states.len())
+                let unarmed: Vec<usize> = (0..states.len())
                     .filter(|rank| !is_armed(&states[*rank], version, pass))
                     .collect();
-                for rank in &lacking {
+                for rank in &unarmed {
                     let answer =
                         clients[*rank].send_order(epoch, &MapOrder::Arm { version, pass }).await;
                     tracing::info!(rank, version, pass, ?answer, "armed by another rank");
                 }
-                if !lacking.is_empty() {
+                if !unarmed.is_empty() {
                     continue;
                 }
                 (epoch, pass)
@@ -78,7 +78,7 @@
             Some(UnfinishedSwitch::Held { epoch, pass }) => (epoch, pass),
             None => return,
         };
-        let answer = holder.send_order(epoch, &MapOrder::Release { pass }).await;
+        let answer = held_engine.send_order(epoch, &MapOrder::Release { pass }).await;
         tracing::info!(epoch, pass, ?answer, "released by another rank");
     }
 }
@@ -91,6 +91,7 @@
         states.push(rank_state(&report)?);
     }
     let epoch = states.first()?.epoch;
-    let is_whole = states.iter().enumerate().all(|(rank, s)| s.rank == rank && s.epoch == epoch);
-    is_whole.then_some(states)
+    let is_consistent =
+        states.iter().enumerate().all(|(rank, s)| s.rank == rank && s.epoch == epoch);
+    is_consistent.then_some(states)
 }
--- a/crates/ranks/src/switch.rs
+++ b/crates/ranks/src/switch.rs
@@ -38,9 +38,9 @@
 /// assert_eq!(passes_ahead(100.0, 180.0), 2);
 /// ```
 pub fn passes_ahead(arming_ms: f64, pass_ms: f64) -> u64 {
-    let (least, most) = PASSES_AHEAD;
+    let (min, max) = PASSES_AHEAD;
     let passes = (arming_ms * ARMING_TIME_FACTOR / pass_ms.max(1.0)).ceil();
-    (1 + passes as u64).clamp(least, most)
+    (1 + passes as u64).clamp(min, max)
 }
 
 /// Version that marks a switch as abandoned. It is the version of the first map, which is never
--- a/crates/ranks/tests/switch.rs
+++ b/crates/ranks/tests/switch.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn switch_whole_life() {
+fn switch_all_phases() {
     let mut ranks = ranks(2);
     prepared(&mut ranks);
     let holding = preparing().advance(&ranks, FIRST_PASSES_AHEAD).unwrap();
