--- a/crates/gateway/src/events.rs
+++ b/crates/gateway/src/events.rs
@@ -27,8 +27,8 @@
     /// ```
     /// use flamingowheel_gateway::events::EventSplitter;
     /// let mut splitter = EventSplitter::default();
-    /// let whole = splitter.push(b"id: 4\ndata: a\n\nid: 5\nda").unwrap();
-    /// assert_eq!(&whole[..], b"id: 4\ndata: a\n\n");
+    /// let complete = splitter.push(b"id: 4\ndata: a\n\nid: 5\nda").unwrap();
+    /// assert_eq!(&complete[..], b"id: 4\ndata: a\n\n");
     /// assert_eq!(splitter.last_id(), Some(4));
     /// ```
     pub fn push(&mut self, bytes: &[u8]) -> Result<Bytes, EventTooLarge> {
@@ -42,10 +42,10 @@
             }
             return Ok(Bytes::new());
         };
-        let whole = self.pending.split_to(end).freeze();
+        let complete = self.pending.split_to(end).freeze();
         self.scanned_bytes = self.pending.len();
-        self.last_id = last_event_id(&whole).or(self.last_id);
-        Ok(whole)
+        self.last_id = last_event_id(&complete).or(self.last_id);
+        Ok(complete)
     }
 
     /// The id of the last complete event; `None` if events have no ids.
--- a/crates/gateway/src/feed/reader.rs
+++ b/crates/gateway/src/feed/reader.rs
@@ -208,9 +208,9 @@
     fn update_topology(&mut self) {
         let members = Arc::clone(&self.members.borrow_and_update());
         let hello = &self.identity.hello;
-        let places =
+        let entry_refs =
             members.iter().map(|(vm, peer)| EntryRef { data_centre: &peer.data_centre, name: vm });
-        let topology = Topology::new(places);
+        let topology = Topology::new(entry_refs);
         let sources = topology.sources(&hello.data_centre, &hello.vm);
         self.preferred = sources.into_iter().map(str::to_owned).collect();
         self.is_among_followers = topology.followers().contains(&hello.vm.as_str());
@@ -239,11 +239,11 @@
         if is_needed && self.sources.values().any(|source| source.sends_statuses(now)) {
             return;
         }
-        let is_fresh = |vm: &&String| {
+        let is_candidate = |vm: &&String| {
             let source = self.sources.get(*vm);
             source.is_some_and(|s| s.last_head.is_some() && s.statuses_requested_at.is_none())
         };
-        let next = self.preferred.iter().filter(|_| is_needed).find(is_fresh).cloned();
+        let next = self.preferred.iter().filter(|_| is_needed).find(is_candidate).cloned();
         for (vm, source) in &mut self.sources {
             if Some(vm) == next.as_ref() {
                 // If the queue is full, the next tick tries again.
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -31,7 +31,7 @@
 
 /// Largest answer that is buffered before its head is sent on, in bytes. If such an answer breaks
 /// off, it can be replaced by another server's; larger ones are relayed as they arrive.
-const MAX_WHOLE_ANSWER_BYTES: u64 = 256 * 1024;
+const MAX_BUFFERED_ANSWER_BYTES: u64 = 256 * 1024;
 
 /// Time limit for receiving a caller's body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
@@ -219,13 +219,13 @@
             let admission = admission.as_ref();
             match balance::choose(&self.view(), &exchange.service, tried, admission, now) {
                 Choice::Busy(fullness) => {
-                    let Fullness { crowding, own_requests, bound, pass_ms } = fullness;
+                    let Fullness { crowding, own_requests, limit, pass_ms } = fullness;
                     let retry_after_ms = passes::retry_after_ms(crowding, pass_ms, draw);
                     tracing::info!(
                         request = exchange.head.attempt_id,
                         crowding,
                         own = own_requests,
-                        bound,
+                        bound = limit,
                         pass_ms,
                         retry_after_ms,
                         "every group is full"
@@ -497,6 +497,6 @@
 }
 
 async fn collect(body: Incoming) -> Option<Bytes> {
-    let limited = Limited::new(body, MAX_WHOLE_ANSWER_BYTES as usize);
+    let limited = Limited::new(body, MAX_BUFFERED_ANSWER_BYTES as usize);
     limited.collect().await.ok().map(http_body_util::Collected::to_bytes)
 }
--- a/crates/gateway/src/group.rs
+++ b/crates/gateway/src/group.rs
@@ -24,7 +24,7 @@
 #[derive(Debug, Default)]
 struct Observed {
     pass_times: PassTime,
-    bound: BatchLimit,
+    batch_limit: BatchLimit,
     /// How pass time grows with requests; `None` until the engines' parameters are known.
     model: Option<PassModel>,
     /// The last report of the group's coordinator.
@@ -76,7 +76,7 @@
     /// Longest pause between events that meets the route's goal, in milliseconds.
     pub pause_goal_ms: f64,
     /// Random number between 0 and 1, so that requests of the same moment are not all refused at
-    /// the same bound.
+    /// the same limit.
     pub draw: f64,
 }
 
@@ -89,7 +89,7 @@
     pub own_requests: u32,
     /// Limit on this entry's requests, derived from the longest passes of the last seconds; `None`
     /// if not known.
-    pub bound: Option<f64>,
+    pub limit: Option<f64>,
     /// Mean pass time, in milliseconds; 0 if there was no recent pass.
     pub pass_ms: f64,
 }
@@ -199,11 +199,12 @@
         let own_requests = self.in_flight();
         let pass_ms = observed.pass_times.mean_ms(at).unwrap_or(0.0);
         let model = observed.model.as_ref();
-        let bound = model.and_then(|m| observed.bound.max_requests(admission.pause_goal_ms, m, at));
+        let limit =
+            model.and_then(|m| observed.batch_limit.max_requests(admission.pause_goal_ms, m, at));
         let by_number =
-            bound.map_or(0.0, |bound| batch::crowding(own_requests, bound, admission.draw));
+            limit.map_or(0.0, |limit| batch::crowding(own_requests, limit, admission.draw));
         let crowding = by_number.max(pass_ms / admission.pass_limit_ms.max(1.0));
-        Fullness { crowding, own_requests, bound, pass_ms }
+        Fullness { crowding, own_requests, limit, pass_ms }
     }
 
     /// Expected cost of a request in the group: grows with its pass time and this entry's requests
@@ -226,9 +227,9 @@
         let at = now - self.origin;
         let mut observed = self.lock();
         observed.pass_times.observe(pause_ms, at);
-        let Observed { pass_times, bound, model, .. } = &mut *observed;
+        let Observed { pass_times, batch_limit, model, .. } = &mut *observed;
         if let Some((pass_ms, model)) = pass_times.mean_ms(at).zip(model.as_ref()) {
-            bound.observe(pass_ms, self.in_flight(), model, at);
+            batch_limit.observe(pass_ms, self.in_flight(), model, at);
         }
     }
 
@@ -236,7 +237,7 @@
     pub fn reset(&self) {
         let mut observed = self.lock();
         observed.pass_times = PassTime::default();
-        observed.bound = BatchLimit::default();
+        observed.batch_limit = BatchLimit::default();
         observed.report = None;
     }
 
--- a/crates/gateway/src/process.rs
+++ b/crates/gateway/src/process.rs
@@ -116,26 +116,32 @@
     views: Views,
 ) -> Result<(), std::io::Error> {
     let mirror = Arc::new(Mirror::default());
-    let (members, listed) = watch::channel(Arc::default());
-    let (coordinators, coordinating) = watch::channel(Arc::default());
-    let (statuses, status) = watch::channel(Arc::default());
+    let (members, members_receiver) = watch::channel(Arc::default());
+    let (coordinators, coordinators_receiver) = watch::channel(Arc::default());
+    let (statuses, statuses_receiver) = watch::channel(Arc::default());
     let (follows, should_follow) = watch::channel(false);
     let agent_port = settings.internal_ports.0;
-    let outputs = Outputs { members, coordinators, statuses: status.clone(), agent_port };
+    let outputs =
+        Outputs { members, coordinators, statuses: statuses_receiver.clone(), agent_port };
     let (vm, data_centre) = (&settings.vm, &settings.data_centre);
     let identity = Identity::without_secret(vm, data_centre, Role::Entry, feed::TIMING);
     let listener = TcpListener::bind(address).await?;
     let served_mirror = Arc::clone(&mirror);
-    let serve_link = move |link| server::serve(link, Arc::clone(&served_mirror), status.clone());
+    let serve_link =
+        move |link| server::serve(link, Arc::clone(&served_mirror), statuses_receiver.clone());
     tokio::spawn(accept_links(listener, identity.clone(), CancellationToken::new(), serve_link));
     tokio::spawn(Publisher::new(Arc::clone(&mirror), views, outputs).run());
     tokio::spawn(
         StoreFollower::new(store.clone(), Arc::clone(&mirror), should_follow.clone()).run(),
     );
-    let groups =
-        GroupListener::new(identity.clone(), coordinating, should_follow, statuses.clone());
+    let groups = GroupListener::new(
+        identity.clone(),
+        coordinators_receiver,
+        should_follow,
+        statuses.clone(),
+    );
     tokio::spawn(groups.run());
-    tokio::spawn(Reader::new(identity, mirror, listed, follows, statuses).run());
+    tokio::spawn(Reader::new(identity, mirror, members_receiver, follows, statuses).run());
     Ok(())
 }
 
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Waits for whole events.
+    /// Waits for complete events.
     async fn step(&mut self) -> Step {
         let (server, group) = (self.in_flight.server(), self.in_flight.group());
         let detector = self.gateway.silence_detector(Arc::clone(server), group.cloned());
--- a/crates/gateway/tests/feed.rs
+++ b/crates/gateway/tests/feed.rs
@@ -124,7 +124,7 @@
 /// More keys were deleted than deletions are kept. An entry that lacks one of the oldest must get
 /// all keys, or that key would stay for good.
 #[test]
-fn delta_after_forgotten_deletions() {
+fn delta_after_pruned_deletions() {
     let (from, to, now) = (Mirror::default(), Mirror::default(), Instant::now());
     from.apply_event(put("first", "1", 1));
     from.apply_event(progress(1));
--- a/crates/protocol/src/message.rs
+++ b/crates/protocol/src/message.rs
@@ -339,7 +339,7 @@
         #[serde(rename = "l")]
         occupancy: Occupancy,
     },
-    /// Periodic report, also sent at once when something in it changes.
+    /// Sent once a second, and sooner when something in it changes.
     #[serde(rename = "b")]
     Heartbeat {
         /// The agent's current load.
