--- a/crates/entry/src/addresses.rs
+++ b/crates/entry/src/addresses.rs
@@ -126,7 +126,7 @@
     }
 
     /// Whether the fleet is so small that every entry stands before all backend servers.
-    pub fn takes_all_entries(&self) -> bool {
+    pub fn uses_all_entries(&self) -> bool {
         self.cells.uses_all_entries()
     }
 
--- a/crates/entry/src/agents.rs
+++ b/crates/entry/src/agents.rs
@@ -135,7 +135,7 @@
     }
 
     /// How long ago its last heartbeat came.
-    pub fn heard_ago(&self) -> Duration {
+    pub fn since_heartbeat(&self) -> Duration {
         self.heard.lock().unwrap_or_else(PoisonError::into_inner).elapsed()
     }
 
@@ -187,7 +187,7 @@
 
     /// Sends a request of the group's coordinator and waits for the answer; `None` if there is no
     /// connection, or it ends first. The caller bounds the wait.
-    pub async fn order(&self, body: Bytes) -> Option<Bytes> {
+    pub async fn send_order(&self, body: Bytes) -> Option<Bytes> {
         let connected = self.connected()?;
         let number = self.order_number.fetch_add(1, Ordering::Relaxed);
         let (sender, answer) = oneshot::channel();
--- a/crates/entry/src/claims.rs
+++ b/crates/entry/src/claims.rs
@@ -9,7 +9,7 @@
 mod handing;
 mod writer;
 
-pub use handing::{Handed, Handing, Peers, Settled, writer_of};
+pub use handing::{BindReply, ForwardedClaim, Handing, Peers, writer_of};
 
 use crate::config::EntryConfig;
 use flamingowheel_backing::kv::{Compare, KeyValue, KeyValueError, Revision};
@@ -125,7 +125,7 @@
 
     /// Says how claims are handed to entries that write for others; only the first counts. Without
     /// it this entry writes its own.
-    pub fn hand_to(&self, peers: Arc<dyn Peers>) {
+    pub fn set_peers(&self, peers: Arc<dyn Peers>) {
         let _ = self.handing.set(Handing::new(peers));
     }
 
@@ -164,7 +164,7 @@
     ) -> Result<Claim, ClaimError> {
         let key = record_key(workspace, key);
         let wait = deadline.saturating_duration_since(Instant::now());
-        let handed = Handed { key, claim, replaces, wait_ms: wait.as_millis() as u64 };
+        let handed = ForwardedClaim { key, claim, replaces, wait_ms: wait.as_millis() as u64 };
         if let Some(handing) = self.handing.get()
             && let Some(verdict) = handing.hand(&handed, deadline).await
         {
@@ -174,14 +174,18 @@
     }
 
     /// Binds a key for another entry.
-    pub async fn settle_for(&self, handed: Handed) -> Settled {
+    pub async fn bind_for_peer(&self, handed: ForwardedClaim) -> BindReply {
         let deadline = Instant::now() + Duration::from_millis(handed.wait_ms);
         self.settle_here(handed, deadline).await.into()
     }
 
-    async fn settle_here(&self, handed: Handed, deadline: Instant) -> Result<Claim, ClaimError> {
+    async fn settle_here(
+        &self,
+        handed: ForwardedClaim,
+        deadline: Instant,
+    ) -> Result<Claim, ClaimError> {
         let (bound, answer) = oneshot::channel();
-        let Handed { key, claim, replaces, .. } = handed;
+        let ForwardedClaim { key, claim, replaces, .. } = handed;
         let waiting = Waiting { key, claim, replaces, written_at: None, bound };
         self.queue.try_send(waiting).map_err(|_| ClaimError::Busy)?;
         let answer = timeout_at(deadline, answer).await.map_err(|_| ClaimError::DeadlinePassed)?;
--- a/crates/entry/src/claims/handing.rs
+++ b/crates/entry/src/claims/handing.rs
@@ -24,7 +24,7 @@
 
 /// A claim on its way to its writer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Handed {
+pub struct ForwardedClaim {
     /// Key of the record.
     pub key: String,
     /// What the caller's key is to stand for.
@@ -37,7 +37,7 @@
 
 /// What became of it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Settled {
+pub enum BindReply {
     /// The key stands for this.
     Bound(Claim),
     /// What is stored can't be read.
@@ -46,7 +46,7 @@
     NotBound,
 }
 
-impl Settled {
+impl BindReply {
     /// What the caller's entry makes of it; `None` if it should try to write itself, for it may be
     /// the writer alone that does not reach the service.
     fn verdict(self) -> Option<Result<Claim, ClaimError>> {
@@ -58,7 +58,7 @@
     }
 }
 
-impl From<Result<Claim, ClaimError>> for Settled {
+impl From<Result<Claim, ClaimError>> for BindReply {
     fn from(result: Result<Claim, ClaimError>) -> Self {
         match result {
             Ok(claim) => Self::Bound(claim),
@@ -74,7 +74,11 @@
     fn writer(&self) -> Option<String>;
 
     /// Has an entry bind a key. `None` if it gave no answer that can be read.
-    fn ask<'a>(&'a self, writer: &'a str, handed: &'a Handed) -> BoxFuture<'a, Option<Settled>>;
+    fn forward<'a>(
+        &'a self,
+        writer: &'a str,
+        handed: &'a ForwardedClaim,
+    ) -> BoxFuture<'a, Option<BindReply>>;
 }
 
 /// The entry that writes the claims of `own`, out of the live entries of its region: by rendezvous
@@ -120,14 +124,14 @@
     /// bind the key all the same, to this very claim: the second write then finds what it wanted.
     pub async fn hand(
         &self,
-        handed: &Handed,
+        handed: &ForwardedClaim,
         deadline: Instant,
     ) -> Option<Result<Claim, ClaimError>> {
         let writer = self.peers.writer().filter(|writer| !self.is_avoided(writer))?;
         let asked = Instant::now();
         let limit = deadline.min(asked + HAND_LIMIT);
-        let settled = timeout_at(limit, self.peers.ask(&writer, handed)).await;
-        let verdict = settled.ok().flatten().and_then(Settled::verdict);
+        let settled = timeout_at(limit, self.peers.forward(&writer, handed)).await;
+        let verdict = settled.ok().flatten().and_then(BindReply::verdict);
         // A caller with little time says nothing of the writer.
         let was_patient = limit == asked + HAND_LIMIT || Instant::now() < limit;
         if verdict.is_none() && was_patient {
--- a/crates/entry/src/dispatch.rs
+++ b/crates/entry/src/dispatch.rs
@@ -196,7 +196,7 @@
         let request = journey.request;
         crashed.extend(&journey.tried);
         let (server, agent) = loop {
-            let routed = self.router.route_alone(&request.target, request.fingerprint, &crashed);
+            let routed = self.router.route_isolated(&request.target, request.fingerprint, &crashed);
             let (server, agent) = routed.map_err(|error| journey.no_choice(error))?;
             // Its link may just be opening. One that can't be opened is no place to run at.
             let limit = request.deadline.min(Instant::now() + ALONE_LIMIT);
--- a/crates/entry/src/http/tickets.rs
+++ b/crates/entry/src/http/tickets.rs
@@ -27,7 +27,7 @@
 
 /// A ticket given out.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Issued {
+pub struct IssuedTicket {
     /// Its text, for the ticket header.
     pub ticket: String,
 }
@@ -45,7 +45,7 @@
     match minted {
         Ok(ticket) => {
             let ticket = ticket.to_text(&state.config.fleet_key);
-            (StatusCode::CREATED, Json(Issued { ticket })).into_response()
+            (StatusCode::CREATED, Json(IssuedTicket { ticket })).into_response()
         }
         Err(not_run) => refuse(not_run),
     }
--- a/crates/entry/src/limits.rs
+++ b/crates/entry/src/limits.rs
@@ -31,7 +31,7 @@
 
 /// A loan to be asked for.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Borrowing {
+pub struct OutgoingLoanRequest {
     /// The workspace.
     pub workspace: Arc<str>,
     /// Whom to ask.
@@ -164,8 +164,8 @@
         row.limits.lend(borrower, request, now)
     }
 
-    /// Takes in the answer to a [`Borrowing`].
-    pub fn take_loan(&self, borrowing: &Borrowing, loan: &Loan) {
+    /// Takes in the answer to an [`OutgoingLoanRequest`].
+    pub fn apply_loan(&self, borrowing: &OutgoingLoanRequest, loan: &Loan) {
         let now = self.now();
         if let Some(row) = self.rows().get_mut(&borrowing.workspace) {
             row.limits.on_loan(borrowing.lender, loan, now);
@@ -174,18 +174,18 @@
     }
 
     /// Waits until a request finds no share, or for `longest`.
-    pub async fn wanted(&self, longest: Duration) {
+    pub async fn wait_for_demand(&self, longest: Duration) {
         let _ = tokio::time::timeout(longest, self.wanted.notified()).await;
     }
 
     /// The loans to ask for now. Forgets idle workspaces.
-    pub fn borrowings(&self) -> Vec<Borrowing> {
+    pub fn loan_requests(&self) -> Vec<OutgoingLoanRequest> {
         let now = self.now();
         let mut rows = self.rows();
         rows.retain(|_, row| row.limits.in_flight() > 0 || now < row.used_at + IDLE_LIMIT);
         let ask = |(workspace, row): (&Arc<str>, &mut Row)| {
             let (lender, request) = row.limits.next_loan_request(now)?;
-            Some(Borrowing { workspace: Arc::clone(workspace), lender, request })
+            Some(OutgoingLoanRequest { workspace: Arc::clone(workspace), lender, request })
         };
         rows.iter_mut().filter_map(ask).collect()
     }
@@ -307,12 +307,12 @@
             tokio::spawn(async move { outside.admit(&workspace, &members, 1.0, 1.0).await })
         };
         for _ in 0..3 {
-            outside.wanted(Duration::from_millis(100)).await;
-            for borrowing in outside.borrowings() {
+            outside.wait_for_demand(Duration::from_millis(100)).await;
+            for borrowing in outside.loan_requests() {
                 let (own, request) = (EntryKey(2), &borrowing.request);
                 let loan = inside.lend(&workspace, &members, own, request);
                 tokio::time::advance(Duration::from_millis(20)).await;
-                outside.take_loan(&borrowing, &loan);
+                outside.apply_loan(&borrowing, &loan);
             }
         }
         assert!(asking.await.unwrap().is_ok());
--- a/crates/entry/src/links.rs
+++ b/crates/entry/src/links.rs
@@ -103,7 +103,7 @@
     }
 
     /// Takes the directory of agents.
-    pub fn set_listed(&self, agents: &[Arc<AgentRecord>]) {
+    pub fn set_directory(&self, agents: &[Arc<AgentRecord>]) {
         let mut listed = Listed::default();
         for record in agents {
             let server = ServerKey::from_name(&record.name);
@@ -124,7 +124,7 @@
     }
 
     /// The agents that were connected, are still wanted, and can't be reached.
-    pub fn lost(&self) -> Vec<(Arc<Agent>, Arc<Hello>)> {
+    pub fn disconnected(&self) -> Vec<(Arc<Agent>, Arc<Hello>)> {
         let known = self.shared.known();
         let agents = known.values().map(|(agent, _)| agent);
         let lost = agents.filter(|agent| agent.connected().is_none());
@@ -139,12 +139,12 @@
     }
 
     /// The agent at an address, over a link that is opened if there is none.
-    pub fn call(&self, address: SocketAddr) -> Arc<Agent> {
+    pub fn link_to(&self, address: SocketAddr) -> Arc<Agent> {
         self.shared.call(address)
     }
 
     /// Asks who is at an address, over a connection that is closed again.
-    pub async fn ask_hello(&self, address: SocketAddr) -> Option<Hello> {
+    pub async fn fetch_hello(&self, address: SocketAddr) -> Option<Hello> {
         Some(self.shared.connector.connect(address).await.ok()?.peer)
     }
 }
--- a/crates/entry/src/router.rs
+++ b/crates/entry/src/router.rs
@@ -280,7 +280,7 @@
     }
 
     /// Chooses the one backend server for a request that may have crashed others.
-    pub fn route_alone(
+    pub fn route_isolated(
         &self,
         target: &Target,
         fingerprint: Fingerprint,
--- a/crates/entry/src/supervisor.rs
+++ b/crates/entry/src/supervisor.rs
@@ -129,7 +129,7 @@
     /// from one that was closed.
     fn record_closed(&self, connected: &Connected) {
         let peer = connected.hello.name.as_str().into();
-        let silent = self.agent.heard_ago();
+        let silent = self.agent.since_heartbeat();
         self.recorder.record(match silent >= SILENT_AFTER {
             true => Event::ConnectionSilent { peer, silent_ms: silent.as_millis() as u64 },
             false => Event::ConnectionClosed { peer },
--- a/crates/entry/tests/claims.rs
+++ b/crates/entry/tests/claims.rs
@@ -2,7 +2,7 @@
 
 use flamingowheel_backing::BoxFuture;
 use flamingowheel_backing::fake::FakeKeyValue;
-use flamingowheel_entry::claims::{Claim, Claims, Handed, Peers, Settled};
+use flamingowheel_entry::claims::{BindReply, Claim, Claims, ForwardedClaim, Peers};
 use flamingowheel_entry::config::EntryConfig;
 use flamingowheel_protocol::auth::FleetKey;
 use std::future::pending;
@@ -37,17 +37,21 @@
         Some("writer".to_owned())
     }
 
-    fn ask<'a>(&'a self, _: &'a str, handed: &'a Handed) -> BoxFuture<'a, Option<Settled>> {
+    fn forward<'a>(
+        &'a self,
+        _: &'a str,
+        handed: &'a ForwardedClaim,
+    ) -> BoxFuture<'a, Option<BindReply>> {
         self.asked.fetch_add(1, Ordering::Relaxed);
         Box::pin(async move {
             match self.does {
-                Does::Binds => Some(self.claims.settle_for(handed.clone()).await),
+                Does::Binds => Some(self.claims.bind_for_peer(handed.clone()).await),
                 Does::Nothing => pending().await,
                 Does::BindsUnheard => {
-                    self.claims.settle_for(handed.clone()).await;
+                    self.claims.bind_for_peer(handed.clone()).await;
                     pending().await
                 }
-                Does::Refuses => Some(Settled::NotBound),
+                Does::Refuses => Some(BindReply::NotBound),
             }
         })
     }
@@ -62,7 +66,7 @@
 fn handing(kv: &FakeKeyValue, does: Does) -> (Claims, Arc<Writer>) {
     let (own, asked) = (claims(kv), AtomicU32::new(0));
     let writer = Arc::new(Writer { claims: claims(kv), does, asked });
-    own.hand_to(Arc::<Writer>::clone(&writer));
+    own.set_peers(Arc::<Writer>::clone(&writer));
     (own, writer)
 }
 
--- a/crates/flamingowheeld/src/discovery.rs
+++ b/crates/flamingowheeld/src/discovery.rs
@@ -63,7 +63,7 @@
             tick.tick().await;
             self.note_connected();
             let book = (self.book)();
-            let is_small = book.takes_all_entries();
+            let is_small = book.uses_all_entries();
             self.node.set_list_in_turn(!is_small);
             let read = if is_small || self.is_own_turn() { self.read().await } else { None };
             if let (Some(vms), true) = (&read, is_small) {
@@ -107,7 +107,7 @@
             return;
         }
         let directory = self.node.agents();
-        self.agents.set_listed(&directory);
+        self.agents.set_directory(&directory);
         match book.servers_of(&self.node.own().name) {
             // A leaving entry stands before no cell, and callers still come: it keeps its links.
             Some(servers) if servers.is_empty() => {}
@@ -165,7 +165,7 @@
     }
 
     async fn look_at(&self, address: SocketAddr, known: &HashMap<SocketAddr, &AgentRecord>) {
-        match self.agents.ask_hello(address).await {
+        match self.agents.fetch_hello(address).await {
             Some(hello) if matches!(hello.role, Role::Agent(_)) => {
                 self.node.met_agent(address, &hello);
             }
@@ -185,7 +185,7 @@
         if agent.state == MemberState::Leaving {
             return;
         }
-        let reached = self.agents.call(agent.address);
+        let reached = self.agents.link_to(agent.address);
         let connecting = reached.connected_after(0);
         let Ok(Some(connected)) = tokio::time::timeout(NOTICE_LIMIT, connecting).await else {
             return;
--- a/crates/flamingowheeld/src/entry.rs
+++ b/crates/flamingowheeld/src/entry.rs
@@ -118,7 +118,7 @@
         sample(&recorder, &state, &agents);
         node.set_lender(Arc::new(EntryLender(Arc::clone(&state))));
         node.set_key_binder(Arc::new(EntryBinder(Arc::clone(&state))));
-        state.claims.hand_to(Arc::new(KeyPeers::new(node.clone(), Arc::clone(&peers))));
+        state.claims.set_peers(Arc::new(KeyPeers::new(node.clone(), Arc::clone(&peers))));
         let borrower = borrow(node.clone(), Arc::clone(&state), Arc::clone(&peers));
         let discovery = discovery(settings, Arc::clone(&agents), &state);
         let (publisher, stopped, served) = (Arc::clone(&state), stop.clone(), node.clone());
@@ -230,7 +230,7 @@
             agent_status(agent, &connected.hello, state)
         });
         // An agent that died would otherwise be missing without a word while its VM is listed.
-        let lost = self.0.lost();
+        let lost = self.0.disconnected();
         let lost =
             lost.iter().map(|(agent, hello)| agent_status(agent, hello, ProcessState::Silent));
         connected.chain(lost).collect()
@@ -247,7 +247,7 @@
         // Agents hold no configuration.
         revision: ConfigRevision::default(),
         operators_address: hello.operators,
-        heard_ms_ago: agent.heard_ago().as_millis() as u64,
+        heard_ms_ago: agent.since_heartbeat().as_millis() as u64,
     }
 }
 
--- a/crates/flamingowheeld/src/groups.rs
+++ b/crates/flamingowheeld/src/groups.rs
@@ -297,7 +297,7 @@
         let mut body = Vec::new();
         // Writing plain values into memory can't fail.
         let _ = ciborium::into_writer(&request, &mut body);
-        let answer = agent.order(Bytes::from(body)).await.ok_or(RankError::NoAnswer)?;
+        let answer = agent.send_order(Bytes::from(body)).await.ok_or(RankError::NoAnswer)?;
         ciborium::from_reader(&answer[..]).map_err(|_| RankError::NoAnswer)?
     }
 }
--- a/crates/flamingowheeld/src/keys.rs
+++ b/crates/flamingowheeld/src/keys.rs
@@ -3,7 +3,7 @@
 use flamingowheel_backing::BoxFuture;
 use flamingowheel_control::node::{KeyBinder, Node};
 use flamingowheel_control::transport::PeerTransport;
-use flamingowheel_entry::claims::{Claims, Handed, Peers, Settled, writer_of};
+use flamingowheel_entry::claims::{BindReply, Claims, ForwardedClaim, Peers, writer_of};
 use flamingowheel_entry::state::EntryState;
 use flamingowheel_protocol::peer::{MemberState, PeerAnswer, PeerRequest, StoredValue};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -25,10 +25,10 @@
 
 /// Binds a key for another entry; what can't be read has an empty answer.
 pub async fn bind_for(claims: &Claims, claim: StoredValue) -> StoredValue {
-    let Ok(handed) = serde_json::from_slice::<Handed>(&claim.0) else {
+    let Ok(handed) = serde_json::from_slice::<ForwardedClaim>(&claim.0) else {
         return StoredValue(Vec::new());
     };
-    let settled = claims.settle_for(handed).await;
+    let settled = claims.bind_for_peer(handed).await;
     // Writing plain values to memory can't fail.
     StoredValue(serde_json::to_vec(&settled).unwrap_or_default())
 }
@@ -70,7 +70,11 @@
         writer
     }
 
-    fn ask<'a>(&'a self, writer: &'a str, handed: &'a Handed) -> BoxFuture<'a, Option<Settled>> {
+    fn forward<'a>(
+        &'a self,
+        writer: &'a str,
+        handed: &'a ForwardedClaim,
+    ) -> BoxFuture<'a, Option<BindReply>> {
         Box::pin(async move {
             let address = self.node.address(writer)?;
             let claim = StoredValue(serde_json::to_vec(handed).ok()?);
--- a/crates/flamingowheeld/src/loans.rs
+++ b/crates/flamingowheeld/src/loans.rs
@@ -2,7 +2,7 @@
 
 use flamingowheel_control::node::{Lender, Node};
 use flamingowheel_control::transport::PeerTransport;
-use flamingowheel_entry::limits::Borrowing;
+use flamingowheel_entry::limits::OutgoingLoanRequest;
 use flamingowheel_entry::state::EntryState;
 use flamingowheel_policy::key::EntryKey;
 use flamingowheel_policy::limits::{Loan, LoanRequest};
@@ -34,13 +34,18 @@
 /// Asks for loans for ever.
 pub async fn borrow(node: Node, state: Arc<EntryState>, peers: Arc<dyn PeerTransport>) {
     loop {
-        state.limiter.wanted(INTERVAL).await;
-        let asked = state.limiter.borrowings();
+        state.limiter.wait_for_demand(INTERVAL).await;
+        let asked = state.limiter.loan_requests();
         join_all(asked.iter().map(|borrowing| ask(&node, &state, &*peers, borrowing))).await;
     }
 }
 
-async fn ask(node: &Node, state: &EntryState, peers: &dyn PeerTransport, borrowing: &Borrowing) {
+async fn ask(
+    node: &Node,
+    state: &EntryState,
+    peers: &dyn PeerTransport,
+    borrowing: &OutgoingLoanRequest,
+) {
     let members = node.members();
     let lender =
         members.iter().find(|member| EntryKey::from_name(&member.record.name) == borrowing.lender);
@@ -54,6 +59,6 @@
     // Without an answer nothing was lent as far as this side may assume; the lender's loan ends
     // by itself.
     if let Ok(Ok(PeerAnswer::Loan(loan))) = answer {
-        state.limiter.take_loan(borrowing, &loan);
+        state.limiter.apply_loan(borrowing, &loan);
     }
 }
--- a/crates/flamingowheeld/tests/keys.rs
+++ b/crates/flamingowheeld/tests/keys.rs
@@ -5,7 +5,7 @@
 use flamingowheel_control::node::{KeyBinder, Node};
 use flamingowheel_control::websocket::{WebSocketPeers, serve};
 use flamingowheel_daemon::keys::{KeyPeers, bind_for};
-use flamingowheel_entry::claims::{Claim, Claims, Handed, Peers, Settled, writer_of};
+use flamingowheel_entry::claims::{BindReply, Claim, Claims, ForwardedClaim, Peers, writer_of};
 use flamingowheel_entry::config::EntryConfig;
 use flamingowheel_observe::recorder::Recorder;
 use flamingowheel_protocol::auth::FleetKey;
@@ -81,14 +81,18 @@
     let (writer_node, writer_identity) = node(&writer);
     tokio::spawn(serve(listener, writer_identity, writer_node.clone(), CancellationToken::new()));
     let claim = Claim::new("ticket".to_owned(), "0".to_owned());
-    let handed =
-        Handed { key: "key".to_owned(), claim: claim.clone(), replaces: None, wait_ms: 60_000 };
-    assert_eq!(peers.ask(&writer, &handed).await, None);
+    let handed = ForwardedClaim {
+        key: "key".to_owned(),
+        claim: claim.clone(),
+        replaces: None,
+        wait_ms: 60_000,
+    };
+    assert_eq!(peers.forward(&writer, &handed).await, None);
 
     let kv = FakeKeyValue::new();
     let config = EntryConfig::new(&writer, "a", address, FleetKey::new([1; 32]));
     let claims = Claims::start(Arc::new(kv.clone()), &config);
     writer_node.set_key_binder(Arc::new(Binder(claims)));
-    assert_eq!(peers.ask(&writer, &handed).await, Some(Settled::Bound(claim)));
+    assert_eq!(peers.forward(&writer, &handed).await, Some(BindReply::Bound(claim)));
     assert_eq!(kv.peek("key").entries.len(), 1);
 }
--- a/crates/flamingowheeld/tests/processes/fleet.rs
+++ b/crates/flamingowheeld/tests/processes/fleet.rs
@@ -7,7 +7,7 @@
 use flamingowheel_config::token::TokenHash;
 use flamingowheel_daemon::demo;
 use flamingowheel_daemon::demo::caller::{Caller, Reply};
-use flamingowheel_entry::http::tickets::Issued;
+use flamingowheel_entry::http::tickets::IssuedTicket;
 use flamingowheel_standin::{Connections, engine, kv, service, vms};
 use http::Method;
 use rustix::process::{Pid, Signal, kill_process};
@@ -259,7 +259,7 @@
         let address = self.entry(entry);
         let asked = self.caller.call(Method::POST, address, &path, &[], Default::default());
         let reply = timeout(PATIENCE, asked).await.expect("an answer in time").unwrap();
-        let issued: Issued = serde_json::from_slice(&reply.body).unwrap();
+        let issued: IssuedTicket = serde_json::from_slice(&reply.body).unwrap();
         issued.ticket
     }
 
--- a/crates/proof/benches/outage/keys.rs
+++ b/crates/proof/benches/outage/keys.rs
@@ -6,7 +6,7 @@
 use flamingowheel_backing::kv::{
     KeyValue, KeyValueError, LeaseId, Revision, Snapshot, Transaction, TransactionAnswer, Watch,
 };
-use flamingowheel_entry::claims::{Claim, Claims, Handed, Peers, Settled, writer_of};
+use flamingowheel_entry::claims::{BindReply, Claim, Claims, ForwardedClaim, Peers, writer_of};
 use flamingowheel_entry::config::EntryConfig;
 use flamingowheel_proof::entry::fleet_key;
 use rand::{RngExt, SeedableRng};
@@ -58,11 +58,15 @@
         (writer != self.own).then(|| writer.to_owned())
     }
 
-    fn ask<'a>(&'a self, writer: &'a str, handed: &'a Handed) -> BoxFuture<'a, Option<Settled>> {
+    fn forward<'a>(
+        &'a self,
+        writer: &'a str,
+        handed: &'a ForwardedClaim,
+    ) -> BoxFuture<'a, Option<BindReply>> {
         self.handed.fetch_add(1, Ordering::Relaxed);
         Box::pin(async move {
             sleep(HAND_TIME).await;
-            let settled = self.entries.get(writer)?.settle_for(handed.clone()).await;
+            let settled = self.entries.get(writer)?.bind_for_peer(handed.clone()).await;
             sleep(HAND_TIME).await;
             Some(settled)
         })
@@ -232,7 +236,7 @@
         let peers: Arc<BTreeMap<_, _>> = Arc::new(named.collect());
         for (name, claims) in peers.iter() {
             let (own, entries) = (name.clone(), Arc::clone(&peers));
-            claims.hand_to(Arc::new(Region { own, entries, handed: Arc::clone(handed) }));
+            claims.set_peers(Arc::new(Region { own, entries, handed: Arc::clone(handed) }));
         }
     }
 }
--- a/crates/proof/src/caller.rs
+++ b/crates/proof/src/caller.rs
@@ -6,7 +6,7 @@
 use axum::body::Body;
 use axum::response::Response;
 use bytes::Bytes;
-use flamingowheel_entry::http::tickets::Issued;
+use flamingowheel_entry::http::tickets::IssuedTicket;
 use flamingowheel_entry::http::{
     CHAT_PATH, ENTRIES_PATH, IDEMPOTENCY_KEY_HEADER, OUTCOME_HEADER, TICKET_HEADER, TICKETS_PATH,
     TIMEOUT_HEADER,
@@ -109,7 +109,7 @@
             return None;
         }
         let body = response.into_body().collect().await.ok()?.to_bytes();
-        serde_json::from_slice::<Issued>(&body).ok().map(|issued| issued.ticket)
+        serde_json::from_slice::<IssuedTicket>(&body).ok().map(|issued| issued.ticket)
     };
     tokio::select! {
         biased;
--- a/crates/proof/tests/cells.rs
+++ b/crates/proof/tests/cells.rs
@@ -45,7 +45,7 @@
 async fn world_with_bare_entry() -> World {
     let world = World::start(None).await;
     let bare = &world.entry(1).agents;
-    bare.set_listed(&directory(&world));
+    bare.set_directory(&directory(&world));
     bare.set_vms(&[]);
     sleep(IDLE_LIMIT + Duration::from_secs(1)).await;
     bare.set_vms(&[]);
@@ -148,7 +148,7 @@
     for number in 0..20 {
         let alone = |entry: usize| {
             let routes = &world.entry(entry).routes;
-            routes.route_alone(&target, Fingerprint(number), &[]).unwrap().0
+            routes.route_isolated(&target, Fingerprint(number), &[]).unwrap().0
         };
         assert_eq!(alone(0), alone(1));
     }
