--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -102,7 +102,7 @@
     over: bool,
     listener: StreamListener,
     connected: Connected,
-    reconnect_limit: Duration,
+    reconnect_timeout: Duration,
 }
 
 impl Attempt<Prepared> {
@@ -122,13 +122,13 @@
         self,
         agent: &Arc<Agent>,
         connected: Connected,
-        reconnect_limit: Duration,
+        reconnect_timeout: Duration,
     ) -> Result<Attempt<Sent>, Refusal> {
         let identity = self.identity;
         let listener = agent.listen(identity.attempt);
         let message = EntryMessage::Dispatch(self.stage.dispatch);
         let sender = connected.sender.clone();
-        let mut line = Line { identity, over: false, listener, connected, reconnect_limit };
+        let mut line = Line { identity, over: false, listener, connected, reconnect_timeout };
         if sender.send(message).await.is_err() {
             line.over = true;
             return Err(Refusal::NeverArrived);
@@ -143,10 +143,10 @@
         identity: Identity,
         agent: &Arc<Agent>,
         connected: Connected,
-        reconnect_limit: Duration,
+        reconnect_timeout: Duration,
     ) -> Self {
         let listener = agent.listen(identity.attempt);
-        let line = Line { identity, over: false, listener, connected, reconnect_limit };
+        let line = Line { identity, over: false, listener, connected, reconnect_timeout };
         Self { identity, stage: Sent { line } }
     }
 
@@ -357,7 +357,7 @@
 
     /// Waits for the next connection to the same agent process.
     async fn reconnect(&mut self, deadline: Instant) -> Result<(), AttemptEnd> {
-        let limit = deadline.min(Instant::now() + self.reconnect_limit);
+        let limit = deadline.min(Instant::now() + self.reconnect_timeout);
         let agent = Arc::clone(self.listener.agent());
         let connected = timeout_at(limit, agent.connected_after(self.connected.epoch)).await;
         let Ok(Some(connected)) = connected else { return Err(AttemptEnd::Unreachable) };
--- a/crates/entry/src/claims.rs
+++ b/crates/entry/src/claims.rs
@@ -1,15 +1,16 @@
 //! Binds callers' own idempotency keys to tickets, in the key-value service.
 //!
-//! Two resends of one key may reach two entries at the same moment. Whoever creates the key's
-//! record first decides which ticket it stands for; the ticket's agent then runs the work at most
-//! once. Records that wait are written together, so an entry's calls a second have a bound however
-//! many requests come. Where there are many entries they hand their claims to a few, so that the
-//! fleet's calls have a bound, too. Who writes decides nothing: the comparison does.
-
-mod handing;
+//! Two resends with the same key may reach two entries concurrently. The first to create the key's
+//! record decides which ticket the key is bound to; the ticket's agent then runs the work at most
+//! once. Pending records are written in batches, which bounds an entry's calls per second whatever
+//! the request rate. In a large fleet entries forward their claims to a few writers, which bounds
+//! the calls of the whole fleet. Correctness doesn't depend on which entry writes, only on the
+//! transaction's comparison.
+
+mod forwarding;
 mod writer;
 
-pub use handing::{BindReply, ForwardedClaim, Handing, Peers, writer_of};
+pub use forwarding::{BindReply, ClaimForwarder, ForwardedClaim, Peers, writer_of};
 
 use crate::config::EntryConfig;
 use flamingowheel_backing::kv::{Compare, KeyValue, KeyValueError, Revision};
@@ -21,28 +22,28 @@
 use tokio::time::{Instant, timeout_at};
 use writer::Writer;
 
-/// Prefix of all keys written here.
+/// Prefix of the records in the key-value service.
 pub const PREFIX: &str = "flamingowheel/idempotency-keys/";
 
-/// Keys written in one transaction; each takes a comparison and an operation of the 128 allowed.
+/// Claims per transaction. Each takes one comparison and one operation, of 128 allowed.
 const MAX_BATCH: usize = 60;
 
-/// Shortest time from one call to the next. With eight entries that write the service sees at most
-/// 160 writes a second, and a key waits for at most this long more.
+/// Shortest time between two batches. Eight writers make at most 160 writes per second together,
+/// and a claim waits at most this much longer.
 const CALL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Claims that may wait; beyond it callers are told at once.
-const QUEUE: usize = 1024;
+/// Pending claims; further ones fail at once with [`ClaimError::Busy`].
+const QUEUE_CAPACITY: usize = 1024;
 
-/// A caller's key and what it should stand for.
+/// The stored record of a caller's key: the ticket that it is bound to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
     /// The ticket's text.
     pub ticket: String,
-    /// Hash of the request, as hexadecimal text; a key must not be used for another request.
+    /// Hash of the request, in hexadecimal. A key must not be reused for a different request.
     pub fingerprint: String,
-    /// How often the key was bound anew. Rises with each binding, so that of two records of one key
-    /// it can be told which is later.
+    /// Number of rebindings so far. It increases with each one, so of two records of the same key
+    /// the later one can be identified.
     #[serde(default, skip_serializing_if = "is_first")]
     pub epoch: u32,
 }
@@ -57,80 +58,80 @@
         Self { ticket, fingerprint, epoch: 0 }
     }
 
-    /// The binding that takes this one's place.
+    /// The binding that replaces this one.
     ///
     /// ```
     /// use flamingowheel_entry::claims::Claim;
     /// let first = Claim::new("one".into(), "0".into());
-    /// assert_eq!(first.followed_by("two".into()).epoch, 1);
+    /// assert_eq!(first.successor("two".into()).epoch, 1);
     /// ```
-    pub fn followed_by(&self, ticket: String) -> Self {
+    pub fn successor(&self, ticket: String) -> Self {
         Self { ticket, fingerprint: self.fingerprint.clone(), epoch: self.epoch.saturating_add(1) }
     }
 }
 
-/// Why a key could not be bound. In each case nothing was sent under it by this entry.
+/// Why a key could not be bound. In each case this entry has sent nothing under it.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ClaimError {
-    /// The key-value service did not answer.
+    /// The call to the key-value service failed.
     #[error(transparent)]
     KeyValue(#[from] KeyValueError),
-    /// What is stored can't be read.
+    /// The stored record can't be parsed.
     #[error("stored record of the idempotency key can't be read")]
     Malformed,
-    /// The caller's deadline passed first.
+    /// The caller's deadline passed before the key was bound.
     #[error("deadline passed before the idempotency key was bound")]
     DeadlinePassed,
-    /// Too many claims wait.
-    #[error("too many idempotency keys wait to be bound")]
+    /// Too many claims are pending, or concurrent writes of the same key prevented the binding.
+    #[error("too many idempotency keys are waiting to be bound")]
     Busy,
 }
 
-/// A claim on its way.
-struct Waiting {
+/// A claim that the writer has yet to bind.
+struct PendingClaim {
     key: String,
     claim: Claim,
-    /// The binding whose place it is to take, if the key is bound.
+    /// The binding to replace if the key is bound to it.
     replaces: Option<Claim>,
-    /// The write of that binding, once it has been read.
-    written_at: Option<Revision>,
-    bound: oneshot::Sender<Result<Claim, ClaimError>>,
+    /// Revision of the binding to replace, once it has been read.
+    stored_revision: Option<Revision>,
+    reply: oneshot::Sender<Result<Claim, ClaimError>>,
 }
 
-impl Waiting {
+impl PendingClaim {
     fn compare(&self) -> Compare {
         let key = self.key.clone();
-        match self.written_at {
+        match self.stored_revision {
             Some(revision) => Compare::ModRevision { key, revision },
             None => Compare::Absent { key },
         }
     }
 }
 
-/// Binds keys.
+/// Binds idempotency keys, through peers if there are any.
 #[derive(Clone)]
 pub struct Claims {
-    queue: mpsc::Sender<Waiting>,
-    handing: Arc<OnceLock<Handing>>,
+    queue: mpsc::Sender<PendingClaim>,
+    forwarder: Arc<OnceLock<ClaimForwarder>>,
 }
 
 impl Claims {
     /// Starts the task that writes claims.
     pub fn start(kv: Arc<dyn KeyValue>, config: &EntryConfig) -> Self {
-        let (queue, receiver) = mpsc::channel(QUEUE);
-        let writer = Writer { kv, record_time: config.key_record_time, lease: None };
+        let (queue, receiver) = mpsc::channel(QUEUE_CAPACITY);
+        let writer = Writer { kv, retention: config.key_retention, lease: None };
         tokio::spawn(writer.run(receiver));
-        Self { queue, handing: Arc::default() }
+        Self { queue, forwarder: Arc::default() }
     }
 
-    /// Says how claims are handed to entries that write for others; only the first counts. Without
-    /// it this entry writes its own.
+    /// Sets the peers to which claims are forwarded; only the first call has an effect. Without
+    /// peers this entry writes its own claims.
     pub fn set_peers(&self, peers: Arc<dyn Peers>) {
-        let _ = self.handing.set(Handing::new(peers));
+        let _ = self.forwarder.set(ClaimForwarder::new(peers));
     }
 
-    /// Binds `key` to `claim`, or returns what it is bound to already. Gives up at `deadline`; the
-    /// key may be bound all the same, and then stands for a ticket that nothing was sent under.
+    /// Binds `key` to `claim`, or returns the existing binding. After `deadline` the key may still
+    /// become bound, to a ticket under which nothing was sent.
     pub async fn bind(
         &self,
         workspace: &str,
@@ -138,11 +139,11 @@
         claim: Claim,
         deadline: Instant,
     ) -> Result<Claim, ClaimError> {
-        self.settle(workspace, key, claim, None, deadline).await
+        self.forward_or_bind(workspace, key, claim, None, deadline).await
     }
 
-    /// Binds `key` to `claim` in the place of `old`, whose ticket provably never ran and won't. If
-    /// the key stands for something else by now, that is returned: somebody else was first.
+    /// Replaces the binding `old`, whose ticket provably never ran and won't, by `claim`. If another
+    /// request has rebound the key meanwhile, that binding is returned.
     pub async fn rebind(
         &self,
         workspace: &str,
@@ -151,10 +152,10 @@
         claim: Claim,
         deadline: Instant,
     ) -> Result<Claim, ClaimError> {
-        self.settle(workspace, key, claim, Some(old), deadline).await
+        self.forward_or_bind(workspace, key, claim, Some(old), deadline).await
     }
 
-    async fn settle(
+    async fn forward_or_bind(
         &self,
         workspace: &str,
         key: &str,
@@ -164,30 +165,30 @@
     ) -> Result<Claim, ClaimError> {
         let key = record_key(workspace, key);
         let wait = deadline.saturating_duration_since(Instant::now());
-        let handed = ForwardedClaim { key, claim, replaces, wait_ms: wait.as_millis() as u64 };
-        if let Some(handing) = self.handing.get()
-            && let Some(verdict) = handing.hand(&handed, deadline).await
+        let forwarded = ForwardedClaim { key, claim, replaces, wait_ms: wait.as_millis() as u64 };
+        if let Some(forwarder) = self.forwarder.get()
+            && let Some(result) = forwarder.forward(&forwarded, deadline).await
         {
-            return verdict;
+            return result;
         }
-        self.settle_here(handed, deadline).await
+        self.bind_here(forwarded, deadline).await
     }
 
-    /// Binds a key for another entry.
-    pub async fn bind_for_peer(&self, handed: ForwardedClaim) -> BindReply {
-        let deadline = Instant::now() + Duration::from_millis(handed.wait_ms);
-        self.settle_here(handed, deadline).await.into()
+    /// Binds a key on behalf of another entry.
+    pub async fn bind_for_peer(&self, forwarded: ForwardedClaim) -> BindReply {
+        let deadline = Instant::now() + Duration::from_millis(forwarded.wait_ms);
+        self.bind_here(forwarded, deadline).await.into()
     }
 
-    async fn settle_here(
+    async fn bind_here(
         &self,
-        handed: ForwardedClaim,
+        forwarded: ForwardedClaim,
         deadline: Instant,
     ) -> Result<Claim, ClaimError> {
-        let (bound, answer) = oneshot::channel();
-        let ForwardedClaim { key, claim, replaces, .. } = handed;
-        let waiting = Waiting { key, claim, replaces, written_at: None, bound };
-        self.queue.try_send(waiting).map_err(|_| ClaimError::Busy)?;
+        let (reply, answer) = oneshot::channel();
+        let ForwardedClaim { key, claim, replaces, .. } = forwarded;
+        let pending = PendingClaim { key, claim, replaces, stored_revision: None, reply };
+        self.queue.try_send(pending).map_err(|_| ClaimError::Busy)?;
         let answer = timeout_at(deadline, answer).await.map_err(|_| ClaimError::DeadlinePassed)?;
         answer.map_err(|_| ClaimError::Busy)?
     }
--- a/crates/entry/src/claims/handing.rs
+++ b/crates/entry/src/claims/forwarding.rs
@@ -1,8 +1,8 @@
-//! Hands claims to the few entries that write for all of a region.
+//! Forwards claims to the few entries that write for a whole region.
 //!
-//! With hundreds of entries hardly any two claims wait at the same one, so each would be a write of
-//! its own. An entry has one writer, so it needs one connection for this, and a writer as many as
-//! there are entries to one writer.
+//! With hundreds of entries hardly any two claims are pending at the same entry, so without
+//! forwarding each claim would be a write of its own. Each entry has one writer and needs one
+//! connection for this; a writer has a connection from each entry assigned to it.
 
 use super::{Claim, ClaimError};
 use flamingowheel_backing::BoxFuture;
@@ -12,44 +12,45 @@
 use tokio::time::{Instant, timeout_at};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Entries that write, in each region.
-const WRITERS: usize = 4;
+/// Entries per region that write claims.
+const WRITERS_PER_REGION: usize = 4;
 
-/// How long a writer may take, which is as long as its calls to the service may. One that is gone or
-/// cut off must not cost a caller its deadline.
-const HAND_LIMIT: Duration = Duration::from_secs(1);
+/// Timeout of a forwarded claim; the same as of a writer's calls to the service. A writer that
+/// crashed or is unreachable must not use up the caller's deadline.
+const FORWARD_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long nothing is handed to a writer that bound nothing; then the membership knows more.
+/// How long nothing is forwarded to a writer that failed to bind a claim. By then the membership has
+/// had time to notice a failed entry.
 const AVOID_TIME: Duration = Duration::from_secs(5);
 
-/// A claim on its way to its writer.
+/// A claim forwarded to its writer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ForwardedClaim {
-    /// Key of the record.
+    /// Key of the record in the key-value service.
     pub key: String,
-    /// What the caller's key is to stand for.
+    /// The binding to store.
     pub claim: Claim,
-    /// The binding whose place it is to take.
+    /// The binding that it replaces; none for a first binding.
     pub replaces: Option<Claim>,
-    /// How long the caller waits, in milliseconds.
+    /// Time until the caller's deadline, in milliseconds.
     pub wait_ms: u64,
 }
 
-/// What became of it.
+/// A writer's reply to a [`ForwardedClaim`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BindReply {
-    /// The key stands for this.
+    /// The binding in force: the forwarded claim or an earlier one.
     Bound(Claim),
-    /// What is stored can't be read.
+    /// The stored record can't be parsed.
     Malformed,
-    /// It is not known to be bound.
+    /// The writer didn't bind the key, or doesn't know whether it did.
     NotBound,
 }
 
 impl BindReply {
-    /// What the caller's entry makes of it; `None` if it should try to write itself, for it may be
-    /// the writer alone that does not reach the service.
-    fn verdict(self) -> Option<Result<Claim, ClaimError>> {
+    /// The result for the forwarding entry. `None` if it should write the claim itself, since
+    /// possibly only the writer can't reach the service.
+    fn into_result(self) -> Option<Result<Claim, ClaimError>> {
         match self {
             Self::Bound(claim) => Some(Ok(claim)),
             Self::Malformed => Some(Err(ClaimError::Malformed)),
@@ -68,22 +69,24 @@
     }
 }
 
-/// The other entries.
+/// Forwards claims to other entries.
 pub trait Peers: Send + Sync + 'static {
-    /// Name of the entry that writes this one's claims; `None` if it does so itself.
+    /// Name of the entry that writes this entry's claims; `None` if that is this entry.
     fn writer(&self) -> Option<String>;
 
-    /// Has an entry bind a key. `None` if it gave no answer that can be read.
+    /// Asks `writer` to bind a key. `None` without a valid reply.
     fn forward<'a>(
         &'a self,
         writer: &'a str,
-        handed: &'a ForwardedClaim,
+        forwarded: &'a ForwardedClaim,
     ) -> BoxFuture<'a, Option<BindReply>>;
 }
 
-/// The entry that writes the claims of `own`, out of the live entries of its region: by rendezvous
-/// among the few that write, which are chosen in the same way. All agree as far as they know the
-/// same entries; where they don't, there are more writers for a while.
+/// The entry that writes the claims of `own`, out of the live entries of its region.
+///
+/// The region's writers are the entries with the highest hashes; among them one is chosen by
+/// rendezvous hashing. Entries with the same membership view choose the same writers; while views
+/// differ there are temporarily more writers.
 ///
 /// ```
 /// use flamingowheel_entry::claims::writer_of;
@@ -100,7 +103,7 @@
     let mut writers: Vec<_> =
         live.into_iter().map(|name| (xxh3_64(name.as_bytes()), name)).collect();
     writers.sort_unstable_by(|left, right| right.cmp(left));
-    writers.truncate(WRITERS);
+    writers.truncate(WRITERS_PER_REGION);
     if writers.iter().any(|(_, name)| *name == own) {
         return own;
     }
@@ -108,37 +111,37 @@
     writers.into_iter().map(|(_, name)| name).max_by_key(|name| score(name)).unwrap_or(own)
 }
 
-/// Hands claims over.
-pub struct Handing {
+/// Forwards this entry's claims to its writer.
+pub struct ClaimForwarder {
     peers: Arc<dyn Peers>,
     avoided: Mutex<Option<(String, Instant)>>,
 }
 
-impl Handing {
-    /// Hands claims to these.
+impl ClaimForwarder {
+    /// Forwards claims to one of `peers`.
     pub fn new(peers: Arc<dyn Peers>) -> Self {
         Self { peers, avoided: Mutex::default() }
     }
 
-    /// What became of a claim at its writer; `None` if this entry has to write itself. The writer may
-    /// bind the key all the same, to this very claim: the second write then finds what it wanted.
-    pub async fn hand(
+    /// The result of a claim at its writer; `None` if this entry has to write the claim itself. The
+    /// writer may still bind the key, but to the same claim, which the second write then finds.
+    pub async fn forward(
         &self,
-        handed: &ForwardedClaim,
+        forwarded: &ForwardedClaim,
         deadline: Instant,
     ) -> Option<Result<Claim, ClaimError>> {
         let writer = self.peers.writer().filter(|writer| !self.is_avoided(writer))?;
-        let asked = Instant::now();
-        let limit = deadline.min(asked + HAND_LIMIT);
-        let settled = timeout_at(limit, self.peers.forward(&writer, handed)).await;
-        let verdict = settled.ok().flatten().and_then(BindReply::verdict);
-        // A caller with little time says nothing of the writer.
-        let was_patient = limit == asked + HAND_LIMIT || Instant::now() < limit;
-        if verdict.is_none() && was_patient {
+        let sent_at = Instant::now();
+        let give_up_at = deadline.min(sent_at + FORWARD_TIMEOUT);
+        let reply = timeout_at(give_up_at, self.peers.forward(&writer, forwarded)).await;
+        let result = reply.ok().flatten().and_then(BindReply::into_result);
+        // A timeout shortened by the caller's deadline is no evidence against the writer.
+        let writer_failed = give_up_at == sent_at + FORWARD_TIMEOUT || Instant::now() < give_up_at;
+        if result.is_none() && writer_failed {
             let until = Instant::now() + AVOID_TIME;
             *self.avoided.lock().unwrap_or_else(PoisonError::into_inner) = Some((writer, until));
         }
-        verdict
+        result
     }
 
     fn is_avoided(&self, writer: &str) -> bool {
--- a/crates/entry/src/config.rs
+++ b/crates/entry/src/config.rs
@@ -1,4 +1,4 @@
-//! What an entry is told at start.
+//! Configuration of an entry process.
 
 use flamingowheel_policy::prefix::BLOCK_SIZE_BYTES;
 use flamingowheel_protocol::auth::FleetKey;
@@ -9,39 +9,39 @@
 /// Identity and limits of an entry.
 #[derive(Clone, Debug)]
 pub struct EntryConfig {
-    /// Unique in the fleet.
+    /// The entry's name, unique in the fleet.
     pub name: String,
-    /// Drawn at process start.
+    /// Identifies this process; drawn at random at its start.
     pub incarnation: Incarnation,
     /// The data centre it runs in.
     pub data_centre: String,
-    /// Where callers reach it.
+    /// The address at which callers reach it.
     pub caller_address: SocketAddr,
-    /// The fleet's key.
+    /// Signs and verifies tickets and stream tokens; the same in all processes of the fleet.
     pub fleet_key: FleetKey,
-    /// Seeds the hashes of requests; the same in all entries, and known to the fleet only.
+    /// Seeds request fingerprints. It is the same in all entries and secret outside the fleet.
     pub fingerprint_seed: u64,
-    /// How long callers keep an address answer.
+    /// How long callers may cache the list of entry addresses.
     pub address_ttl: Duration,
-    /// Largest request body taken.
+    /// Largest accepted request body.
     pub max_body_bytes: usize,
-    /// How long a caller may take to send the body.
+    /// Timeout for reading a request body.
     pub body_timeout: Duration,
-    /// How long an attempt whose connection was lost waits for another connection.
-    pub reconnect_limit: Duration,
-    /// How long a cancel waits for its answer.
-    pub cancel_limit: Duration,
-    /// How long a bound idempotency key is remembered.
-    pub key_record_time: Duration,
-    /// A comment is sent on an event stream that is idle for this long.
+    /// How long an attempt whose connection was lost waits for a new one.
+    pub reconnect_timeout: Duration,
+    /// How long a cancel waits for the agent's reply.
+    pub cancel_timeout: Duration,
+    /// How long the record of a bound idempotency key is kept.
+    pub key_retention: Duration,
+    /// Time without data after which a comment line is sent on an event stream.
     pub stream_heartbeat: Duration,
-    /// Bytes of a request that make one block of the engines' prefix cache. A parameter of the
-    /// deployment: the same for all its engines, or their cached prefixes are not recognised.
+    /// Bytes of a request per block of the engines' prefix caches. It must match all engines of
+    /// the deployment, or cached prefixes are not recognised.
     pub cache_block_bytes: usize,
 }
 
 impl EntryConfig {
-    /// Limits fit for production, around the given identity.
+    /// A configuration with this identity and default limits.
     ///
     /// ```
     /// use flamingowheel_entry::config::EntryConfig;
@@ -66,16 +66,16 @@
             address_ttl: Duration::from_secs(20),
             max_body_bytes: 8 << 20,
             body_timeout: Duration::from_secs(30),
-            reconnect_limit: Duration::from_secs(5),
-            cancel_limit: Duration::from_secs(1),
-            key_record_time: Duration::from_secs(24 * 3600),
+            reconnect_timeout: Duration::from_secs(5),
+            cancel_timeout: Duration::from_secs(1),
+            key_retention: Duration::from_secs(24 * 3600),
             stream_heartbeat: Duration::from_secs(1),
             cache_block_bytes: BLOCK_SIZE_BYTES,
         }
     }
 }
 
-/// Drawn from the key once, since it is needed for every request.
+/// Derived from the key once, since every request needs it.
 fn fingerprint_seed(key: &FleetKey) -> u64 {
     let tag = key.tag(b"flamingowheel fingerprint 1", &[]);
     tag.iter().take(8).rev().fold(0, |seed, byte| seed << 8 | u64::from(*byte))
--- a/crates/entry/src/dispatch.rs
+++ b/crates/entry/src/dispatch.rs
@@ -322,7 +322,7 @@
             remaining_ms: dispatch.remaining_ms,
         });
         let sent = Attempt::<Prepared>::new(Box::new(dispatch))
-            .send(&chosen.agent, chosen.connected.clone(), self.config.reconnect_limit)
+            .send(&chosen.agent, chosen.connected.clone(), self.config.reconnect_timeout)
             .await
             .map_err(AttemptEnd::Refused)?;
         let (head, mut attempt) = match sent.begin(request.deadline, 0).await {
@@ -340,7 +340,7 @@
             can_resume: chosen.connected.profile.can_resume,
         };
         let (router, log) = (Arc::clone(&self.router), journey.log.clone());
-        let limit = self.config.reconnect_limit;
+        let limit = self.config.reconnect_timeout;
         Ok(Answer::new(request.clone(), head, attempt, origin, router, log, limit)
             .with_first(first))
     }
@@ -358,7 +358,7 @@
             AttemptEnd::DeadlinePassed => {
                 let cause = CancelCause::DeadlinePassed;
                 journey.log.record(Event::Cancelled { attempt, cause });
-                match sent.cancel(self.config.cancel_limit).await {
+                match sent.cancel(self.config.cancel_timeout).await {
                     Ok(refusal) => AttemptEnd::Refused(refusal),
                     Err(_) => AttemptEnd::DeadlinePassed,
                 }
--- a/crates/entry/src/dispatch/home.rs
+++ b/crates/entry/src/dispatch/home.rs
@@ -56,7 +56,7 @@
             attempt: number,
             from_chunk,
         });
-        let limit = self.config.reconnect_limit;
+        let limit = self.config.reconnect_timeout;
         let mut sent = Attempt::<Sent>::adopt(identity, &home.agent, home.connected, limit);
         sent.ask(from_chunk).await;
         let begun = sent.begin(deadline, from_chunk).await;
@@ -101,7 +101,7 @@
             identity,
             &home.agent,
             home.connected,
-            self.config.reconnect_limit,
+            self.config.reconnect_timeout,
         );
         match sent.void(limit).await {
             Ok(refusal) => {
@@ -188,7 +188,7 @@
     ) -> Result<Chosen, Verdict> {
         let agent = self.router.called(server, request.deadline).await;
         let agent = agent.ok_or(Unknown::AgentUnreachable)?;
-        let limit = request.deadline.min(Instant::now() + self.config.reconnect_limit);
+        let limit = request.deadline.min(Instant::now() + self.config.reconnect_timeout);
         let connected = timeout_at(limit, agent.connected_after(0)).await;
         let connected = connected.ok().flatten().ok_or(Unknown::AgentUnreachable)?;
         if !is_incarnation(&connected, incarnation) {
--- a/crates/entry/src/dispatch/keys.rs
+++ b/crates/entry/src/dispatch/keys.rs
@@ -167,7 +167,7 @@
     }
 
     fn void_limit(&self, request: &Request) -> Duration {
-        self.config.cancel_limit.min(Duration::from_millis(request.remaining_ms()))
+        self.config.cancel_timeout.min(Duration::from_millis(request.remaining_ms()))
     }
 }
 
--- a/crates/entry/src/http/keys.rs
+++ b/crates/entry/src/http/keys.rs
@@ -91,7 +91,7 @@
         minted: Ticket,
     ) -> BoxFuture<'a, Result<Bound, NotRun>> {
         Box::pin(async move {
-            let claim = old.followed_by(minted.to_text(&self.state.config.fleet_key));
+            let claim = old.successor(minted.to_text(&self.state.config.fleet_key));
             let (workspace, old) = (&request.workspace.name, old.clone());
             let claims = &self.state.claims;
             let binding = claims.rebind(workspace, &self.key, old, claim, request.deadline).await;
--- a/crates/entry/src/stream.rs
+++ b/crates/entry/src/stream.rs
@@ -42,7 +42,7 @@
     origin: Origin,
     router: Arc<Router>,
     log: SubjectRecorder,
-    reconnect_limit: Duration,
+    reconnect_timeout: Duration,
 }
 
 impl Answer {
@@ -55,10 +55,10 @@
         origin: Origin,
         router: Arc<Router>,
         log: SubjectRecorder,
-        reconnect_limit: Duration,
+        reconnect_timeout: Duration,
     ) -> Self {
         let attempt = Some(attempt);
-        Self { request, head, attempt, first: None, origin, router, log, reconnect_limit }
+        Self { request, head, attempt, first: None, origin, router, log, reconnect_timeout }
     }
 
     /// Status and media type.
@@ -171,15 +171,15 @@
             body: self.request.body.clone(),
             idempotent: true,
             priority: self.request.workspace.parameters.priority,
-            remaining_ms: self.reconnect_limit.as_millis() as u64,
+            remaining_ms: self.reconnect_timeout.as_millis() as u64,
             fingerprint: self.request.fingerprint,
             alone: false,
             last_try: true,
             resume_after_chunks: next_chunk,
         };
-        let deadline = Instant::now() + self.reconnect_limit;
+        let deadline = Instant::now() + self.reconnect_timeout;
         let sent = Attempt::<Prepared>::new(Box::new(dispatch))
-            .send(&agent, connected, self.reconnect_limit)
+            .send(&agent, connected, self.reconnect_timeout)
             .await
             .map_err(AttemptEnd::Refused)?;
         let (_, attempt) = sent.begin(deadline, next_chunk).await.map_err(|(end, _)| end)?;
--- a/crates/entry/tests/claims.rs
+++ b/crates/entry/tests/claims.rs
@@ -1,4 +1,4 @@
-//! Callers' keys that entries hand to others to write.
+//! Claims that entries forward to other entries for writing.
 
 use flamingowheel_backing::BoxFuture;
 use flamingowheel_backing::fake::FakeKeyValue;
@@ -12,24 +12,24 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-const TIME: Duration = Duration::from_secs(5);
+const BIND_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What the writer does with a claim.
+/// How the writer handles a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Does {
+enum Behaviour {
     Binds,
-    /// It is gone.
-    Nothing,
-    /// It binds the key and dies before it answers.
-    BindsUnheard,
-    /// It does not reach the key-value service.
+    /// It has crashed.
+    NoReply,
+    /// It binds the key and crashes before it replies.
+    BindsWithoutReply,
+    /// It can't reach the key-value service.
     Refuses,
 }
 
 struct Writer {
     claims: Claims,
-    does: Does,
-    asked: AtomicU32,
+    behaviour: Behaviour,
+    forwarded_count: AtomicU32,
 }
 
 impl Peers for Writer {
@@ -40,18 +40,18 @@
     fn forward<'a>(
         &'a self,
         _: &'a str,
-        handed: &'a ForwardedClaim,
+        forwarded: &'a ForwardedClaim,
     ) -> BoxFuture<'a, Option<BindReply>> {
-        self.asked.fetch_add(1, Ordering::Relaxed);
+        self.forwarded_count.fetch_add(1, Ordering::Relaxed);
         Box::pin(async move {
-            match self.does {
-                Does::Binds => Some(self.claims.bind_for_peer(handed.clone()).await),
-                Does::Nothing => pending().await,
-                Does::BindsUnheard => {
-                    self.claims.bind_for_peer(handed.clone()).await;
+            match self.behaviour {
+                Behaviour::Binds => Some(self.claims.bind_for_peer(forwarded.clone()).await),
+                Behaviour::NoReply => pending().await,
+                Behaviour::BindsWithoutReply => {
+                    self.claims.bind_for_peer(forwarded.clone()).await;
                     pending().await
                 }
-                Does::Refuses => Some(BindReply::NotBound),
+                Behaviour::Refuses => Some(BindReply::NotBound),
             }
         })
     }
@@ -63,9 +63,9 @@
     Claims::start(Arc::new(kv.clone()), &config)
 }
 
-fn handing(kv: &FakeKeyValue, does: Does) -> (Claims, Arc<Writer>) {
-    let (own, asked) = (claims(kv), AtomicU32::new(0));
-    let writer = Arc::new(Writer { claims: claims(kv), does, asked });
+fn claims_with_writer(kv: &FakeKeyValue, behaviour: Behaviour) -> (Claims, Arc<Writer>) {
+    let (own, forwarded_count) = (claims(kv), AtomicU32::new(0));
+    let writer = Arc::new(Writer { claims: claims(kv), behaviour, forwarded_count });
     own.set_peers(Arc::<Writer>::clone(&writer));
     (own, writer)
 }
@@ -75,34 +75,34 @@
 }
 
 async fn bind(claims: &Claims, key: &str, ticket: &str) -> Claim {
-    claims.bind("workspace", key, claim(ticket), Instant::now() + TIME).await.unwrap()
+    claims.bind("workspace", key, claim(ticket), Instant::now() + BIND_TIMEOUT).await.unwrap()
 }
 
-// The writer dies, before the write or between the write and its answer, or is cut off from the
-// key-value service. The caller's key must be bound all the same, to its own ticket, and soon; those
-// that come after must not wait for the writer again.
+// Guards against callers depending on a failed writer. The writer crashes before the write or between
+// the write and its reply, or can't reach the key-value service. The caller's key must still be bound
+// to its own ticket quickly, and later claims must not wait for that writer again.
 #[tokio::test(start_paused = true)]
 async fn bind_writer_fails_own_entry_writes() {
-    for does in [Does::Nothing, Does::BindsUnheard, Does::Refuses] {
+    for behaviour in [Behaviour::NoReply, Behaviour::BindsWithoutReply, Behaviour::Refuses] {
         let kv = FakeKeyValue::new();
-        let (own, writer) = handing(&kv, does);
-        let began = Instant::now();
-        assert_eq!(bind(&own, "key", "one").await, claim("one"), "{does:?}");
-        assert!(began.elapsed() < Duration::from_millis(1_200), "{does:?}");
-        let began = Instant::now();
+        let (own, writer) = claims_with_writer(&kv, behaviour);
+        let started = Instant::now();
+        assert_eq!(bind(&own, "key", "one").await, claim("one"), "{behaviour:?}");
+        assert!(started.elapsed() < Duration::from_millis(1_200), "{behaviour:?}");
+        let started = Instant::now();
         bind(&own, "key-2", "two").await;
-        assert!(began.elapsed() < Duration::from_millis(100), "{does:?}");
-        assert_eq!(writer.asked.load(Ordering::Relaxed), 1, "{does:?}");
+        assert!(started.elapsed() < Duration::from_millis(100), "{behaviour:?}");
+        assert_eq!(writer.forwarded_count.load(Ordering::Relaxed), 1, "{behaviour:?}");
     }
 }
 
-// Copies of one call come through one entry and through its writer, some at the same moment. All must
-// be told the same ticket.
+// Guards against two tickets for one key. Copies of one call arrive concurrently at an entry and at
+// its writer; all must be bound to the same ticket.
 #[tokio::test(start_paused = true)]
 async fn bind_copies_everywhere_one_ticket() {
     let kv = FakeKeyValue::new();
     kv.set_delay(Duration::from_millis(20));
-    let (own, writer) = handing(&kv, Does::Binds);
+    let (own, writer) = claims_with_writer(&kv, Behaviour::Binds);
     let (one, two, three) = tokio::join!(
         bind(&own, "key", "one"),
         bind(&own, "key", "two"),
