--- a/crates/entry/src/addresses.rs
+++ b/crates/entry/src/addresses.rs
@@ -1,4 +1,4 @@
-//! The address question: which entries a workspace's callers should use.
+//! Chooses which entries a workspace's callers should use.
 
 use crate::agents::Target;
 use flamingowheel_config::effective::EffectiveWorkspace;
@@ -12,15 +12,15 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Expected of a workspace without a limit, in requests a second.
+/// Expected request rate of a workspace without a rate limit.
 const DEFAULT_RATE_PER_S: f64 = 10.0;
 
-/// Most links of an entry to the agents of its cells: 3 times what the planned size needs at the
-/// most. Agents beyond it are reached on demand.
+/// Most links of an entry to the agents of its cells: 3 times the most that the planned fleet size
+/// needs. Links to further agents are opened on demand.
 pub const MAX_LINKS: usize = 1_024;
 
-/// What decides a workspace's subset: the scopes of its models and services, and the rate in
-/// requests a second that it is expected to send.
+/// What a workspace's subset depends on: the scopes of its models and services, and its expected
+/// rate in requests per second.
 pub fn demand(workspace: &EffectiveWorkspace) -> (Vec<ScopeKey>, f64) {
     let parameters = &workspace.parameters;
     let models = parameters.models.keys().cloned().map(Target::Model);
@@ -29,56 +29,56 @@
     (scopes, parameters.limits.requests_per_s.unwrap_or(DEFAULT_RATE_PER_S))
 }
 
-/// An entry that callers may be sent to.
+/// An entry that callers may use.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EntryMember {
-    /// Its name.
+    /// Name of the entry.
     pub name: String,
-    /// Where callers reach it.
+    /// Address for callers.
     pub address: SocketAddr,
     /// The data centre it runs in.
     pub data_centre: String,
-    /// The region of that.
+    /// The region of that data centre.
     pub region: String,
-    /// It takes no new callers.
+    /// Whether the entry is leaving, so that callers are no longer sent to it.
     pub leaving: bool,
 }
 
-/// The answer to the address question.
+/// Response body of the list of entries.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AddressAnswer {
-    /// Addresses in the order in which to try them.
+    /// Addresses in order of preference.
     pub addresses: Vec<Address>,
-    /// How long the answer may be kept, in seconds.
+    /// How long callers may cache the answer, in seconds.
     pub keep_s: u64,
 }
 
-/// One address of an answer.
+/// One entry of an [`AddressAnswer`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Address {
-    /// IP address and port.
+    /// IP address and port for callers.
     pub address: SocketAddr,
-    /// The data centre it is in.
+    /// The entry's data centre.
     pub data_centre: String,
 }
 
-/// Backend servers of one model or service, as the subset choice groups them.
+/// The backend servers of one model or service.
 pub type Scope = (ScopeKey, Vec<ServerKey>);
 
-/// The same within one region.
+/// The backend servers of one model or service within one region.
 pub type RegionScope = (ScopeKey, RegionKey, Vec<ServerKey>);
 
-/// Everything needed to answer; built whenever the membership changes.
+/// Assigns entries to workspaces and cells; rebuilt whenever the membership changes.
 #[derive(Clone, Debug)]
 pub struct AddressBook {
     cells: Cells,
-    /// The regions that scopes are cut by; none where every entry stands before all.
+    /// The regions into which scopes are divided; empty if every entry is linked to all servers.
     regions: BTreeSet<RegionKey>,
     members: HashMap<EntryKey, EntryMember>,
 }
 
 impl AddressBook {
-    /// Builds the book.
+    /// Builds the book of a fleet that is not divided into regions.
     ///
     /// ```
     /// use flamingowheel_entry::addresses::{AddressBook, EntryMember};
@@ -95,29 +95,29 @@
     /// assert_eq!(answer.addresses.len(), 1);
     /// ```
     pub fn new(scopes: &[Scope], members: Vec<EntryMember>) -> Self {
-        let cells = Cells::build(SubsetConfig::default(), scopes, &infos(&members));
+        let cells = Cells::build(SubsetConfig::default(), scopes, &entry_infos(&members));
         Self { cells, regions: BTreeSet::new(), members: by_key(members) }
     }
 
-    /// Builds the book of a fleet in several regions: an entry stands before backend servers of
-    /// its own one. A small fleet has one set of cells for all.
+    /// Builds the book of a fleet in several regions: an entry is linked to backend servers of its
+    /// own region. A small fleet has one set of cells for all regions.
     pub fn of_regions(scopes: &[RegionScope], members: Vec<EntryMember>) -> Self {
         let config = SubsetConfig::default();
         let usable = members.iter().filter(|member| !member.leaving).count();
         if config.uses_all_entries(usable, members.len()) {
-            return Self::new(&anywhere(scopes), members);
+            return Self::new(&merge_regions(scopes), members);
         }
         let regions = scopes.iter().map(|(_, region, _)| *region).collect();
-        let placed = scopes
+        let regional = scopes
             .iter()
             .map(|(scope, region, servers)| (scope.within(*region), *region, servers.clone()));
-        let placed: Vec<RegionScope> = placed.collect();
-        let cells = Cells::build_within(config, &placed, &infos(&members));
+        let regional: Vec<RegionScope> = regional.collect();
+        let cells = Cells::build_within(config, &regional, &entry_infos(&members));
         Self { cells, regions, members: by_key(members) }
     }
 
     /// The scopes of these models and services in all regions.
-    fn placed(&self, scopes: &[ScopeKey]) -> Vec<ScopeKey> {
+    fn regional_scopes(&self, scopes: &[ScopeKey]) -> Vec<ScopeKey> {
         if self.regions.is_empty() {
             return scopes.to_vec();
         }
@@ -125,20 +125,21 @@
         regions.flat_map(|region| scopes.iter().map(|scope| scope.within(*region))).collect()
     }
 
-    /// Whether the fleet is so small that every entry stands before all backend servers.
+    /// Whether the fleet is so small that every entry is linked to all backend servers.
     pub fn uses_all_entries(&self) -> bool {
         self.cells.uses_all_entries()
     }
 
-    /// The backend servers of the cells that an entry stands before, at most [`MAX_LINKS`];
-    /// `None` if it stands before all there are.
+    /// The backend servers of the cells that an entry serves, at most [`MAX_LINKS`]; `None` if it is
+    /// linked to all backend servers.
     pub fn servers_of(&self, entry: &str) -> Option<BTreeSet<ServerKey>> {
         if self.cells.uses_all_entries() {
             return None;
         }
         let entry = EntryKey::from_name(entry);
         let mut cells: Vec<&Cell> = self.cells.cells_of(entry).collect();
-        // An entry that hears nobody stands before all cells, each such entry before other ones.
+        // An entry that sees no other entries serves all cells, more than it can link to. The seed
+        // makes such entries take different ones.
         cells.sort_by_key(|cell| xxh3_64_with_seed(&cell.id.to_le_bytes(), entry.0));
         let servers = cells.iter().flat_map(|cell| cell.servers.iter().copied());
         Some(servers.take(MAX_LINKS).collect())
@@ -146,10 +147,15 @@
 
     /// The entries that share a workspace's limits.
     pub fn subset(&self, workspace: &str, scopes: &[ScopeKey], rate_per_s: f64) -> Vec<EntryKey> {
-        self.cells.subset(WorkspaceKey::from_name(workspace), &self.placed(scopes), rate_per_s)
+        self.cells.subset(
+            WorkspaceKey::from_name(workspace),
+            &self.regional_scopes(scopes),
+            rate_per_s,
+        )
     }
 
-    /// Answers for a workspace that uses `scopes` and is expected to send `rate_per_s`.
+    /// The addresses for a workspace that uses `scopes` and is expected to send `rate_per_s` requests
+    /// per second, for callers in `data_centre`.
     pub fn answer(
         &self,
         workspace: &str,
@@ -158,10 +164,10 @@
         data_centre: &str,
         ttl: Duration,
     ) -> AddressAnswer {
-        let own = DataCentreKey::from_name(data_centre);
+        let data_centre = DataCentreKey::from_name(data_centre);
         let workspace = WorkspaceKey::from_name(workspace);
-        let scopes = self.placed(scopes);
-        let entries = self.cells.entries_for(workspace, &scopes, rate_per_s, own);
+        let scopes = self.regional_scopes(scopes);
+        let entries = self.cells.entries_for(workspace, &scopes, rate_per_s, data_centre);
         let members = entries.iter().filter_map(|entry| self.members.get(entry));
         let addresses = members
             .map(|member| Address {
@@ -173,7 +179,7 @@
     }
 }
 
-fn infos(members: &[EntryMember]) -> Vec<EntryInfo> {
+fn entry_infos(members: &[EntryMember]) -> Vec<EntryInfo> {
     let info = |member: &EntryMember| EntryInfo {
         key: EntryKey::from_name(&member.name),
         data_centre: DataCentreKey::from_name(&member.data_centre),
@@ -188,8 +194,8 @@
     members.into_iter().map(|member| (EntryKey::from_name(&member.name), member)).collect()
 }
 
-/// Scopes whatever their region.
-fn anywhere(scopes: &[RegionScope]) -> Vec<Scope> {
+/// Merges the scopes of all regions.
+fn merge_regions(scopes: &[RegionScope]) -> Vec<Scope> {
     let mut merged: BTreeMap<ScopeKey, Vec<ServerKey>> = BTreeMap::new();
     for (scope, _, servers) in scopes {
         merged.entry(*scope).or_default().extend(servers);
--- a/crates/entry/src/agents.rs
+++ b/crates/entry/src/agents.rs
@@ -1,7 +1,7 @@
-//! An agent as this entry knows it, and its one connection to it.
+//! An agent and this entry's one connection to it.
 //!
-//! A connection is replaced whenever it ends or goes silent. Attempts outlive connections: each
-//! is told that its connection was lost and asks about itself over the next one.
+//! A connection is replaced when it is closed or falls silent. Attempts outlive connections: each is
+//! notified that its connection was lost and asks for its state over the next one.
 
 pub use crate::links::{AgentVm, Agents};
 use bytes::Bytes;
@@ -19,52 +19,52 @@
 /// An open connection to an agent.
 #[derive(Clone, Debug)]
 pub struct Connected {
-    /// Counts the connections to this address.
+    /// Number of this connection among those to the same address, from 1.
     pub epoch: u64,
-    /// What the agent said of itself.
+    /// The agent's hello, which identifies its process.
     pub hello: Arc<Hello>,
-    /// What its backend server serves.
+    /// Profile of the backend server behind the agent.
     pub profile: Arc<BackendProfile>,
-    /// Messages to it.
+    /// Sends messages to the agent.
     pub sender: mpsc::Sender<EntryMessage>,
 }
 
-/// Why there is a link to an agent.
+/// Why this entry has a link to an agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
-pub enum Duty {
-    /// A request, ticket or stream asked for this very agent. It gets no other work from here.
-    Called,
-    /// This entry stands before its cell, or coordinates its group.
+pub enum LinkPurpose {
+    /// Only for requests, tickets and streams that must go to this agent. The router doesn't choose it.
+    Direct,
+    /// This entry serves the agent's cell, or coordinates its group.
     Cell,
-    /// Requests came for what it serves, and none of the entry's cells does.
-    Guest,
+    /// Opened for requests that no agent of this entry's cells can serve.
+    OnDemand,
 }
 
-/// What an attempt hears.
+/// An event for an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StreamEvent {
-    /// A message about it.
+    /// A message from the agent about the attempt.
     Message(AgentMessage),
-    /// The connection of this epoch ended.
+    /// A connection ended.
     Lost {
-        /// Which connection.
+        /// Epoch of that connection, see [`Connected::epoch`].
         epoch: u64,
     },
 }
 
-/// One agent.
+/// An agent, its connection and the attempts that were sent to it.
 #[derive(Debug)]
 pub struct Agent {
     address: SocketAddr,
     pub(crate) connected: watch::Sender<Option<Connected>>,
-    /// Who was connected here last.
-    last: Mutex<Option<Arc<Hello>>>,
+    /// Hello of the current or the last connection.
+    last_hello: Mutex<Option<Arc<Hello>>>,
     pub(crate) window: AtomicU32,
     leaving: AtomicBool,
-    heard: Mutex<Instant>,
-    used: Mutex<Instant>,
-    duty: AtomicU8,
+    last_heartbeat: Mutex<Instant>,
+    last_used: Mutex<Instant>,
+    purpose: AtomicU8,
     orders: Mutex<HashMap<u64, oneshot::Sender<Bytes>>>,
     order_number: AtomicU64,
     streams: Mutex<HashMap<AttemptId, mpsc::UnboundedSender<StreamEvent>>>,
@@ -75,39 +75,39 @@
         Self {
             address,
             connected: watch::Sender::new(None),
-            last: Mutex::default(),
+            last_hello: Mutex::default(),
             window: AtomicU32::new(0),
             leaving: AtomicBool::new(false),
-            heard: Mutex::new(Instant::now()),
-            used: Mutex::new(Instant::now()),
-            duty: AtomicU8::new(Duty::Called as u8),
+            last_heartbeat: Mutex::new(Instant::now()),
+            last_used: Mutex::new(Instant::now()),
+            purpose: AtomicU8::new(LinkPurpose::Direct as u8),
             orders: Mutex::default(),
             order_number: AtomicU64::new(1),
             streams: Mutex::default(),
         }
     }
 
-    /// Where its VM is reached.
+    /// The address of its VM.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// The present connection.
+    /// The current connection; `None` while there is none.
     pub fn connected(&self) -> Option<Connected> {
         self.connected.borrow().clone()
     }
 
-    pub(crate) fn announce(&self, connected: Connected) {
-        *self.last.lock().unwrap_or_else(PoisonError::into_inner) =
+    pub(crate) fn set_connected(&self, connected: Connected) {
+        *self.last_hello.lock().unwrap_or_else(PoisonError::into_inner) =
             Some(Arc::clone(&connected.hello));
         self.connected.send_replace(Some(connected));
     }
 
-    pub(crate) fn last(&self) -> Option<Arc<Hello>> {
-        self.last.lock().unwrap_or_else(PoisonError::into_inner).clone()
+    pub(crate) fn last_hello(&self) -> Option<Arc<Hello>> {
+        self.last_hello.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Sends a message that may get lost, if there is a connection.
+    /// Sends a message if there is a connection with room in its queue; otherwise drops it.
     pub fn send(&self, message: EntryMessage) {
         if let Some(connected) = self.connected() {
             let _ = connected.sender.try_send(message);
@@ -124,54 +124,54 @@
         found.clone()
     }
 
-    /// The agent's record window as last heard.
+    /// The agent's record window as of its last heartbeat.
     pub fn window(&self) -> Window {
         Window(self.window.load(Ordering::Relaxed))
     }
 
-    /// Whether it takes no new work.
+    /// Whether it is leaving and accepts no new work.
     pub fn is_leaving(&self) -> bool {
         self.leaving.load(Ordering::Relaxed)
     }
 
-    /// How long ago its last heartbeat came.
+    /// Time since its last heartbeat.
     pub fn since_heartbeat(&self) -> Duration {
-        self.heard.lock().unwrap_or_else(PoisonError::into_inner).elapsed()
+        self.last_heartbeat.lock().unwrap_or_else(PoisonError::into_inner).elapsed()
     }
 
     pub(crate) fn on_heartbeat(&self, window: Window, leaving: bool) {
         self.window.store(window.0, Ordering::Relaxed);
         self.leaving.store(leaving, Ordering::Relaxed);
-        *self.heard.lock().unwrap_or_else(PoisonError::into_inner) = Instant::now();
+        *self.last_heartbeat.lock().unwrap_or_else(PoisonError::into_inner) = Instant::now();
     }
 
-    /// Why there is a link to it.
-    pub fn duty(&self) -> Duty {
-        match self.duty.load(Ordering::Relaxed) {
-            duty if duty == Duty::Cell as u8 => Duty::Cell,
-            duty if duty == Duty::Guest as u8 => Duty::Guest,
-            _ => Duty::Called,
+    /// Why this entry has a link to it.
+    pub fn purpose(&self) -> LinkPurpose {
+        match self.purpose.load(Ordering::Relaxed) {
+            purpose if purpose == LinkPurpose::Cell as u8 => LinkPurpose::Cell,
+            purpose if purpose == LinkPurpose::OnDemand as u8 => LinkPurpose::OnDemand,
+            _ => LinkPurpose::Direct,
         }
     }
 
-    pub(crate) fn set_duty(&self, duty: Duty) {
-        self.duty.store(duty as u8, Ordering::Relaxed);
+    pub(crate) fn set_purpose(&self, purpose: LinkPurpose) {
+        self.purpose.store(purpose as u8, Ordering::Relaxed);
     }
 
-    /// Notes that its link is wanted now.
+    /// Marks its link as used now.
     pub(crate) fn touch(&self) {
-        *self.used.lock().unwrap_or_else(PoisonError::into_inner) = Instant::now();
+        *self.last_used.lock().unwrap_or_else(PoisonError::into_inner) = Instant::now();
     }
 
-    /// How long nothing needed its link; zero while an attempt or an order does.
+    /// Time since its link was last used; zero while an attempt or an order uses it.
     pub(crate) fn idle_for(&self) -> Duration {
         if !self.streams().is_empty() || !self.orders().is_empty() {
             return Duration::ZERO;
         }
-        self.used.lock().unwrap_or_else(PoisonError::into_inner).elapsed()
+        self.last_used.lock().unwrap_or_else(PoisonError::into_inner).elapsed()
     }
 
-    /// Registers an attempt for messages about it.
+    /// Registers an attempt to receive the messages about it.
     pub fn listen(self: &Arc<Self>, attempt: AttemptId) -> StreamListener {
         let (sender, events) = mpsc::unbounded_channel();
         self.touch();
@@ -185,14 +185,14 @@
         self.streams.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sends a request of the group's coordinator and waits for the answer; `None` if there is no
-    /// connection, or it ends first. The caller bounds the wait.
+    /// Sends an order of the group's coordinator and waits for the answer. `None` if there is no
+    /// connection, or if it ends first. There is no timeout here; the caller sets one.
     pub async fn send_order(&self, body: Bytes) -> Option<Bytes> {
         let connected = self.connected()?;
         let number = self.order_number.fetch_add(1, Ordering::Relaxed);
         let (sender, answer) = oneshot::channel();
         self.orders().insert(number, sender);
-        let _waiting = OrderWaiting { agent: self, number };
+        let _pending = PendingOrder { agent: self, number };
         connected.sender.send(EntryMessage::Order { number, body }).await.ok()?;
         answer.await.ok()
     }
@@ -201,15 +201,15 @@
         self.orders.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Hands a message to its attempt. One whose attempt is over or unknown is dropped here, so
+    /// Delivers a message to its attempt. A message for an ended or unknown attempt is dropped, so
     /// that a late answer can't reach another caller.
-    pub(crate) fn route(&self, attempt: AttemptId, message: AgentMessage) {
+    pub(crate) fn deliver(&self, attempt: AttemptId, message: AgentMessage) {
         if let Some(stream) = self.streams().get(&attempt) {
             let _ = stream.send(StreamEvent::Message(message));
         }
     }
 
-    pub(crate) fn tell_lost(&self, epoch: u64) {
+    pub(crate) fn notify_lost(&self, epoch: u64) {
         self.orders().clear();
         for stream in self.streams().values() {
             let _ = stream.send(StreamEvent::Lost { epoch });
@@ -217,13 +217,13 @@
     }
 }
 
-/// Takes an order's place out again when its sender stops waiting.
-struct OrderWaiting<'a> {
+/// Removes a pending order when its sender stops waiting.
+struct PendingOrder<'a> {
     agent: &'a Agent,
     number: u64,
 }
 
-impl Drop for OrderWaiting<'_> {
+impl Drop for PendingOrder<'_> {
     fn drop(&mut self) {
         self.agent.orders().remove(&self.number);
     }
@@ -238,7 +238,7 @@
 }
 
 impl StreamListener {
-    /// The agent that was sent the attempt.
+    /// The agent that the attempt was sent to.
     pub fn agent(&self) -> &Arc<Agent> {
         &self.agent
     }
@@ -256,12 +256,12 @@
     }
 }
 
-/// Whether an agent process is the one that is named.
+/// Whether a connection is to the agent process with this incarnation.
 pub fn is_incarnation(connected: &Connected, incarnation: Incarnation) -> bool {
     connected.hello.incarnation == incarnation
 }
 
-/// What a backend server serves, without its place in a group.
+/// What a backend server serves, whatever its group and rank.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Target {
     /// A model by name.
@@ -280,7 +280,7 @@
 }
 
 impl Target {
-    /// The target's key in the choice of subsets.
+    /// The target's key for choosing subsets.
     pub fn scope(&self) -> ScopeKey {
         match self {
             Self::Model(name) => ScopeKey::from_name(&format!("model/{name}")),
--- a/crates/entry/src/archive.rs
+++ b/crates/entry/src/archive.rs
@@ -1,6 +1,6 @@
-//! Answers that agents left in the key-value service before they ended.
+//! Reads answers that agents archived in the key-value service before they shut down.
 //!
-//! Absence, an error or a slow service mean that nothing is known, as if nobody had looked.
+//! An absent record, an error and a timeout all count as "nothing known".
 
 use flamingowheel_backing::kv::{KeyValue, Operation, Transaction};
 use flamingowheel_protocol::archive::{self, ArchiveLookup};
@@ -11,43 +11,43 @@
 use tokio::sync::Semaphore;
 use tokio::time::timeout;
 
-/// Lookups at one time. When a busy agent goes, very many callers resend at once; without a bound
-/// each would be a call against the service's rate at the same moment.
+/// Concurrent lookups. When a busy agent shuts down, very many callers resend at once; without this
+/// bound their lookups would hit the service's rate limit at the same moment.
 const MAX_LOOKUPS: usize = 4;
 
-/// How long a caller waits for a lookup.
-const LOOKUP_LIMIT: Duration = Duration::from_secs(1);
+/// Timeout of a lookup, including the wait for a free slot.
+const LOOKUP_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Looks archived answers up.
 #[derive(Clone)]
 pub struct Archive {
     kv: Arc<dyn KeyValue>,
-    places: Arc<Semaphore>,
+    lookups: Arc<Semaphore>,
 }
 
 impl Archive {
-    /// An archive in this key-value service.
+    /// Reads the archive in this key-value service.
     pub fn new(kv: Arc<dyn KeyValue>) -> Self {
-        Self { kv, places: Arc::new(Semaphore::new(MAX_LOOKUPS)) }
+        Self { kv, lookups: Arc::new(Semaphore::new(MAX_LOOKUPS)) }
     }
 
-    /// What an agent process that ended left of a ticket. An answer to another request than this one
-    /// tells nothing.
-    pub async fn trace(&self, ticket: &Ticket, fingerprint: Fingerprint) -> ArchiveLookup {
-        let trace = timeout(LOOKUP_LIMIT, self.read(ticket)).await.ok().flatten();
-        match trace {
+    /// What an agent process that has ended archived about a ticket. An answer to a request with
+    /// another fingerprint counts as [`ArchiveLookup::Unknown`].
+    pub async fn lookup(&self, ticket: &Ticket, fingerprint: Fingerprint) -> ArchiveLookup {
+        let found = timeout(LOOKUP_TIMEOUT, self.read(ticket)).await.ok().flatten();
+        match found {
             Some(ArchiveLookup::Answer(answer)) if answer.fingerprint != fingerprint => {
                 ArchiveLookup::Unknown
             }
-            Some(trace) => trace,
+            Some(found) => found,
             None => ArchiveLookup::Unknown,
         }
     }
 
-    /// One read of both keys: of two reads, the seal's could come before the bucket was written or
-    /// after it was gone.
+    /// Reads bucket and seal in one transaction. With two reads the seal could be read before the
+    /// bucket is written or after it has expired.
     async fn read(&self, ticket: &Ticket) -> Option<ArchiveLookup> {
-        let _place = self.places.acquire().await.ok()?;
+        let _permit = self.lookups.acquire().await.ok()?;
         let bucket = archive::key(ticket.incarnation, archive::bucket(ticket.number));
         let seal = archive::seal_key(ticket.incarnation);
         let on_success = vec![Operation::Get { key: bucket }, Operation::Get { key: seal }];
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -1,7 +1,8 @@
-//! One attempt at a request, with a type for each stage of its life.
+//! One attempt at a request, with a type for each stage.
 //!
-//! `Prepared` has not left the entry; `Sent` may or may not have arrived; `Streaming` has begun to
-//! be answered. Only a prepared attempt, or a refusal by the agent, proves that it did not run.
+//! A `Prepared` attempt has not left the entry, a `Sent` one may or may not have reached the agent,
+//! and of a `Streaming` one the answer has begun. Only a prepared attempt, or a refusal by the agent,
+//! proves that it did not run.
 
 use crate::agents::{Agent, Connected, StreamEvent, StreamListener, is_incarnation};
 use bytes::Bytes;
@@ -11,34 +12,35 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// Chunks that may be unacknowledged before an acknowledgement is sent.
-const ACKNOWLEDGE_EVERY: u64 = 64;
+/// Number of received chunks after which an acknowledgement is sent.
+const CHUNKS_PER_ACKNOWLEDGEMENT: u64 = 64;
 
-/// An attempt that hears nothing for this long asks its agent about itself.
-const PROBE_AFTER: Duration = Duration::from_secs(3);
+/// Time without a message after which an attempt asks its agent for its state.
+const PROBE_INTERVAL: Duration = Duration::from_secs(3);
 
-/// A cancel without an answer is sent again after this time.
-const CANCEL_AGAIN: Duration = Duration::from_secs(1);
+/// Time after which an unanswered cancel is sent again.
+const CANCEL_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Not sent yet.
+/// Stage of an attempt that has not been sent.
 #[derive(Debug)]
 pub struct Prepared {
     dispatch: Box<Dispatch>,
 }
 
-/// Handed to the connection; no answer yet.
+/// Stage of an attempt that was passed to the connection and has no answer yet.
 #[derive(Debug)]
 pub struct Sent {
-    line: Line,
+    channel: Channel,
 }
 
-/// The answer has begun.
+/// Stage of an attempt whose answer has begun.
 #[derive(Debug)]
 pub struct Streaming {
-    line: Line,
+    channel: Channel,
     next_chunk: u64,
     acknowledged: u64,
-    asked_for: Option<u64>,
+    /// The missing chunk that was last requested.
+    requested_chunk: Option<u64>,
 }
 
 /// An attempt in stage `S`.
@@ -48,38 +50,38 @@
     stage: S,
 }
 
-/// What stays the same through an attempt's life.
+/// Identifies an attempt at its agent; the same in all stages.
 #[derive(Clone, Copy, Debug)]
 pub struct Identity {
-    /// The attempt.
+    /// Request id and number of the attempt.
     pub attempt: AttemptId,
-    /// What the agent files it under.
+    /// Key of the agent's record of the attempt.
     pub key: ExecutionKey,
-    /// The agent process it was sent to.
+    /// The agent process that it was sent to.
     pub incarnation: Incarnation,
-    /// The agent's window when it was sent.
+    /// The agent's record window when it was sent.
     pub window: Window,
 }
 
-/// How an attempt ended without a whole answer.
+/// How an attempt ended without a complete answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// Proof that it did not run.
+    /// The agent refused it, which proves that it did not run.
     Refused(Refusal),
-    /// It may have run.
+    /// The agent reported a failure; the attempt may have run.
     Failed(Failure),
-    /// The agent can't be reached any more.
+    /// The connection was lost and not replaced in time.
     Unreachable,
-    /// The agent process it was sent to is gone; another has taken its place.
+    /// The agent process that it was sent to has been replaced by this one.
     Replaced(Incarnation),
-    /// The deadline passed.
+    /// The deadline passed before the expected message arrived.
     DeadlinePassed,
 }
 
-/// The head of an answer.
+/// Status and media type of an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Head {
-    /// The HTTP status.
+    /// The HTTP status from the backend server.
     pub status: u16,
     /// Media type of the body.
     pub content_type: String,
@@ -88,25 +90,25 @@
 /// A piece of an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Piece {
-    /// A chunk and its number.
+    /// A chunk's number and data.
     Chunk(u64, Bytes),
-    /// Every chunk was seen, and their count was confirmed.
+    /// The end of the answer; all chunks were received, as their count confirms.
     End,
 }
 
-/// The connection that an attempt uses at present.
+/// An attempt's messages to and from its agent, over the current connection.
 #[derive(Debug)]
-struct Line {
+struct Channel {
     identity: Identity,
-    /// The agent said how the attempt ended.
-    over: bool,
+    /// Whether the agent has reported the attempt's end.
+    ended: bool,
     listener: StreamListener,
     connected: Connected,
     reconnect_timeout: Duration,
 }
 
 impl Attempt<Prepared> {
-    /// An attempt that has not left the entry.
+    /// An attempt that has not been sent.
     pub fn new(dispatch: Box<Dispatch>) -> Self {
         let identity = Identity {
             attempt: dispatch.attempt,
@@ -117,7 +119,7 @@
         Self { identity, stage: Prepared { dispatch } }
     }
 
-    /// Hands it to the connection. On an error it provably did not leave the entry.
+    /// Passes the attempt to the connection. On an error it provably did not leave the entry.
     pub async fn send(
         self,
         agent: &Arc<Agent>,
@@ -128,17 +130,18 @@
         let listener = agent.listen(identity.attempt);
         let message = EntryMessage::Dispatch(self.stage.dispatch);
         let sender = connected.sender.clone();
-        let mut line = Line { identity, over: false, listener, connected, reconnect_timeout };
+        let mut channel =
+            Channel { identity, ended: false, listener, connected, reconnect_timeout };
         if sender.send(message).await.is_err() {
-            line.over = true;
+            channel.ended = true;
             return Err(Refusal::NeverArrived);
         }
-        Ok(Attempt { identity: self.identity, stage: Sent { line } })
+        Ok(Attempt { identity: self.identity, stage: Sent { channel } })
     }
 }
 
 impl Attempt<Sent> {
-    /// Takes up an attempt that another entry had sent.
+    /// Takes over an attempt that another entry sent.
     pub fn adopt(
         identity: Identity,
         agent: &Arc<Agent>,
@@ -146,14 +149,14 @@
         reconnect_timeout: Duration,
     ) -> Self {
         let listener = agent.listen(identity.attempt);
-        let line = Line { identity, over: false, listener, connected, reconnect_timeout };
-        Self { identity, stage: Sent { line } }
+        let channel = Channel { identity, ended: false, listener, connected, reconnect_timeout };
+        Self { identity, stage: Sent { channel } }
     }
 
-    /// Asks the agent to answer over this connection from the given chunk on.
-    pub async fn ask(&mut self, from_chunk: u64) {
-        let message = attach(&self.identity, from_chunk);
-        let _ = self.stage.line.connected.sender.send(message).await;
+    /// Asks the agent to send the answer over this connection, from the given chunk on.
+    pub async fn attach(&mut self, from_chunk: u64) {
+        let message = attach_message(&self.identity, from_chunk);
+        let _ = self.stage.channel.connected.sender.send(message).await;
     }
 
     /// The attempt's identity.
@@ -163,19 +166,18 @@
 
     /// Name of the backend server's agent.
     pub fn backend_server(&self) -> &str {
-        &self.stage.line.connected.hello.name
+        &self.stage.channel.connected.hello.name
     }
 
-    /// Waits for the answer to begin. On `DeadlinePassed` the attempt is handed back, so that it
-    /// can be cancelled.
-    pub async fn begin(
+    /// Waits for the answer to begin. An error returns the attempt too, so that it can be cancelled.
+    pub async fn wait_for_head(
         mut self,
         deadline: Instant,
         from_chunk: u64,
     ) -> Result<(Head, Attempt<Streaming>), (AttemptEnd, Self)> {
         loop {
-            let line = &mut self.stage.line;
-            let event = line.next(deadline, from_chunk).await;
+            let channel = &mut self.stage.channel;
+            let event = channel.next(deadline, from_chunk).await;
             match event {
                 Err(end) => return Err((end, self)),
                 Ok(AgentMessage::Refused { refusal, .. }) => {
@@ -186,51 +188,51 @@
                 }
                 Ok(AgentMessage::Head { status, content_type, .. }) => {
                     let stage = Streaming {
-                        line: self.stage.line,
+                        channel: self.stage.channel,
                         next_chunk: from_chunk,
                         acknowledged: from_chunk,
-                        asked_for: None,
+                        requested_chunk: None,
                     };
                     let head = Head { status, content_type };
                     return Ok((head, Attempt { identity: self.identity, stage }));
                 }
-                // Accepted says only that silence proves nothing, which holds since the send.
+                // `Accepted` adds nothing: since the send the attempt may be running anyway.
                 Ok(_) => {}
             }
         }
     }
 
-    /// Cancels and waits for the agent's word. `Ok` is proof that it did not run.
-    pub async fn cancel(self, limit: Duration) -> Result<Refusal, AttemptEnd> {
-        self.stop(limit, false).await
+    /// Cancels the attempt and waits for the agent's reply. `Ok` proves that it did not run.
+    pub async fn cancel(self, timeout: Duration) -> Result<Refusal, AttemptEnd> {
+        self.stop(timeout, false).await
     }
 
-    /// Gives up the attempt's whole ticket. `Ok` is proof that its work did not run and won't.
-    pub async fn void(self, limit: Duration) -> Result<Refusal, AttemptEnd> {
-        self.stop(limit, true).await
+    /// Voids the attempt's ticket. `Ok` proves that the ticket's work did not run and won't.
+    pub async fn void(self, timeout: Duration) -> Result<Refusal, AttemptEnd> {
+        self.stop(timeout, true).await
     }
 
-    async fn stop(self, limit: Duration, void_ticket: bool) -> Result<Refusal, AttemptEnd> {
-        let mut line = self.stage.line;
-        let deadline = Instant::now() + limit;
+    async fn stop(self, timeout: Duration, void_ticket: bool) -> Result<Refusal, AttemptEnd> {
+        let mut channel = self.stage.channel;
+        let deadline = Instant::now() + timeout;
         loop {
-            send_cancel(&line.connected, &self.identity, void_ticket);
-            let again_at = deadline.min(Instant::now() + CANCEL_AGAIN);
-            match line.answer_to_cancel(again_at).await {
-                CancelAnswer::Refused(refusal) => {
-                    line.over = true;
+            send_cancel(&channel.connected, &self.identity, void_ticket);
+            let retry_at = deadline.min(Instant::now() + CANCEL_RETRY_INTERVAL);
+            match channel.cancel_result(retry_at).await {
+                CancelResult::Refused(refusal) => {
+                    channel.ended = true;
                     return Ok(refusal);
                 }
-                CancelAnswer::Failed(failure) => {
-                    line.over = true;
+                CancelResult::Failed(failure) => {
+                    channel.ended = true;
                     return Err(AttemptEnd::Failed(failure));
                 }
-                CancelAnswer::Late if Instant::now() >= deadline => {
+                CancelResult::TimedOut if Instant::now() >= deadline => {
                     return Err(AttemptEnd::DeadlinePassed);
                 }
-                // The cancel or its answer went missing; saying it again does no harm.
-                CancelAnswer::Late => {}
-                CancelAnswer::Lost => line.reconnect(deadline).await?,
+                // The cancel or its reply was lost; sending it again is harmless.
+                CancelResult::TimedOut => {}
+                CancelResult::ConnectionLost => channel.reconnect(deadline).await?,
             }
         }
     }
@@ -242,48 +244,48 @@
         self.identity
     }
 
-    /// The number of the next chunk.
+    /// The number of the next expected chunk.
     pub fn next_chunk(&self) -> u64 {
         self.stage.next_chunk
     }
 
     /// Name of the backend server's agent.
     pub fn backend_server(&self) -> &str {
-        &self.stage.line.connected.hello.name
+        &self.stage.channel.connected.hello.name
     }
 
-    /// The agent that answers.
+    /// The agent that sends the answer.
     pub fn agent(&self) -> &Arc<Agent> {
-        self.stage.line.listener.agent()
+        self.stage.channel.listener.agent()
     }
 
-    /// Waits for the next piece, however long it takes: an agent that lives sends heartbeats, so
-    /// there is an end to waiting for one that does not.
+    /// Waits for the next piece without a deadline. The wait ends if the agent fails, since the
+    /// connection is closed when its heartbeats stop.
     pub async fn next(&mut self) -> Result<Piece, AttemptEnd> {
         loop {
-            let far = Instant::now() + FAR;
+            let far = Instant::now() + NO_DEADLINE;
             let wanted = self.stage.next_chunk;
-            let message = self.stage.line.next(far, wanted).await?;
+            let message = self.stage.channel.next(far, wanted).await?;
             match message {
                 AgentMessage::Chunk { number, data, .. } if number == wanted => {
                     self.stage.next_chunk += 1;
                     self.acknowledge();
                     return Ok(Piece::Chunk(number, data));
                 }
-                // A copy of what was delivered.
+                // A duplicate of a chunk received before.
                 AgentMessage::Chunk { number, .. } if number < wanted => {}
-                AgentMessage::Chunk { .. } => self.ask_again().await,
+                AgentMessage::Chunk { .. } => self.request_missing_chunk().await,
                 AgentMessage::End { chunk_count, .. } if chunk_count == wanted => {
-                    self.stage.line.over = true;
+                    self.stage.channel.ended = true;
                     return Ok(Piece::End);
                 }
-                // More was asked for than there ever was.
+                // The answer has fewer chunks than were received before.
                 AgentMessage::End { chunk_count, .. } if chunk_count < wanted => {
                     return Err(AttemptEnd::Failed(Failure::ReplayGone));
                 }
-                // The end overtook chunks, or chunks were lost: a short answer must not pass for
-                // a whole one.
-                AgentMessage::End { .. } => self.ask_again().await,
+                // Chunks were lost or are still to come. A truncated answer must not count as a
+                // complete one.
+                AgentMessage::End { .. } => self.request_missing_chunk().await,
                 AgentMessage::Refused { refusal, .. } => {
                     return Err(AttemptEnd::Refused(refusal));
                 }
@@ -293,54 +295,56 @@
         }
     }
 
-    /// Asks once for the chunk that is missing; the probe covers a lost answer.
-    async fn ask_again(&mut self) {
-        if self.stage.asked_for.replace(self.stage.next_chunk) == Some(self.stage.next_chunk) {
+    /// Requests the missing chunk once; if the reply is lost, the probe requests it again.
+    async fn request_missing_chunk(&mut self) {
+        if self.stage.requested_chunk.replace(self.stage.next_chunk) == Some(self.stage.next_chunk)
+        {
             return;
         }
-        let message = attach(&self.identity, self.stage.next_chunk);
-        let _ = self.stage.line.connected.sender.send(message).await;
+        let message = attach_message(&self.identity, self.stage.next_chunk);
+        let _ = self.stage.channel.connected.sender.send(message).await;
     }
 
     fn acknowledge(&mut self) {
-        if self.stage.next_chunk - self.stage.acknowledged < ACKNOWLEDGE_EVERY {
+        if self.stage.next_chunk - self.stage.acknowledged < CHUNKS_PER_ACKNOWLEDGEMENT {
             return;
         }
         self.stage.acknowledged = self.stage.next_chunk;
         let Identity { attempt, key, .. } = self.identity;
         let next_chunk = self.stage.next_chunk;
-        // A lost acknowledgement only makes the agent keep more; the next one covers it.
+        // After a lost acknowledgement the agent keeps more chunks until the next one.
         let message = EntryMessage::Acknowledge { attempt, key, next_chunk };
-        let _ = self.stage.line.connected.sender.try_send(message);
+        let _ = self.stage.channel.connected.sender.try_send(message);
     }
 }
 
-/// Longer than any stream; a wait that is ended by other means.
-const FAR: Duration = Duration::from_secs(30 * 24 * 3600);
+/// Longer than any stream; stands for no deadline.
+const NO_DEADLINE: Duration = Duration::from_secs(30 * 24 * 3600);
 
-enum CancelAnswer {
+enum CancelResult {
     Refused(Refusal),
     Failed(Failure),
-    Lost,
-    Late,
+    ConnectionLost,
+    TimedOut,
 }
 
-impl Line {
-    /// The next message, moving to another connection when the present one is lost.
+impl Channel {
+    /// The next message. If the connection is lost, continues over the next one.
     async fn next(&mut self, deadline: Instant, wanted: u64) -> Result<AgentMessage, AttemptEnd> {
         loop {
-            let probe_at = Instant::now() + PROBE_AFTER;
+            let probe_at = Instant::now() + PROBE_INTERVAL;
             let event = timeout_at(deadline.min(probe_at), self.listener.next()).await;
             match event {
                 Err(_) if Instant::now() >= deadline => return Err(AttemptEnd::DeadlinePassed),
-                // The connection lives, but nothing is heard of this attempt. If a message about
-                // it went missing, nobody would send it again; asking costs one message.
+                // The connection is alive, but there was no message about this attempt. A lost
+                // message would not be sent again without this request.
                 Err(_) => {
-                    let _ = self.connected.sender.send(attach(&self.identity, wanted)).await;
+                    let _ =
+                        self.connected.sender.send(attach_message(&self.identity, wanted)).await;
                 }
                 Ok(None) => return Err(AttemptEnd::Unreachable),
                 Ok(Some(StreamEvent::Message(message))) => {
-                    self.over |= matches!(
+                    self.ended |= matches!(
                         message,
                         AgentMessage::Refused { .. } | AgentMessage::Failed { .. }
                     );
@@ -349,17 +353,18 @@
                 Ok(Some(StreamEvent::Lost { epoch })) if epoch < self.connected.epoch => {}
                 Ok(Some(StreamEvent::Lost { .. })) => {
                     self.reconnect(deadline).await?;
-                    let _ = self.connected.sender.send(attach(&self.identity, wanted)).await;
+                    let _ =
+                        self.connected.sender.send(attach_message(&self.identity, wanted)).await;
                 }
             }
         }
     }
 
-    /// Waits for the next connection to the same agent process.
+    /// Waits for the next connection; fails if it is to another agent process.
     async fn reconnect(&mut self, deadline: Instant) -> Result<(), AttemptEnd> {
-        let limit = deadline.min(Instant::now() + self.reconnect_timeout);
+        let give_up_at = deadline.min(Instant::now() + self.reconnect_timeout);
         let agent = Arc::clone(self.listener.agent());
-        let connected = timeout_at(limit, agent.connected_after(self.connected.epoch)).await;
+        let connected = timeout_at(give_up_at, agent.connected_after(self.connected.epoch)).await;
         let Ok(Some(connected)) = connected else { return Err(AttemptEnd::Unreachable) };
         if !is_incarnation(&connected, self.identity.incarnation) {
             return Err(AttemptEnd::Replaced(connected.hello.incarnation));
@@ -368,18 +373,18 @@
         Ok(())
     }
 
-    async fn answer_to_cancel(&mut self, deadline: Instant) -> CancelAnswer {
+    async fn cancel_result(&mut self, deadline: Instant) -> CancelResult {
         loop {
             match timeout_at(deadline, self.listener.next()).await {
-                Err(_) => return CancelAnswer::Late,
-                Ok(None) => return CancelAnswer::Lost,
+                Err(_) => return CancelResult::TimedOut,
+                Ok(None) => return CancelResult::ConnectionLost,
                 Ok(Some(StreamEvent::Lost { epoch })) if epoch < self.connected.epoch => {}
-                Ok(Some(StreamEvent::Lost { .. })) => return CancelAnswer::Lost,
+                Ok(Some(StreamEvent::Lost { .. })) => return CancelResult::ConnectionLost,
                 Ok(Some(StreamEvent::Message(AgentMessage::Refused { refusal, .. }))) => {
-                    return CancelAnswer::Refused(refusal);
+                    return CancelResult::Refused(refusal);
                 }
                 Ok(Some(StreamEvent::Message(AgentMessage::Failed { failure, .. }))) => {
-                    return CancelAnswer::Failed(failure);
+                    return CancelResult::Failed(failure);
                 }
                 Ok(Some(StreamEvent::Message(_))) => {}
             }
@@ -387,12 +392,12 @@
     }
 }
 
-impl Drop for Line {
-    /// Lets the agent forget the answer, or stop making it: a caller that hung up would otherwise
-    /// leave work running for nobody.
+impl Drop for Channel {
+    /// Releases the agent's record of an ended attempt and cancels any other, since after a caller
+    /// disconnects nobody reads the answer.
     fn drop(&mut self) {
         let Identity { attempt, key, .. } = self.identity;
-        match self.over {
+        match self.ended {
             true => {
                 let _ = self.connected.sender.try_send(EntryMessage::Release { attempt, key });
             }
@@ -401,7 +406,7 @@
     }
 }
 
-fn attach(identity: &Identity, from_chunk: u64) -> EntryMessage {
+fn attach_message(identity: &Identity, from_chunk: u64) -> EntryMessage {
     EntryMessage::Attach {
         attempt: identity.attempt,
         key: identity.key,
--- a/crates/entry/src/connector.rs
+++ b/crates/entry/src/connector.rs
@@ -1,4 +1,4 @@
-//! How an entry opens connections to agents; a trait, so that tests connect in memory.
+//! Opens connections from an entry to agents. A trait, so that tests can connect in memory.
 
 use flamingowheel_backing::BoxFuture;
 use flamingowheel_protocol::link::Link;
@@ -11,14 +11,14 @@
 
 /// Opens connections to agents.
 pub trait Connector: Send + Sync + 'static {
-    /// Opens one.
+    /// Connects to the process at `address`, which may turn out not to be an agent.
     fn connect(&self, address: SocketAddr) -> BoxFuture<'_, Result<AgentLink, HandshakeError>>;
 }
 
 /// Connects over WebSocket.
 #[derive(Clone, Debug)]
 pub struct WebSocketConnector {
-    /// Who this entry is.
+    /// This entry's identity, sent in the handshake.
     pub identity: Identity,
 }
 
--- a/crates/entry/src/dispatch.rs
+++ b/crates/entry/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Sends requests to agents until one of the three outcomes is known.
+//! Sends requests to agents and retries them until the outcome is known.
 
 mod home;
 pub mod keys;
@@ -26,16 +26,16 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// Retry budgets kept at most; beyond it all start anew.
+/// Most workspaces with a retry budget; when it is reached all budgets are reset.
 const MAX_BUDGETS: usize = 4096;
 
-/// How long the link to a backend server for a suspect may take to open.
-const ALONE_LIMIT: Duration = Duration::from_secs(1);
+/// Timeout for connecting to the backend server chosen for an isolated request.
+const ISOLATED_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Attempt numbers from here on are drawn at random, by entries that go on with a stream.
-const FIRST_ADOPTED: u32 = 1 << 16;
+/// Attempt numbers from here on are drawn at random, to resume a stream or void a ticket.
+const FIRST_RANDOM_ATTEMPT: u32 = 1 << 16;
 
-/// Sends requests.
+/// Sends requests to agents, with retries.
 pub struct Dispatcher {
     config: Arc<EntryConfig>,
     router: Arc<Router>,
@@ -43,37 +43,37 @@
     budgets: Mutex<HashMap<Arc<str>, RetryBudget>>,
 }
 
-/// One request's attempts so far.
-struct Journey<'a> {
+/// A request and the attempts made for it so far.
+struct RequestProgress<'a> {
     request: &'a Request,
     log: SubjectRecorder,
     tried: Vec<ServerKey>,
     attempts: u32,
-    last: Option<AttemptEnd>,
-    /// The end of an attempt that may have run. A later refusal proves nothing about that one, so
-    /// with this set the request as a whole can't be called "not run".
-    uncertain: Option<AttemptEnd>,
+    last_end: Option<AttemptEnd>,
+    /// The end of an attempt that may have run. A later refusal proves nothing about that attempt,
+    /// so once this is set the outcome can't be "not run".
+    uncertain_end: Option<AttemptEnd>,
 }
 
-impl Journey<'_> {
-    fn note(&mut self, end: AttemptEnd) {
-        self.last = Some(end);
+impl RequestProgress<'_> {
+    fn record_end(&mut self, end: AttemptEnd) {
+        self.last_end = Some(end);
         if !matches!(end, AttemptEnd::Refused(_)) {
-            self.uncertain = Some(end);
+            self.uncertain_end = Some(end);
         }
     }
 
-    /// What the caller is told when no other attempt follows.
-    fn verdict(&self, otherwise: NotRun) -> Verdict {
-        match self.uncertain {
+    /// The request's verdict if no further attempt follows: `not_run`, unless an attempt may have run.
+    fn verdict(&self, not_run: NotRun) -> Verdict {
+        match self.uncertain_end {
             Some(end) => verdict(end),
-            None => otherwise.into(),
+            None => not_run.into(),
         }
     }
 
-    /// What the caller is told when no backend server is left.
-    fn no_choice(&self, error: RouteError) -> Verdict {
-        match (error, self.last) {
+    /// The request's verdict if no backend server can be chosen.
+    fn routing_failed(&self, error: RouteError) -> Verdict {
+        match (error, self.last_end) {
             (RouteError::Overloaded { wait }, _) => {
                 let retry_after_ms = wait.as_millis() as u64;
                 self.verdict(NotRun::Overloaded { retry_after_ms })
@@ -84,12 +84,13 @@
     }
 }
 
-/// A backend server that was chosen for the next attempt.
+/// The backend server chosen for the next attempt.
 struct Chosen {
     server: ServerKey,
     agent: Arc<Agent>,
     connected: Connected,
     last_try: bool,
+    /// Whether the request must run isolated from others.
     alone: bool,
 }
 
@@ -99,48 +100,54 @@
         Self { config, router, recorder, budgets: Mutex::default() }
     }
 
-    /// The agents and what is known of their load.
+    /// The router that chooses the backend servers.
     pub fn router(&self) -> &Arc<Router> {
         &self.router
     }
 
-    /// Runs a request to the beginning of its answer. Non-idempotent requests get a ticket of
-    /// their own for each attempt; it comes with the answer, or with the verdict if the last
-    /// attempt may have run.
+    /// Runs a request up to the beginning of its answer. For non-idempotent requests each attempt
+    /// gets a ticket of its own; the last one is returned.
     pub async fn run(&self, request: Request) -> (Result<Answer, Verdict>, Option<Ticket>) {
-        let mut journey = self.journey(&request);
+        let mut progress = self.start(&request);
         let mut ticket = None;
-        let result = self.attempts(&mut journey, &mut ticket).await;
+        let result = self.run_attempts(&mut progress, &mut ticket).await;
         if let Err(verdict) = &result {
-            self.conclude(&journey, verdict);
+            self.record_verdict(&progress, verdict);
         }
         (result, ticket)
     }
 
-    fn journey<'a>(&self, request: &'a Request) -> Journey<'a> {
+    fn start<'a>(&self, request: &'a Request) -> RequestProgress<'a> {
         let log = self.recorder.about(events::subject(request));
         log.record(Event::RequestAccepted {
             class: events::class(request),
             idempotent: request.idempotent,
             deadline_ms: request.remaining_ms(),
         });
-        Journey { request, log, tried: Vec::new(), attempts: 0, last: None, uncertain: None }
+        RequestProgress {
+            request,
+            log,
+            tried: Vec::new(),
+            attempts: 0,
+            last_end: None,
+            uncertain_end: None,
+        }
     }
 
-    fn conclude(&self, journey: &Journey<'_>, verdict: &Verdict) {
-        let class = events::class(journey.request);
-        journey.log.record(events::verdict(verdict, class, journey.attempts));
+    fn record_verdict(&self, progress: &RequestProgress<'_>, verdict: &Verdict) {
+        let class = events::class(progress.request);
+        progress.log.record(events::verdict(verdict, class, progress.attempts));
     }
 
-    async fn attempts(
+    async fn run_attempts(
         &self,
-        journey: &mut Journey<'_>,
+        progress: &mut RequestProgress<'_>,
         ticket: &mut Option<Ticket>,
     ) -> Result<Answer, Verdict> {
-        let request = journey.request;
+        let request = progress.request;
         loop {
-            let chosen = self.choose(journey).await?;
-            journey.tried.push(chosen.server);
+            let chosen = self.choose(progress).await?;
+            progress.tried.push(chosen.server);
             let key = match request.idempotent {
                 true => None,
                 false => {
@@ -150,69 +157,72 @@
                     Some(key)
                 }
             };
-            let end = match self.attempt(journey, &chosen, key).await {
+            let end = match self.attempt(progress, &chosen, key).await {
                 Ok(answer) => return Ok(answer),
                 Err(end) => end,
             };
-            self.router.ended(chosen.server);
-            journey.note(end);
-            self.permit_retry(journey, end)?;
+            self.router.request_ended(chosen.server);
+            progress.record_end(end);
+            self.permit_retry(progress, end)?;
         }
     }
 
-    async fn choose(&self, journey: &Journey<'_>) -> Result<Chosen, Verdict> {
-        let request = journey.request;
+    async fn choose(&self, progress: &RequestProgress<'_>) -> Result<Chosen, Verdict> {
+        let request = progress.request;
         match self.router.verdict(request.fingerprint) {
-            Suspicion::Clear => self.choose_best(journey).await,
-            Suspicion::Alone { crashed } => self.choose_alone(journey, crashed).await,
+            Suspicion::Clear => self.choose_best(progress).await,
+            Suspicion::Alone { crashed } => self.choose_isolated(progress, crashed).await,
             Suspicion::Refused { retry_after } => {
                 let retry_after_ms = retry_after.as_millis() as u64;
-                Err(journey.verdict(NotRun::Suspect { retry_after_ms }))
+                Err(progress.verdict(NotRun::Suspect { retry_after_ms }))
             }
         }
     }
 
-    async fn choose_best(&self, journey: &Journey<'_>) -> Result<Chosen, Verdict> {
-        let request = journey.request;
-        let question = RouteRequest { fingerprint: request.fingerprint, tried: &journey.tried };
+    async fn choose_best(&self, progress: &RequestProgress<'_>) -> Result<Chosen, Verdict> {
+        let request = progress.request;
+        let route_request =
+            RouteRequest { fingerprint: request.fingerprint, tried: &progress.tried };
         let class = route_class(request);
-        let routed =
-            self.router.route_anywhere(&request.target, &question, &class, &request.prompt).await;
-        let routed = routed.map_err(|error| journey.no_choice(error))?;
-        let connected = self.connected(journey, routed.choice.server, &routed.agent)?;
-        log_route(journey, &routed, &connected);
+        let routed = self
+            .router
+            .route_anywhere(&request.target, &route_request, &class, &request.prompt)
+            .await;
+        let routed = routed.map_err(|error| progress.routing_failed(error))?;
+        let connected = self.connected(progress, routed.choice.server, &routed.agent)?;
+        log_route(progress, &routed, &connected);
         let Routed { choice, agent, .. } = routed;
         let last_try = choice.last_try;
         Ok(Chosen { server: choice.server, agent, connected, last_try, alone: false })
     }
 
-    /// A request that may have crashed a backend server goes to one that all entries agree on,
-    /// so that copies of it that come through many entries can't crash many.
-    async fn choose_alone(
+    /// Chooses for a request that may have crashed a backend server. All entries choose the same
+    /// server, so that copies of the request through many entries can't crash many servers.
+    async fn choose_isolated(
         &self,
-        journey: &Journey<'_>,
+        progress: &RequestProgress<'_>,
         mut crashed: Vec<ServerKey>,
     ) -> Result<Chosen, Verdict> {
-        let request = journey.request;
-        crashed.extend(&journey.tried);
+        let request = progress.request;
+        crashed.extend(&progress.tried);
         let (server, agent) = loop {
             let routed = self.router.route_isolated(&request.target, request.fingerprint, &crashed);
-            let (server, agent) = routed.map_err(|error| journey.no_choice(error))?;
-            // Its link may just be opening. One that can't be opened is no place to run at.
-            let limit = request.deadline.min(Instant::now() + ALONE_LIMIT);
-            if timeout_at(limit, agent.connected_after(0)).await.is_ok() {
+            let (server, agent) = routed.map_err(|error| progress.routing_failed(error))?;
+            // The link may have just been opened. If it doesn't connect, another server is chosen.
+            let connect_deadline = request.deadline.min(Instant::now() + ISOLATED_CONNECT_TIMEOUT);
+            if timeout_at(connect_deadline, agent.connected_after(0)).await.is_ok() {
                 break (server, agent);
             }
-            self.router.ended(server);
+            self.router.request_ended(server);
             if Instant::now() >= request.deadline {
-                return Err(journey.no_choice(RouteError::NoneAvailable));
+                return Err(progress.routing_failed(RouteError::NoneAvailable));
             }
             crashed.push(server);
         };
-        let connected = self.connected(journey, server, &agent)?;
-        journey.log.record(Event::Routed {
+        let connected = self.connected(progress, server, &agent)?;
+        progress.log.record(Event::Routed {
             backend_server: connected.hello.name.as_str().into(),
-            attempt: journey.attempts + 1,
+            attempt: progress.attempts + 1,
             reason: RouteReason::Quarantine,
             candidates: 1,
             predicted_wait_ms: 0,
@@ -222,49 +232,49 @@
 
     fn connected(
         &self,
-        journey: &Journey<'_>,
+        progress: &RequestProgress<'_>,
         server: ServerKey,
         agent: &Agent,
     ) -> Result<Connected, Verdict> {
         agent.connected().ok_or_else(|| {
-            self.router.ended(server);
-            journey.no_choice(RouteError::NoneAvailable)
+            self.router.request_ended(server);
+            progress.routing_failed(RouteError::NoneAvailable)
         })
     }
 
-    /// Decides whether another attempt may follow one that ended like this.
-    fn permit_retry(&self, journey: &Journey<'_>, end: AttemptEnd) -> Result<(), Verdict> {
-        let request = journey.request;
+    /// Decides whether another attempt may follow one that ended with `end`.
+    fn permit_retry(&self, progress: &RequestProgress<'_>, end: AttemptEnd) -> Result<(), Verdict> {
+        let request = progress.request;
         match end {
-            // Proof that it did not run: a try elsewhere is safe for every kind of request. The
-            // router bounds how many there are.
+            // The attempt did not run, so any request may be tried at another server. The router
+            // bounds the number of attempts.
             AttemptEnd::Refused(_) if request.remaining_ms() > 0 => {}
-            AttemptEnd::Refused(_) => return Err(journey.verdict(NotRun::DeadlinePassed)),
+            AttemptEnd::Refused(_) => return Err(progress.verdict(NotRun::DeadlinePassed)),
             _ => {
-                let question = RetryRequest {
+                let retry_request = RetryRequest {
                     idempotent: request.idempotent,
                     last_outcome: TryOutcome::Unknown,
                     answer_started: false,
                     remaining: Duration::from_millis(request.remaining_ms()),
                 };
-                if let Err(refusal) = self.take_retry(request, &question) {
+                if let Err(refusal) = self.spend_retry(request, &retry_request) {
                     let reason = events::retry_denial(refusal);
-                    journey.log.record(Event::RetryDenied { attempt: journey.attempts, reason });
+                    progress.log.record(Event::RetryDenied { attempt: progress.attempts, reason });
                     return Err(verdict(end));
                 }
             }
         }
         let reason = events::retry_reason(end);
-        journey.log.record(Event::Retried { attempt: journey.attempts + 1, reason });
+        progress.log.record(Event::Retried { attempt: progress.attempts + 1, reason });
         Ok(())
     }
 
-    fn take_retry(
+    fn spend_retry(
         &self,
         request: &Request,
-        question: &RetryRequest,
+        retry_request: &RetryRequest,
     ) -> Result<(), flamingowheel_policy::retry::RetryRefusal> {
-        self.with_budget(request, |budget| budget.try_retry(question))
+        self.with_budget(request, |budget| budget.try_retry(retry_request))
     }
 
     fn with_budget<F, R>(&self, request: &Request, change: F) -> R
@@ -287,16 +297,16 @@
         change(budget)
     }
 
-    /// One attempt, up to the beginning of the answer.
+    /// Makes one attempt, up to the beginning of its answer.
     async fn attempt(
         &self,
-        journey: &mut Journey<'_>,
+        progress: &mut RequestProgress<'_>,
         chosen: &Chosen,
         key: Option<ExecutionKey>,
     ) -> Result<Answer, AttemptEnd> {
-        let request = journey.request;
-        journey.attempts += 1;
-        let attempt = AttemptId { request: request.id, number: journey.attempts };
+        let request = progress.request;
+        progress.attempts += 1;
+        let attempt = AttemptId { request: request.id, number: progress.attempts };
         let dispatch = Dispatch {
             attempt,
             key: key.unwrap_or(ExecutionKey::Attempt(attempt)),
@@ -315,7 +325,7 @@
             last_try: chosen.last_try,
             resume_after_chunks: 0,
         };
-        journey.log.record(Event::Dispatched {
+        progress.log.record(Event::Dispatched {
             backend_server: chosen.connected.hello.name.as_str().into(),
             attempt: attempt.number,
             incarnation: events::incarnation(dispatch.incarnation),
@@ -325,39 +335,38 @@
             .send(&chosen.agent, chosen.connected.clone(), self.config.reconnect_timeout)
             .await
             .map_err(AttemptEnd::Refused)?;
-        let (head, mut attempt) = match sent.begin(request.deadline, 0).await {
+        let (head, mut attempt) = match sent.wait_for_head(request.deadline, 0).await {
             Ok(begun) => begun,
-            Err((end, sent)) => return Err(self.settle(journey, end, sent).await),
+            Err((end, sent)) => return Err(self.resolve_end(progress, end, sent).await),
         };
-        // Engines send the head at once and the first token much later. As long as the caller has
-        // nothing, an attempt that fails can still be followed by another.
+        // Engines send the head at once and the first token much later. As long as nothing was sent
+        // to the caller, a failed attempt can still be retried.
         let first = timeout_at(request.deadline, attempt.next()).await;
         let first = first.unwrap_or(Err(AttemptEnd::DeadlinePassed))?;
         self.with_budget(request, RetryBudget::on_success);
         let origin = Origin {
             server: chosen.server,
-            attempts: journey.attempts,
+            attempts: progress.attempts,
             can_resume: chosen.connected.profile.can_resume,
         };
-        let (router, log) = (Arc::clone(&self.router), journey.log.clone());
-        let limit = self.config.reconnect_timeout;
-        Ok(Answer::new(request.clone(), head, attempt, origin, router, log, limit)
+        let (router, log) = (Arc::clone(&self.router), progress.log.clone());
+        let reconnect_timeout = self.config.reconnect_timeout;
+        Ok(Answer::new(request.clone(), head, attempt, origin, router, log, reconnect_timeout)
             .with_first(first))
     }
 
-    /// When the deadline passed, asks the agent not to run it; its word may turn "unknown" into
-    /// proof.
-    async fn settle(
+    /// Cancels an attempt whose deadline passed. The agent's reply may prove that it did not run.
+    async fn resolve_end(
         &self,
-        journey: &Journey<'_>,
+        progress: &RequestProgress<'_>,
         end: AttemptEnd,
         sent: Attempt<Sent>,
     ) -> AttemptEnd {
-        let attempt = journey.attempts;
+        let attempt = progress.attempts;
         match end {
             AttemptEnd::DeadlinePassed => {
                 let cause = CancelCause::DeadlinePassed;
-                journey.log.record(Event::Cancelled { attempt, cause });
+                progress.log.record(Event::Cancelled { attempt, cause });
                 match sent.cancel(self.config.cancel_timeout).await {
                     Ok(refusal) => AttemptEnd::Refused(refusal),
                     Err(_) => AttemptEnd::DeadlinePassed,
@@ -366,7 +375,7 @@
             AttemptEnd::Refused(refusal) => {
                 let backend_server = sent.backend_server().into();
                 let reason = events::refusal(refusal);
-                journey.log.record(Event::Refused { backend_server, attempt, reason });
+                progress.log.record(Event::Refused { backend_server, attempt, reason });
                 end
             }
             _ => end,
@@ -374,7 +383,7 @@
     }
 }
 
-/// What the agent files a ticket's work under.
+/// Key of the agent's record of a ticket's work.
 pub fn ticket_key(ticket: &Ticket) -> ExecutionKey {
     ExecutionKey::Ticket { number: ticket.number, window: ticket.window }
 }
@@ -387,13 +396,13 @@
     }
 }
 
-fn log_route(journey: &Journey<'_>, routed: &Routed, connected: &Connected) {
+fn log_route(progress: &RequestProgress<'_>, routed: &Routed, connected: &Connected) {
     let choice = &routed.choice;
-    journey.log.record(Event::Routed {
+    progress.log.record(Event::Routed {
         backend_server: connected.hello.name.as_str().into(),
-        attempt: journey.attempts + 1,
-        // The search ends at the first candidate that is good enough, so that one was looked at
-        // does not say that no other was left.
+        attempt: progress.attempts + 1,
+        // The search ends at the first candidate that is good enough, so a single candidate doesn't
+        // mean that no other server was available.
         reason: match routed.by_prefix {
             true => RouteReason::PrefixCached,
             false => RouteReason::LeastWait,
@@ -403,7 +412,7 @@
     });
 }
 
-/// What the caller is told when an attempt was the last.
+/// The request's verdict if the attempt that ended with `end` was its last.
 pub fn verdict(end: AttemptEnd) -> Verdict {
     match end {
         AttemptEnd::Refused(Refusal::Cancelled | Refusal::DeadlinePassed) => {
@@ -425,9 +434,9 @@
     use flamingowheel_protocol::id::RequestId;
     use tokio::time::Instant;
 
-    // An operator allows one try only, and the change is accepted. It must count.
+    // Guards against ignoring the workspace's `max_tries`, which operators can set to 1.
     #[tokio::test(start_paused = true)]
-    async fn route_class_takes_tries_of_the_workspace() {
+    async fn route_class_uses_max_tries_of_workspace() {
         let retry = Retry { max_tries: 1, ..Retry::default() };
         let workspace = EffectiveWorkspace {
             name: "peachline".into(),
--- a/crates/entry/src/dispatch/home.rs
+++ b/crates/entry/src/dispatch/home.rs
@@ -1,6 +1,8 @@
-//! Work that only one agent process can answer for: tickets, and streams that had begun.
+//! Work that is bound to one agent process, its home: tickets, and streams that are resumed.
 
-use super::{Chosen, Dispatcher, FIRST_ADOPTED, Journey, route_class, ticket_key, verdict};
+use super::{
+    Chosen, Dispatcher, FIRST_RANDOM_ATTEMPT, RequestProgress, route_class, ticket_key, verdict,
+};
 use crate::agents::{Agent, Connected, is_incarnation};
 use crate::attempt::{Attempt, AttemptEnd, Identity, Sent};
 use crate::events;
@@ -20,18 +22,18 @@
 use uuid::Uuid;
 
 impl Dispatcher {
-    /// Runs a request under a ticket: at the one agent process that the ticket names, or nowhere.
+    /// Runs a request under a ticket, only at the agent process that the ticket names.
     pub async fn run_ticket(&self, request: Request, ticket: &Ticket) -> Result<Answer, Verdict> {
-        let mut journey = self.journey(&request);
-        let result = self.ticket_attempt(&mut journey, ticket).await;
+        let mut progress = self.start(&request);
+        let result = self.ticket_attempt(&mut progress, ticket).await;
         if let Err(verdict) = &result {
-            self.conclude(&journey, verdict);
+            self.record_verdict(&progress, verdict);
         }
         result
     }
 
-    /// Goes on with an answer that another entry had begun, from the given chunk on.
-    pub async fn go_on(
+    /// Resumes a stream that this or another entry started, from the given chunk on.
+    pub async fn resume_stream(
         &self,
         workspace: Arc<EffectiveWorkspace>,
         token: &StreamToken,
@@ -42,9 +44,9 @@
         let log = self.recorder.about(events::subject(&request));
         let server = ServerKey::from_name(&token.agent);
         let home = self.home(&request, token.incarnation, server).await?;
-        // An attempt number of its own: the entry that began the stream may still live, and its
-        // cancel must not take this listener off.
-        let number = rand::random_range(FIRST_ADOPTED..u32::MAX);
+        // A new attempt number. The entry that started the stream may still be running, and its
+        // cancel must not remove this listener.
+        let number = rand::random_range(FIRST_RANDOM_ATTEMPT..u32::MAX);
         let identity = Identity {
             attempt: AttemptId { request: token.request, number },
             key: token.key,
@@ -56,32 +58,34 @@
             attempt: number,
             from_chunk,
         });
-        let limit = self.config.reconnect_timeout;
-        let mut sent = Attempt::<Sent>::adopt(identity, &home.agent, home.connected, limit);
-        sent.ask(from_chunk).await;
-        let begun = sent.begin(deadline, from_chunk).await;
+        let reconnect_timeout = self.config.reconnect_timeout;
+        let mut sent =
+            Attempt::<Sent>::adopt(identity, &home.agent, home.connected, reconnect_timeout);
+        sent.attach(from_chunk).await;
+        let begun = sent.wait_for_head(deadline, from_chunk).await;
         let (head, attempt) = begun.map_err(|(end, _)| match end {
-            // Nothing is known of the stream: it was begun, so it may have run.
+            // The agent has no record of the stream, which had started and so may have run.
             AttemptEnd::Refused(refusal) => Unknown::StreamGone(refusal).into(),
             end => verdict(end),
         })?;
-        // The body is not known here, so it can't be sent to a new agent process.
+        // This entry doesn't have the request's body, so it can't send it to a new agent process.
         let origin = Origin { server, attempts: 1, can_resume: false };
         let router = Arc::clone(&self.router);
-        Ok(Answer::new(request, head, attempt, origin, router, log, limit))
+        Ok(Answer::new(request, head, attempt, origin, router, log, reconnect_timeout))
     }
 
-    /// Gives a ticket up. The verdict is proof that it did not run and won't, or it is unknown.
+    /// Voids a ticket. The verdict is either "not run", which proves that the ticket did not run and
+    /// won't, or "unknown".
     pub async fn void(&self, request: Request, ticket: &Ticket) -> Verdict {
-        let limit = Duration::from_millis(request.remaining_ms());
-        self.give_up_ticket(&request, ticket, limit).await
+        let timeout = Duration::from_millis(request.remaining_ms());
+        self.void_ticket(&request, ticket, timeout).await
     }
 
-    pub(super) async fn give_up_ticket(
+    pub(super) async fn void_ticket(
         &self,
         request: &Request,
         ticket: &Ticket,
-        limit: Duration,
+        timeout: Duration,
     ) -> Verdict {
         let log = self.recorder.about(events::subject(request));
         let server = ServerKey::from_name(&ticket.agent);
@@ -89,8 +93,8 @@
             Ok(home) => home,
             Err(verdict) => return verdict,
         };
-        // A number that no attempt of the request has: it is told "cancelled" and never runs.
-        let number = rand::random_range(FIRST_ADOPTED..u32::MAX);
+        // A number that no attempt of the request has; the agent refuses it as cancelled.
+        let number = rand::random_range(FIRST_RANDOM_ATTEMPT..u32::MAX);
         let identity = Identity {
             attempt: AttemptId { request: request.id, number },
             key: ticket_key(ticket),
@@ -103,7 +107,7 @@
             home.connected,
             self.config.reconnect_timeout,
         );
-        match sent.void(limit).await {
+        match sent.void(timeout).await {
             Ok(refusal) => {
                 let ticket = ticket.number.to_string().into();
                 log.record(Event::TicketVoided { ticket });
@@ -114,24 +118,24 @@
         }
     }
 
-    /// Mints a ticket for a backend server that is likely to have room.
+    /// Mints a ticket for the backend server that routing prefers.
     pub async fn mint(&self, request: &Request) -> Result<Ticket, NotRun> {
-        self.mint_beside(request, &[]).await
+        self.mint_excluding(request, &[]).await
     }
 
-    /// The same, at none of these.
-    pub(super) async fn mint_beside(
+    /// Like [`Self::mint`], but not for the servers in `tried`.
+    pub(super) async fn mint_excluding(
         &self,
         request: &Request,
         tried: &[ServerKey],
     ) -> Result<Ticket, NotRun> {
-        let question = RouteRequest { fingerprint: request.fingerprint, tried };
+        let route_request = RouteRequest { fingerprint: request.fingerprint, tried };
         let routed = self
             .router
-            .route_anywhere(&request.target, &question, &route_class(request), &request.prompt)
+            .route_anywhere(&request.target, &route_request, &route_class(request), &request.prompt)
             .await
             .map_err(|_| NotRun::NoneAvailable)?;
-        self.router.ended(routed.choice.server);
+        self.router.request_ended(routed.choice.server);
         let connected = routed.agent.connected().ok_or(NotRun::NoneAvailable)?;
         Ok(self.mint_for(request, &routed.agent, &connected))
     }
@@ -160,18 +164,18 @@
 
     pub(super) async fn ticket_attempt(
         &self,
-        journey: &mut Journey<'_>,
+        progress: &mut RequestProgress<'_>,
         ticket: &Ticket,
     ) -> Result<Answer, Verdict> {
         let server = ServerKey::from_name(&ticket.agent);
-        let chosen = self.home(journey.request, ticket.incarnation, server).await?;
-        journey.tried.push(server);
-        let end = match self.attempt(journey, &chosen, Some(ticket_key(ticket))).await {
+        let chosen = self.home(progress.request, ticket.incarnation, server).await?;
+        progress.tried.push(server);
+        let end = match self.attempt(progress, &chosen, Some(ticket_key(ticket))).await {
             Ok(answer) => return Ok(answer),
             Err(end) => end,
         };
         Err(match end {
-            // These say that this attempt does not run, but nothing of earlier ones.
+            // These refusals prove that this attempt did not run, but not that earlier ones didn't.
             AttemptEnd::Refused(refusal @ (Refusal::Expired | Refusal::WrongIncarnation)) => {
                 Unknown::TicketHome(refusal).into()
             }
@@ -179,20 +183,21 @@
         })
     }
 
-    /// The one agent process that can tell.
+    /// The home of a ticket or stream: the one agent process that has its record.
     pub(super) async fn home(
         &self,
         request: &Request,
         incarnation: Incarnation,
         server: ServerKey,
     ) -> Result<Chosen, Verdict> {
-        let agent = self.router.called(server, request.deadline).await;
+        let agent = self.router.find_agent(server, request.deadline).await;
         let agent = agent.ok_or(Unknown::AgentUnreachable)?;
-        let limit = request.deadline.min(Instant::now() + self.config.reconnect_timeout);
-        let connected = timeout_at(limit, agent.connected_after(0)).await;
+        let connect_deadline = request.deadline.min(Instant::now() + self.config.reconnect_timeout);
+        let connected = timeout_at(connect_deadline, agent.connected_after(0)).await;
         let connected = connected.ok().flatten().ok_or(Unknown::AgentUnreachable)?;
         if !is_incarnation(&connected, incarnation) {
-            // Its records are gone: the work may have run there, and must run nowhere else.
+            // The records of the earlier process are gone. The work may have run there, so it must not
+            // run anywhere else.
             return Err(Unknown::TicketHome(Refusal::WrongIncarnation).into());
         }
         Ok(Chosen { server, agent, connected, last_try: true, alone: false })
--- a/crates/entry/src/dispatch/keys.rs
+++ b/crates/entry/src/dispatch/keys.rs
@@ -1,10 +1,10 @@
-//! Work under a key of the caller's own, which stands for a ticket.
+//! Requests with an idempotency key, which is bound to a ticket.
 //!
-//! The ticket's agent may refuse for good: it leaves, its records are full, its backend server is
-//! down, its VM is gone. The key then stands for another ticket, if it is proved that the old one
+//! The ticket's agent may refuse permanently: it is leaving, its records are full, its backend server
+//! is down, or its VM is gone. The key is then rebound to another ticket if the old one provably
 //! never ran and won't.
 
-use super::{Dispatcher, Journey};
+use super::{Dispatcher, RequestProgress};
 use crate::claims::Claim;
 use crate::outcome::{NotRun, Verdict};
 use crate::request::Request;
@@ -15,164 +15,168 @@
 use flamingowheel_protocol::ticket::Ticket;
 use std::time::Duration;
 
-/// How often one call may bind its key anew. Each takes writes of the key-value service, and when
-/// three backend servers in turn refuse, a fourth is no better bet.
+/// Most rebindings per call. Each takes writes to the key-value service, and after refusals by three
+/// backend servers a fourth is no more likely to accept.
 const MAX_REBINDS: u32 = 2;
 
-/// What a key stands for.
+/// The ticket that a key is bound to.
 #[derive(Clone, Debug)]
-pub struct Bound {
-    /// As stored.
+pub struct BoundKey {
+    /// The stored record.
     pub claim: Claim,
-    /// The ticket in it.
+    /// The ticket parsed from the record.
     pub ticket: Ticket,
 }
 
 /// How a call under a key ended without an answer from an agent.
 pub enum KeyEnd {
-    /// There is none.
-    Told(Verdict),
-    /// An agent process that ended left it behind.
+    /// There is no complete answer.
+    Verdict(Verdict),
+    /// The answer was archived by an agent process that has shut down.
     Archived(ArchivedAnswer),
 }
 
-/// Where a key's record and the archived answers are.
-pub trait KeyHome: Sync {
-    /// What an agent process that ended left of the ticket.
-    fn trace<'a>(
+/// Access to a key's record and to the archived answers.
+pub trait KeyRecords: Sync {
+    /// What an agent process that has ended archived about the ticket.
+    fn lookup<'a>(
         &'a self,
         request: &'a Request,
         ticket: &'a Ticket,
     ) -> BoxFuture<'a, ArchiveLookup>;
 
-    /// Binds the key to `minted` in the place of `old`; gives what it stands for now.
+    /// Rebinds the key from `old` to `minted`; returns the binding that is now in force.
     fn rebind<'a>(
         &'a self,
         request: &'a Request,
         old: &'a Claim,
         minted: Ticket,
-    ) -> BoxFuture<'a, Result<Bound, NotRun>>;
+    ) -> BoxFuture<'a, Result<BoundKey, NotRun>>;
 }
 
-/// What became of the ticket that a key stands for.
-enum Fate {
-    /// Proof that it never ran and won't; the key may stand for this new one.
+/// What to do with a key after an attempt under its ticket had no complete answer.
+enum TicketStatus {
+    /// The ticket provably never ran and won't; the key may be rebound to this new ticket.
     Replaceable(Ticket),
-    /// It ran.
+    /// The ticket ran, and its answer was archived.
     Archived(ArchivedAnswer),
-    /// The attempt's end is all that can be told.
-    Told,
+    /// The key can't be rebound; the attempt's verdict is final.
+    Final,
 }
 
 impl Dispatcher {
-    /// Runs a request under the ticket that its key stands for, or stands for in the end.
+    /// Runs a request under the ticket that its key is bound to, rebinding the key if necessary.
+    /// Returns the last ticket too.
     pub async fn run_key<H>(
         &self,
         request: Request,
-        mut bound: Bound,
-        home: &H,
+        mut bound: BoundKey,
+        records: &H,
     ) -> (Result<Answer, KeyEnd>, Ticket)
     where
-        H: KeyHome,
+        H: KeyRecords,
     {
-        let mut journey = self.journey(&request);
-        let end = self.key_attempts(&mut journey, &mut bound, home).await;
-        if let Err(KeyEnd::Told(verdict)) = &end {
-            self.conclude(&journey, verdict);
+        let mut progress = self.start(&request);
+        let end = self.key_attempts(&mut progress, &mut bound, records).await;
+        if let Err(KeyEnd::Verdict(verdict)) = &end {
+            self.record_verdict(&progress, verdict);
         }
         (end, bound.ticket)
     }
 
     async fn key_attempts<H>(
         &self,
-        journey: &mut Journey<'_>,
-        bound: &mut Bound,
-        home: &H,
+        progress: &mut RequestProgress<'_>,
+        bound: &mut BoundKey,
+        records: &H,
     ) -> Result<Answer, KeyEnd>
     where
-        H: KeyHome,
+        H: KeyRecords,
     {
         let mut rebinds = 0;
         loop {
-            let verdict = match self.ticket_attempt(journey, &bound.ticket).await {
+            let verdict = match self.ticket_attempt(progress, &bound.ticket).await {
                 Ok(answer) => return Ok(answer),
                 Err(verdict) => verdict,
             };
-            let may_rebind = rebinds < MAX_REBINDS && journey.request.remaining_ms() > 0;
-            let minted = match self.fate(journey, &bound.ticket, &verdict, home, may_rebind).await {
-                Fate::Replaceable(minted) => minted,
-                Fate::Archived(answer) => return Err(KeyEnd::Archived(answer)),
-                Fate::Told => return Err(KeyEnd::Told(verdict)),
+            let may_rebind = rebinds < MAX_REBINDS && progress.request.remaining_ms() > 0;
+            let minted = match self
+                .ticket_status(progress, &bound.ticket, &verdict, records, may_rebind)
+                .await
+            {
+                TicketStatus::Replaceable(minted) => minted,
+                TicketStatus::Archived(answer) => return Err(KeyEnd::Archived(answer)),
+                TicketStatus::Final => return Err(KeyEnd::Verdict(verdict)),
             };
-            // If this fails nothing was sent under what the key stands for now, whatever it is.
-            let rebinding = home.rebind(journey.request, &bound.claim, minted).await;
-            *bound = rebinding.map_err(|not_run| KeyEnd::Told(not_run.into()))?;
+            // If this fails, this call has sent nothing under the key's current binding.
+            let rebinding = records.rebind(progress.request, &bound.claim, minted).await;
+            *bound = rebinding.map_err(|not_run| KeyEnd::Verdict(not_run.into()))?;
             rebinds += 1;
         }
     }
 
-    async fn fate<H>(
+    async fn ticket_status<H>(
         &self,
-        journey: &Journey<'_>,
+        progress: &RequestProgress<'_>,
         ticket: &Ticket,
         verdict: &Verdict,
-        home: &H,
+        records: &H,
         may_rebind: bool,
-    ) -> Fate
+    ) -> TicketStatus
     where
-        H: KeyHome,
+        H: KeyRecords,
     {
-        let request = journey.request;
+        let request = progress.request;
         match verdict {
             Verdict::Unknown(why) if why.is_home_gone() => {
-                match home.trace(request, ticket).await {
-                    ArchiveLookup::Answer(answer) => Fate::Archived(answer),
-                    ArchiveLookup::NeverRan if may_rebind => self.replacement(journey, None).await,
-                    ArchiveLookup::NeverRan | ArchiveLookup::Unknown => Fate::Told,
+                match records.lookup(request, ticket).await {
+                    ArchiveLookup::Answer(answer) => TicketStatus::Archived(answer),
+                    ArchiveLookup::NeverRan if may_rebind => self.replacement(progress, None).await,
+                    ArchiveLookup::NeverRan | ArchiveLookup::Unknown => TicketStatus::Final,
                 }
             }
-            Verdict::NotRun(why) if may_rebind && helps_elsewhere(why) => {
-                let Fate::Replaceable(minted) =
-                    self.replacement(journey, Some((ticket, why))).await
+            Verdict::NotRun(why) if may_rebind && may_succeed_elsewhere(why) => {
+                let TicketStatus::Replaceable(minted) =
+                    self.replacement(progress, Some((ticket, why))).await
                 else {
-                    return Fate::Told;
+                    return TicketStatus::Final;
                 };
-                // This call's refusal says nothing of others under the same key, which may be on
-                // their way still. The agent's tombstone does.
-                match self.give_up_ticket(request, ticket, self.void_limit(request)).await {
-                    Verdict::NotRun(_) => Fate::Replaceable(minted),
-                    Verdict::Unknown(_) => Fate::Told,
+                // This refusal doesn't cover other calls under the same key that may still be in
+                // flight. Voiding leaves a tombstone at the agent, which does.
+                match self.void_ticket(request, ticket, self.void_timeout(request)).await {
+                    Verdict::NotRun(_) => TicketStatus::Replaceable(minted),
+                    Verdict::Unknown(_) => TicketStatus::Final,
                 }
             }
-            _ => Fate::Told,
+            _ => TicketStatus::Final,
         }
     }
 
-    /// A ticket at another backend server than those that refused; at the same one only if nothing
-    /// else is left and the old ticket is dead there.
+    /// Mints a ticket for a backend server that has not refused. If there is none, a server that has
+    /// refused is used, provided that the old ticket is void there.
     async fn replacement(
         &self,
-        journey: &Journey<'_>,
+        progress: &RequestProgress<'_>,
         refused: Option<(&Ticket, &NotRun)>,
-    ) -> Fate {
-        let request = journey.request;
-        if let Ok(minted) = self.mint_beside(request, &journey.tried).await {
-            return Fate::Replaceable(minted);
+    ) -> TicketStatus {
+        let request = progress.request;
+        if let Ok(minted) = self.mint_excluding(request, &progress.tried).await {
+            return TicketStatus::Replaceable(minted);
         }
-        let is_dead = refused.is_none_or(|(_, why)| *why == NotRun::DeadlinePassed);
+        let is_void = refused.is_none_or(|(_, why)| *why == NotRun::DeadlinePassed);
         match self.mint(request).await {
-            Ok(minted) if is_dead => Fate::Replaceable(minted),
-            _ => Fate::Told,
+            Ok(minted) if is_void => TicketStatus::Replaceable(minted),
+            _ => TicketStatus::Final,
         }
     }
 
-    fn void_limit(&self, request: &Request) -> Duration {
+    fn void_timeout(&self, request: &Request) -> Duration {
         self.config.cancel_timeout.min(Duration::from_millis(request.remaining_ms()))
     }
 }
 
-/// Whether the same work under another ticket may fare better. Time is left, so a deadline that
-/// "passed" means that the ticket was given up before.
-fn helps_elsewhere(why: &NotRun) -> bool {
+/// Whether the same request may succeed under another ticket. The request still has time left, so
+/// `DeadlinePassed` here means that the ticket was voided before.
+fn may_succeed_elsewhere(why: &NotRun) -> bool {
     !matches!(why, NotRun::Refused(Refusal::TicketMismatch | Refusal::Suspect))
 }
--- a/crates/entry/src/events.rs
+++ b/crates/entry/src/events.rs
@@ -1,4 +1,4 @@
-//! Names outcomes and refusals in the terms of the event log.
+//! Maps outcomes, refusals and retries to the event log's reasons.
 
 use crate::attempt::AttemptEnd;
 use crate::outcome::{NotRun, Unknown, Verdict};
@@ -13,21 +13,21 @@
 use flamingowheel_protocol::message::Refusal;
 use uuid::Uuid;
 
-/// Priorities from here on count as high, and those below [`NORMAL_PRIORITY`] as low.
+/// Lowest priority of [`Class::High`]. Priorities below [`NORMAL_PRIORITY`] are [`Class::Low`].
 const HIGH_PRIORITY: u8 = 8;
 const NORMAL_PRIORITY: u8 = 3;
 
-/// Whether a request may overtake those that wait.
+/// Whether a request may overtake waiting requests.
 pub fn is_urgent(request: &Request) -> bool {
     request.workspace.parameters.priority >= HIGH_PRIORITY
 }
 
-/// The class under which a request is counted.
+/// The priority class under which a request is counted.
 pub fn class(request: &Request) -> Class {
     class_of(&request.workspace)
 }
 
-/// The same, of a workspace.
+/// The priority class of a workspace.
 pub fn class_of(workspace: &EffectiveWorkspace) -> Class {
     match workspace.parameters.priority {
         HIGH_PRIORITY.. => Class::High,
@@ -36,17 +36,17 @@
     }
 }
 
-/// What a request's events are about.
+/// The subject of a request's events.
 pub fn subject(request: &Request) -> Subject {
     Subject::request(request.id.0).workspace(&*request.workspace.name)
 }
 
-/// An incarnation as the log writes it.
+/// An incarnation in the event log's format.
 pub fn incarnation(incarnation: Incarnation) -> Uuid {
     Uuid::from_u64_pair(0, incarnation.0)
 }
 
-/// The event that closes a request without a whole answer.
+/// The final event of a request without a complete answer.
 pub fn verdict(verdict: &Verdict, class: Class, attempts: u32) -> Event {
     match verdict {
         Verdict::NotRun(why) => Event::NotRun { class, attempts, reason: not_run(why) },
@@ -90,7 +90,7 @@
     }
 }
 
-/// A refusal as the log writes it.
+/// The event log's reason for an agent's refusal.
 pub fn refusal(refusal: Refusal) -> RefusalReason {
     match refusal {
         Refusal::WrongIncarnation => RefusalReason::WrongIncarnation,
@@ -105,7 +105,7 @@
     }
 }
 
-/// Why another attempt follows one that ended like this.
+/// Why another attempt follows one that ended with `end`.
 pub fn retry_reason(end: AttemptEnd) -> RetryReason {
     match end {
         AttemptEnd::Refused(Refusal::NeverArrived) => RetryReason::NeverSent,
@@ -118,7 +118,7 @@
     }
 }
 
-/// Why no other attempt follows.
+/// Why no further attempt is allowed.
 pub fn retry_denial(refusal: RetryRefusal) -> RetryDenial {
     match refusal {
         RetryRefusal::NotIdempotent => RetryDenial::NotIdempotent,
--- a/crates/entry/src/http/answer.rs
+++ b/crates/entry/src/http/answer.rs
@@ -1,11 +1,11 @@
-//! Tells callers the outcome of their requests.
+//! Builds the HTTP responses to callers.
 
 use crate::attempt::Piece;
 use crate::events;
 use crate::http::intake;
 use crate::http::{ATTEMPTS_HEADER, OUTCOME_HEADER, REQUEST_HEADER, STREAM_HEADER, TICKET_HEADER};
 use crate::outcome::{NotRun, Unknown, Verdict};
-use crate::state::{EntryState, Hold};
+use crate::state::{Admission, EntryState};
 use crate::stream::{Answer, EVENT_STREAM};
 use axum::Json;
 use axum::body::Body;
@@ -22,60 +22,61 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// A comment line; shows the caller that the connection lives.
+/// A comment line of an event stream, sent as a heartbeat.
 const COMMENT: &[u8] = b":\n\n";
 
-/// Pieces that wait for a slow caller; then the agent is not acknowledged and pauses.
-const BODY_QUEUE: usize = 64;
+/// Pieces buffered for a slow caller. When the buffer is full, chunks are no longer acknowledged and
+/// the agent pauses.
+const BODY_QUEUE_CAPACITY: usize = 64;
 
-/// A caller that takes nothing of its stream for this long counts as gone.
-const CALLER_STALL_LIMIT: Duration = Duration::from_secs(60);
+/// A caller that reads nothing of its stream for this long counts as disconnected.
+const CALLER_STALL_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Largest answer that is gathered before it is given.
-const MAX_WHOLE_BYTES: usize = 32 << 20;
+/// Largest answer that is buffered before it is sent.
+const MAX_BUFFERED_BYTES: usize = 32 << 20;
 
-/// Bytes of text that count as one token, where tokens are not counted.
+/// Bytes of text per token, for estimates where tokens are not counted.
 pub const BYTES_PER_TOKEN: f64 = 4.0;
 
-/// When to come back if nothing better is known.
+/// `Retry-After` if no better estimate is known.
 const DEFAULT_RETRY_AFTER_MS: u64 = 1_000;
 
-/// What the caller is told beside the answer.
+/// What a response carries beside the answer.
 #[derive(Clone, Debug)]
-pub struct Told {
-    /// The request's identity.
+pub struct ResponseMeta {
+    /// Id of the request.
     pub request: RequestId,
-    /// The ticket under which it ran.
+    /// Text of the ticket under which the request ran, if any.
     pub ticket: Option<String>,
-    /// The caller wants event ids and a stream token.
+    /// Whether the caller asked for event ids and a stream token.
     pub resumable: bool,
 }
 
-/// Body of an answer without a result, in the style of OpenAI's errors.
+/// Body of a response without a complete answer, in the format of OpenAI's errors.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorBody {
-    /// The error.
+    /// Details of the error.
     pub error: ErrorDetail,
 }
 
-/// What is told of an error.
+/// Details of an error.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorDetail {
-    /// For people.
+    /// Human-readable description.
     pub message: String,
-    /// For programs; one per kind of failure.
+    /// Machine-readable code, one for each kind of failure.
     pub code: String,
     /// `not-run` or `unknown`.
     pub outcome: String,
 }
 
-/// Tells a caller that its request did not run, before it got an identity.
+/// The response to a request that did not run and has no id yet.
 pub fn refuse(not_run: NotRun) -> Response {
-    give_verdict(&not_run.into(), None, None)
+    verdict_response(&not_run.into(), None, None)
 }
 
-/// The same of a request for work, which counts as ended. It has no identity and so no time line;
-/// without this a workspace whose every call is refused would not show in the metrics.
+/// Like [`refuse`], and counts the request as refused. It has no id and so no timeline; without the
+/// count a workspace whose calls are all refused would not show in the metrics.
 pub fn refuse_request(state: &EntryState, headers: &HeaderMap, not_run: NotRun) -> Response {
     let workspace = intake::workspace(state, headers).ok();
     let class = workspace.map(|workspace| events::class_of(&workspace));
@@ -83,111 +84,121 @@
     refuse(not_run)
 }
 
-/// Answers a request with what became of it.
+/// The response to a request that was sent or refused.
 pub async fn respond(
     result: Result<Answer, Verdict>,
-    told: Told,
+    meta: ResponseMeta,
     state: &EntryState,
-    hold: Hold,
+    admission: Admission,
 ) -> Response {
     let answer = match result {
         Ok(answer) => answer,
         Err(verdict) => {
-            return give_verdict(&verdict, Some(told.request), told.ticket.as_deref());
+            return verdict_response(&verdict, Some(meta.request), meta.ticket.as_deref());
         }
     };
     if answer.head().content_type.starts_with(EVENT_STREAM) {
-        return stream(answer, &told, state, hold);
+        return stream_response(answer, &meta, state, admission);
     }
-    whole(answer, &told, hold).await
+    buffered_response(answer, &meta, admission).await
 }
 
-/// Gives a whole body. It is gathered first, so that the status can tell whether it is whole.
-async fn whole(mut answer: Answer, told: &Told, mut hold: Hold) -> Response {
+/// Sends an answer as one body. It is buffered first, so that the status can say whether the answer
+/// is complete.
+async fn buffered_response(
+    mut answer: Answer,
+    meta: &ResponseMeta,
+    mut admission: Admission,
+) -> Response {
     let mut body = BytesMut::new();
     loop {
         match answer.next().await {
-            Ok(Piece::Chunk(_, data)) if body.len() + data.len() <= MAX_WHOLE_BYTES => {
-                hold.add_tokens(data.len() as f64 / BYTES_PER_TOKEN);
+            Ok(Piece::Chunk(_, data)) if body.len() + data.len() <= MAX_BUFFERED_BYTES => {
+                admission.add_tokens(data.len() as f64 / BYTES_PER_TOKEN);
                 body.extend_from_slice(&data);
             }
             Ok(Piece::Chunk(..)) => {
-                let verdict = Unknown::AnswerTooLarge { limit_bytes: MAX_WHOLE_BYTES }.into();
-                return give_verdict(&verdict, Some(told.request), told.ticket.as_deref());
+                let verdict = Unknown::AnswerTooLarge { limit_bytes: MAX_BUFFERED_BYTES }.into();
+                return verdict_response(&verdict, Some(meta.request), meta.ticket.as_deref());
             }
             Ok(Piece::End) => break,
             Err(verdict) => {
-                return give_verdict(&verdict, Some(told.request), told.ticket.as_deref());
+                return verdict_response(&verdict, Some(meta.request), meta.ticket.as_deref());
             }
         }
     }
     let mut response = Response::new(Body::from(body.freeze()));
-    set_head(&mut response, &answer, told, "complete");
+    set_head(&mut response, &answer, meta, "complete");
     response
 }
 
-/// Gives the answer that an agent process left behind when it ended.
-pub fn give_archived(answer: ArchivedAnswer, told: &Told) -> Response {
+/// The response with an answer that an agent process archived when it shut down.
+pub fn archived_response(answer: ArchivedAnswer, meta: &ResponseMeta) -> Response {
     let mut response = Response::new(Body::from(answer.body));
     *response.status_mut() = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
     let headers = response.headers_mut();
     insert(headers, header::CONTENT_TYPE, &answer.content_type);
     insert(headers, HeaderName::from_static(OUTCOME_HEADER), "complete");
-    tell(headers, Some(told.request), told.ticket.as_deref());
+    insert_ids(headers, Some(meta.request), meta.ticket.as_deref());
     response
 }
 
-/// Gives an event stream as it comes. Its head can't know the outcome yet: a stream that breaks
-/// off is cut without the end of the chunked body, which clients report as an error.
-fn stream(answer: Answer, told: &Told, state: &EntryState, hold: Hold) -> Response {
-    let (sender, receiver) = mpsc::channel(BODY_QUEUE);
+/// Forwards an event stream as it arrives. Its outcome is not known when the head is sent: a stream
+/// that fails is cut off without the end of the chunked body, which clients report as an error.
+fn stream_response(
+    answer: Answer,
+    meta: &ResponseMeta,
+    state: &EntryState,
+    admission: Admission,
+) -> Response {
+    let (sender, receiver) = mpsc::channel(BODY_QUEUE_CAPACITY);
     let mut response = Response::new(Body::new(ChannelBody { receiver }));
-    set_head(&mut response, &answer, told, "streaming");
-    if told.resumable
+    set_head(&mut response, &answer, meta, "streaming");
+    if meta.resumable
         && let Some(token) = answer.token()
     {
         let text = token.to_text(&state.config.fleet_key);
         insert(response.headers_mut(), HeaderName::from_static(STREAM_HEADER), &text);
     }
-    let pouring = Pouring {
+    let forwarder = StreamForwarder {
         sender,
         heartbeat: state.config.stream_heartbeat,
-        resumable: told.resumable,
+        resumable: meta.resumable,
         timer: state.recorder.metrics().stream_timer(answer.received()),
     };
-    tokio::spawn(pour(answer, pouring, hold));
+    tokio::spawn(forward_stream(answer, forwarder, admission));
     response
 }
 
-struct Pouring {
+struct StreamForwarder {
     sender: mpsc::Sender<Result<Bytes, Verdict>>,
     heartbeat: Duration,
     resumable: bool,
     timer: StreamTimer,
 }
 
-async fn pour(mut answer: Answer, pouring: Pouring, mut hold: Hold) {
-    let Pouring { sender, heartbeat, resumable, mut timer } = pouring;
+async fn forward_stream(mut answer: Answer, forwarder: StreamForwarder, mut admission: Admission) {
+    let StreamForwarder { sender, heartbeat, resumable, mut timer } = forwarder;
     loop {
         let item = match next_piece(&mut answer, &sender, heartbeat).await {
             None | Some(Ok(Piece::End)) => return,
             Some(Ok(Piece::Chunk(number, data))) => {
-                hold.add_tokens(1.0);
+                admission.add_tokens(1.0);
                 timer.chunk();
                 Ok(if resumable { with_id(number, &data) } else { data })
             }
             Some(Err(verdict)) => Err(verdict),
         };
         let ended = item.is_err();
-        // A caller that reads nothing would keep a leaving entry from ever ending.
-        let sent = timeout(CALLER_STALL_LIMIT, sender.send(item)).await;
+        // Without the timeout a caller that reads nothing would keep a leaving entry from exiting.
+        let sent = timeout(CALLER_STALL_TIMEOUT, sender.send(item)).await;
         if !matches!(sent, Ok(Ok(()))) || ended {
             return;
         }
     }
 }
 
-/// An event with its id line, which clients send back as the last event that they have.
+/// Prefixes an event with its id line; clients send the id back to resume after the event.
 fn with_id(number: u64, event: &[u8]) -> Bytes {
     let mut bytes = BytesMut::with_capacity(event.len() + 24);
     bytes.extend_from_slice(format!("id: {number}\n").as_bytes());
@@ -195,14 +206,13 @@
     bytes.freeze()
 }
 
-/// Waits for the next piece and meanwhile shows the caller that the connection lives. `None` when
-/// the caller is gone.
+/// Waits for the next piece and sends heartbeats meanwhile. `None` once the caller has disconnected.
 async fn next_piece(
     answer: &mut Answer,
     sender: &mpsc::Sender<Result<Bytes, Verdict>>,
     heartbeat: Duration,
 ) -> Option<Result<Piece, Verdict>> {
-    // One future for the whole wait: dropping it half way would forget a lost connection.
+    // One future for the whole wait: dropping it midway would lose the event of a lost connection.
     let next = answer.next();
     tokio::pin!(next);
     loop {
@@ -233,17 +243,17 @@
     }
 }
 
-fn set_head(response: &mut Response, answer: &Answer, told: &Told, outcome: &'static str) {
+fn set_head(response: &mut Response, answer: &Answer, meta: &ResponseMeta, outcome: &'static str) {
     let head = answer.head();
     *response.status_mut() = StatusCode::from_u16(head.status).unwrap_or(StatusCode::BAD_GATEWAY);
     let headers = response.headers_mut();
     insert(headers, header::CONTENT_TYPE, &head.content_type);
     insert(headers, HeaderName::from_static(OUTCOME_HEADER), outcome);
     insert(headers, HeaderName::from_static(ATTEMPTS_HEADER), &answer.attempts().to_string());
-    tell(headers, Some(told.request), told.ticket.as_deref());
+    insert_ids(headers, Some(meta.request), meta.ticket.as_deref());
 }
 
-fn tell(headers: &mut HeaderMap, request: Option<RequestId>, ticket: Option<&str>) {
+fn insert_ids(headers: &mut HeaderMap, request: Option<RequestId>, ticket: Option<&str>) {
     if let Some(request) = request {
         insert(headers, HeaderName::from_static(REQUEST_HEADER), &request.0.to_string());
     }
@@ -258,8 +268,8 @@
     }
 }
 
-/// Tells a caller that its request has no whole answer, and why.
-pub fn give_verdict(
+/// The response to a request without a complete answer.
+pub fn verdict_response(
     verdict: &Verdict,
     request: Option<RequestId>,
     ticket: Option<&str>,
@@ -282,7 +292,7 @@
     let mut response = (status, Json(ErrorBody { error: detail })).into_response();
     let headers = response.headers_mut();
     insert(headers, HeaderName::from_static(OUTCOME_HEADER), outcome);
-    tell(headers, request, ticket);
+    insert_ids(headers, request, ticket);
     if let Some(retry_after_ms) = retry_after_ms(verdict) {
         // The header counts whole seconds.
         insert(headers, header::RETRY_AFTER, &retry_after_ms.div_ceil(1_000).to_string());
--- a/crates/entry/src/http/chat.rs
+++ b/crates/entry/src/http/chat.rs
@@ -1,12 +1,12 @@
 //! OpenAI-style chat completions.
 
 use crate::agents::Target;
-use crate::http::answer::{BYTES_PER_TOKEN, Told, refuse_request, respond};
+use crate::http::answer::{BYTES_PER_TOKEN, ResponseMeta, refuse_request, respond};
 use crate::http::{CHAT_PATH, RESUMABLE_HEADER, intake};
 use crate::limits::Permit;
 use crate::outcome::{MalformedRequest, NotRun};
 use crate::request::{Request, prompt_blocks};
-use crate::state::{EntryState, Hold};
+use crate::state::{Admission, EntryState};
 use axum::body::Body;
 use axum::extract::State;
 use axum::http::HeaderMap;
@@ -16,17 +16,17 @@
 use std::sync::Arc;
 use tokio::time::Instant;
 
-/// The part of a request that routing needs; the engine reads the rest.
+/// The fields of a completion request that the entry needs; the engine parses the rest.
 #[derive(Deserialize)]
 struct Completion {
     model: String,
     max_tokens: Option<u32>,
 }
 
-/// Tokens expected of an answer whose request names no maximum.
+/// Tokens to expect of an answer if the request sets no maximum.
 const DEFAULT_ANSWER_TOKENS: u32 = 256;
 
-/// Takes a completion request.
+/// Handles a completion request.
 pub async fn complete(
     State(state): State<Arc<EntryState>>,
     headers: HeaderMap,
@@ -37,11 +37,11 @@
         Ok(read) => read,
         Err(not_run) => return refuse_request(&state, &headers, not_run),
     };
-    let hold = Hold { in_progress, permit };
+    let admission = Admission { in_progress, permit };
     let resumable = headers.get(RESUMABLE_HEADER).is_some_and(|value| value == "yes");
-    let told = Told { request: request.id, ticket: None, resumable };
+    let meta = ResponseMeta { request: request.id, ticket: None, resumable };
     let (result, _) = state.dispatcher.run(request).await;
-    respond(result, told, &state, hold).await
+    respond(result, meta, &state, admission).await
 }
 
 async fn read(
--- a/crates/entry/src/http/entries.rs
+++ b/crates/entry/src/http/entries.rs
@@ -1,4 +1,4 @@
-//! Answers the address question.
+//! Lists the entries that a workspace should use.
 
 use crate::addresses::demand;
 use crate::http::answer::refuse;
@@ -12,23 +12,23 @@
 use serde::Deserialize;
 use std::sync::Arc;
 
-/// Parameters of the question.
+/// Query parameters of the request.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Question {
-    /// The workspace; may be left out if the request carries its token.
+pub struct EntriesQuery {
+    /// The workspace; optional if the request carries its token.
     workspace: Option<String>,
-    /// The caller's data centre; the entry's own if left out.
+    /// The caller's data centre; defaults to the entry's own.
     data_centre: Option<String>,
 }
 
-/// Gives the addresses that a workspace's callers should use, in order.
-pub async fn give(
+/// Returns the addresses that a workspace's callers should use, in order of preference.
+pub async fn list(
     State(state): State<Arc<EntryState>>,
     headers: HeaderMap,
-    Query(question): Query<Question>,
+    Query(query): Query<EntriesQuery>,
 ) -> Response {
     let effective = state.effective.load();
-    let named = question.workspace.as_deref();
+    let named = query.workspace.as_deref();
     let Some(workspace) = workspace_by_name_or_token(&effective, named, &headers) else {
         return match named {
             Some(_) => refuse(NotRun::Unauthorised),
@@ -36,7 +36,7 @@
         };
     };
     let (scopes, rate_per_s) = demand(workspace);
-    let data_centre = question.data_centre.as_deref().unwrap_or(&state.config.data_centre);
+    let data_centre = query.data_centre.as_deref().unwrap_or(&state.config.data_centre);
     let answer = state.addresses.load().answer(
         &workspace.name,
         &scopes,
--- a/crates/entry/src/http/intake.rs
+++ b/crates/entry/src/http/intake.rs
@@ -1,4 +1,4 @@
-//! Reads callers' requests: who they are, their deadline, their body.
+//! Reads the common parts of requests: workspace, deadline, headers and body.
 
 use crate::http::TIMEOUT_HEADER;
 use crate::outcome::{MalformedRequest, NotRun};
@@ -18,8 +18,8 @@
     state: &EntryState,
     headers: &HeaderMap,
 ) -> Result<Arc<EffectiveWorkspace>, NotRun> {
-    // A process that has just started, or stood still for a while, may know an old configuration
-    // only: a workspace's limits or routes could since have changed.
+    // A process that has just started, or was suspended for a while, may have an outdated
+    // configuration: a workspace's limits or routes could have changed since.
     if !state.node.may_serve() {
         return Err(NotRun::NotReady);
     }
@@ -28,7 +28,7 @@
     effective.workspace_by_token(token).cloned().ok_or(NotRun::Unauthorised)
 }
 
-/// The workspace that is named, or else the one whose token the request carries.
+/// The workspace called `name`, or without a name the one whose token the request carries.
 pub fn workspace_by_name_or_token<'a>(
     effective: &'a Effective,
     name: Option<&str>,
@@ -44,7 +44,7 @@
     headers.get(header::AUTHORIZATION)?.as_bytes().strip_prefix(b"Bearer ")
 }
 
-/// A header's value as text, if the header is there.
+/// A header's value as text; `None` if the header is absent.
 pub fn text_header<'a>(
     headers: &'a HeaderMap,
     name: &'static str,
@@ -54,18 +54,17 @@
     Ok(Some(text))
 }
 
-/// When the caller gives up waiting for the answer to begin: its own word, but no longer than the
-/// workspace allows.
+/// Deadline for the answer to begin: the caller's timeout, but at most the workspace's.
 pub fn deadline(headers: &HeaderMap, workspace: &EffectiveWorkspace) -> Result<Instant, NotRun> {
-    let longest_ms = workspace.parameters.deadline_ms;
-    let asked_ms = match text_header(headers, TIMEOUT_HEADER)? {
+    let max_ms = workspace.parameters.deadline_ms;
+    let requested_ms = match text_header(headers, TIMEOUT_HEADER)? {
         Some(text) => text.parse().map_err(|_| MalformedRequest::Header(TIMEOUT_HEADER))?,
-        None => longest_ms,
+        None => max_ms,
     };
-    Ok(Instant::now() + Duration::from_millis(asked_ms.min(longest_ms)))
+    Ok(Instant::now() + Duration::from_millis(requested_ms.min(max_ms)))
 }
 
-/// Reads the whole body within the entry's limits of size and time.
+/// Reads the whole body within the entry's size limit and timeout.
 pub async fn body(state: &EntryState, body: Body) -> Result<Bytes, NotRun> {
     let limit_bytes = state.config.max_body_bytes;
     let reading = Limited::new(body, limit_bytes).collect();
@@ -78,7 +77,7 @@
     }
 }
 
-/// Hash of workspace, route and body, with a seed that only the fleet knows.
+/// Hash of workspace, route and body, with a seed that is secret outside the fleet.
 pub fn fingerprint(
     state: &EntryState,
     workspace: &EffectiveWorkspace,
--- a/crates/entry/src/http/streams.rs
+++ b/crates/entry/src/http/streams.rs
@@ -1,23 +1,23 @@
-//! Goes on with an event stream that another entry had begun.
+//! Resumes an event stream that this or another entry started.
 
-use crate::http::answer::{Told, refuse, respond};
+use crate::http::answer::{ResponseMeta, refuse, respond};
 use crate::http::{LAST_EVENT_HEADER, intake};
 use crate::outcome::{MalformedRequest, NotRun};
-use crate::state::{EntryState, Hold};
+use crate::state::{Admission, EntryState};
 use axum::extract::{Path, State};
 use axum::http::HeaderMap;
 use axum::response::Response;
 use flamingowheel_protocol::ticket::StreamToken;
 use std::sync::Arc;
 
-/// Sends the events after the last one that the caller has.
+/// Sends the events after the last one that the caller received.
 pub async fn resume(
     State(state): State<Arc<EntryState>>,
     Path(text): Path<String>,
     headers: HeaderMap,
 ) -> Response {
-    // The request was admitted by the entry that began it, so it counts against no limit here.
-    let hold = Hold { in_progress: state.in_progress.enter(), permit: None };
+    // The entry that started the stream has admitted the request, so it counts against no limit here.
+    let admission = Admission { in_progress: state.in_progress.enter(), permit: None };
     let (token, from_chunk) = match read(&state, &headers, &text) {
         Ok(read) => read,
         Err(not_run) => return refuse(not_run),
@@ -31,9 +31,9 @@
         Ok(deadline) => deadline,
         Err(not_run) => return refuse(not_run),
     };
-    let told = Told { request: token.request, ticket: None, resumable: true };
-    let answer = state.dispatcher.go_on(workspace, &token, from_chunk, deadline).await;
-    respond(answer, told, &state, hold).await
+    let meta = ResponseMeta { request: token.request, ticket: None, resumable: true };
+    let answer = state.dispatcher.resume_stream(workspace, &token, from_chunk, deadline).await;
+    respond(answer, meta, &state, admission).await
 }
 
 fn read(state: &EntryState, headers: &HeaderMap, text: &str) -> Result<(StreamToken, u64), NotRun> {
--- a/crates/entry/src/http/tickets.rs
+++ b/crates/entry/src/http/tickets.rs
@@ -1,7 +1,7 @@
-//! Takes and gives up tickets.
+//! Issues and voids tickets.
 
 use crate::agents::Target;
-use crate::http::answer::{give_verdict, refuse};
+use crate::http::answer::{refuse, verdict_response};
 use crate::http::intake;
 use crate::outcome::{NotRun, TicketRefusal, Verdict};
 use crate::request::Request;
@@ -18,27 +18,27 @@
 use std::sync::Arc;
 use tokio::time::Instant;
 
-/// What a ticket is wanted for.
+/// Query parameters of a request for a ticket.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Wanted {
-    /// The service.
+pub struct TicketQuery {
+    /// The service whose calls the ticket is for.
     service: String,
 }
 
-/// A ticket given out.
+/// Response body with a new ticket.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct IssuedTicket {
-    /// Its text, for the ticket header.
+    /// The ticket's text, to be sent in [`crate::http::TICKET_HEADER`].
     pub ticket: String,
 }
 
-/// Gives a ticket. Needs no other process, so it works while the key-value service is down.
+/// Issues a ticket. This needs no other process, so it works while the key-value service is down.
 pub async fn issue(
     State(state): State<Arc<EntryState>>,
     headers: HeaderMap,
-    Query(wanted): Query<Wanted>,
+    Query(query): Query<TicketQuery>,
 ) -> Response {
-    let minted = match subject(&state, &headers, &wanted.service) {
+    let minted = match ticket_request(&state, &headers, &query.service) {
         Ok(request) => state.dispatcher.mint(&request).await,
         Err(not_run) => Err(not_run),
     };
@@ -51,7 +51,7 @@
     }
 }
 
-/// Gives a ticket up: if its work has not begun, it never will, and the caller is told so.
+/// Voids a ticket. If its work has not started, it never will, and the response says so.
 pub async fn void(
     State(state): State<Arc<EntryState>>,
     headers: HeaderMap,
@@ -62,7 +62,7 @@
         Ok(ticket) => ticket,
         Err(refusal) => return refuse(refusal.into()),
     };
-    let request = match subject(&state, &headers, &ticket.service) {
+    let request = match ticket_request(&state, &headers, &ticket.service) {
         Ok(request) if *request.workspace.name == *ticket.workspace => request,
         Ok(_) => return refuse(TicketRefusal::OtherSubject.into()),
         Err(not_run) => return refuse(not_run),
@@ -71,14 +71,19 @@
     let mut verdict = state.dispatcher.void(request, &ticket).await;
     if let Verdict::Unknown(why) = &verdict
         && why.is_home_gone()
-        && state.archive.trace(&ticket, Fingerprint(0)).await == ArchiveLookup::NeverRan
+        && state.archive.lookup(&ticket, Fingerprint(0)).await == ArchiveLookup::NeverRan
     {
         verdict = NotRun::HomeEnded.into();
     }
-    give_verdict(&verdict, Some(id), None)
+    verdict_response(&verdict, Some(id), None)
 }
 
-fn subject(state: &EntryState, headers: &HeaderMap, service: &str) -> Result<Request, NotRun> {
+/// A request without a body that stands for the ticket's workspace and service.
+fn ticket_request(
+    state: &EntryState,
+    headers: &HeaderMap,
+    service: &str,
+) -> Result<Request, NotRun> {
     let workspace = intake::workspace(state, headers)?;
     if !workspace.parameters.services.contains_key(service) {
         return Err(NotRun::UnknownService);
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,5 +1,5 @@
-//! The process that callers talk to: answers the address question, takes requests, chooses an
-//! agent, and tells each caller one of three outcomes.
+//! The process that callers connect to. It lists the entries that a workspace should use, accepts
+//! requests, sends each to an agent and returns one of three outcomes: complete, not run or unknown.
 
 pub mod addresses;
 pub mod agents;
--- a/crates/entry/src/limits.rs
+++ b/crates/entry/src/limits.rs
@@ -1,7 +1,7 @@
-//! Applies each workspace's limits to its requests on this entry.
+//! Enforces each workspace's limits for its requests at this entry.
 //!
-//! This entry holds a part of the limits, and borrows more from the other entries of the
-//! workspace's subset. The policy bounds what all of them admit together.
+//! Each entry of a workspace's subset has a share of the limits and can borrow more from the others.
+//! The policy bounds what they admit together.
 
 use crate::outcome::NotRun;
 use flamingowheel_config::effective::EffectiveWorkspace;
@@ -17,26 +17,27 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep, timeout_at};
 
-/// Stands for a limit that is not set; far above what an entry can take.
+/// Stands for a limit that is not set; far above what an entry can handle.
 const UNLIMITED: u32 = 1_000_000_000;
 
 /// How long a request waits for a loan, or for its share to fill, before it is refused.
-const BORROW_LIMIT: Duration = Duration::from_millis(500);
+const ADMISSION_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Told to a caller whose request found no share; by then a loan has come, or its lender is gone.
-const NO_SHARE_RETRY: Duration = Duration::from_millis(500);
+/// Retry time for a caller that was refused for lack of a share. By then a loan has arrived, or its
+/// lender is unreachable.
+const NO_SHARE_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// A workspace without requests for this long is forgotten; longer than any loan lasts.
+/// State of a workspace without requests for this long is dropped; longer than any loan lasts.
 const IDLE_LIMIT: Duration = Duration::from_secs(60);
 
-/// A loan to be asked for.
+/// A loan request that is to be sent to another entry.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OutgoingLoanRequest {
-    /// The workspace.
+    /// Name of the workspace whose limits the loan is for.
     pub workspace: Arc<str>,
-    /// Whom to ask.
+    /// The entry to borrow from.
     pub lender: EntryKey,
-    /// What to ask.
+    /// The request to send.
     pub request: LoanRequest,
 }
 
@@ -45,40 +46,40 @@
 pub struct Limiter {
     own: EntryKey,
     started: Instant,
-    rows: Mutex<HashMap<Arc<str>, Row>>,
-    wanted: Notify,
-    lent: Notify,
+    workspaces: Mutex<HashMap<Arc<str>, WorkspaceState>>,
+    loan_needed: Notify,
+    loan_received: Notify,
 }
 
 #[derive(Debug)]
-struct Row {
+struct WorkspaceState {
     limits: WorkspaceLimits,
     applied: Limits,
     members: Vec<EntryKey>,
     used_at: Duration,
 }
 
-/// Counts as a request in flight until dropped.
+/// Counts as one request in flight until it is dropped.
 #[derive(Debug)]
 pub struct Permit {
     limiter: Arc<Limiter>,
     workspace: Arc<str>,
     expected_tokens: f64,
-    tokens: f64,
+    actual_tokens: f64,
 }
 
 impl Permit {
-    /// Notes tokens that were generated.
+    /// Adds generated tokens to the actual use.
     pub fn add_tokens(&mut self, count: f64) {
-        self.tokens += count;
+        self.actual_tokens += count;
     }
 }
 
 impl Drop for Permit {
     fn drop(&mut self) {
         let now = self.limiter.now();
-        if let Some(row) = self.limiter.rows().get_mut(&self.workspace) {
-            row.limits.finish(self.expected_tokens, self.tokens, now);
+        if let Some(workspace) = self.limiter.workspaces().get_mut(&self.workspace) {
+            workspace.limits.finish(self.expected_tokens, self.actual_tokens, now);
         }
     }
 }
@@ -89,13 +90,14 @@
         Self {
             own,
             started: Instant::now(),
-            rows: Mutex::default(),
-            wanted: Notify::new(),
-            lent: Notify::new(),
+            workspaces: Mutex::default(),
+            loan_needed: Notify::new(),
+            loan_received: Notify::new(),
         }
     }
 
-    /// Admits a request, or says which limit it met. `members` is the workspace's subset.
+    /// Admits a request, or returns the limit that was reached. `members` is the workspace's subset.
+    /// Without limits there is no permit.
     pub async fn admit(
         self: &Arc<Self>,
         workspace: &EffectiveWorkspace,
@@ -105,31 +107,31 @@
     ) -> Result<Option<Permit>, NotRun> {
         let Some(limits) = limits(&workspace.parameters.limits) else { return Ok(None) };
         let expected_tokens = prompt_tokens + answer_tokens;
-        let give_up_at = Instant::now() + BORROW_LIMIT;
+        let give_up_at = Instant::now() + ADMISSION_TIMEOUT;
         loop {
-            let lent = self.lent.notified();
+            let loan_received = self.loan_received.notified();
             let refusal = match self.try_admit(workspace, limits, members, expected_tokens) {
                 Ok(()) => break,
                 Err(refusal) => refusal,
             };
-            match wait_for(&refusal) {
-                // An entry outside the subset is asked by callers that keep an old answer; it
-                // serves them on a loan.
+            match retry_after(&refusal) {
+                // Callers with an outdated address list use an entry outside the subset. It has no
+                // share and serves them on a loan.
                 None if refusal == LimitRefusal::NoShare => {
-                    self.wanted.notify_one();
-                    if timeout_at(give_up_at, lent).await.is_err() {
-                        return Err(refused(&refusal));
+                    self.loan_needed.notify_one();
+                    if timeout_at(give_up_at, loan_received).await.is_err() {
+                        return Err(limit_reached(&refusal));
                     }
                 }
-                // After a quiet time the first request finds its share not yet filled. Refusing
-                // it would cost the caller far more than this wait.
+                // After an idle period the share has not filled yet when the first request arrives.
+                // Refusing it would cost the caller far more time than this wait.
                 Some(wait) if Instant::now() + wait <= give_up_at => sleep(wait).await,
-                _ => return Err(refused(&refusal)),
+                _ => return Err(limit_reached(&refusal)),
             }
         }
         let workspace = Arc::clone(&workspace.name);
         let limiter = Arc::clone(self);
-        Ok(Some(Permit { limiter, workspace, expected_tokens, tokens: prompt_tokens }))
+        Ok(Some(Permit { limiter, workspace, expected_tokens, actual_tokens: prompt_tokens }))
     }
 
     fn try_admit(
@@ -140,13 +142,13 @@
         tokens: f64,
     ) -> Result<(), LimitRefusal> {
         let now = self.now();
-        let mut rows = self.rows();
-        let row = self.row(&mut rows, &workspace.name, limits, members, now);
-        row.used_at = now;
-        row.limits.try_admit(tokens, now)
+        let mut workspaces = self.workspaces();
+        let state = self.state(&mut workspaces, &workspace.name, limits, members, now);
+        state.used_at = now;
+        state.limits.try_admit(tokens, now)
     }
 
-    /// Lends another entry what this one does not need.
+    /// Lends another entry the part of this entry's share that it doesn't need.
     pub fn lend(
         &self,
         workspace: &EffectiveWorkspace,
@@ -158,72 +160,74 @@
             return Loan { number: request.number, share: 0.0 };
         };
         let now = self.now();
-        let mut rows = self.rows();
-        let row = self.row(&mut rows, &workspace.name, limits, members, now);
-        row.used_at = now;
-        row.limits.lend(borrower, request, now)
+        let mut workspaces = self.workspaces();
+        let state = self.state(&mut workspaces, &workspace.name, limits, members, now);
+        state.used_at = now;
+        state.limits.lend(borrower, request, now)
     }
 
-    /// Takes in the answer to an [`OutgoingLoanRequest`].
-    pub fn apply_loan(&self, borrowing: &OutgoingLoanRequest, loan: &Loan) {
+    /// Applies the answer to an [`OutgoingLoanRequest`].
+    pub fn apply_loan(&self, outgoing: &OutgoingLoanRequest, loan: &Loan) {
         let now = self.now();
-        if let Some(row) = self.rows().get_mut(&borrowing.workspace) {
-            row.limits.on_loan(borrowing.lender, loan, now);
+        if let Some(workspace) = self.workspaces().get_mut(&outgoing.workspace) {
+            workspace.limits.on_loan(outgoing.lender, loan, now);
         }
-        self.lent.notify_waiters();
+        self.loan_received.notify_waiters();
     }
 
-    /// Waits until a request finds no share, or for `longest`.
-    pub async fn wait_for_demand(&self, longest: Duration) {
-        let _ = tokio::time::timeout(longest, self.wanted.notified()).await;
+    /// Waits until a request needs a loan, but at most `max_wait`.
+    pub async fn wait_for_demand(&self, max_wait: Duration) {
+        let _ = tokio::time::timeout(max_wait, self.loan_needed.notified()).await;
     }
 
-    /// The loans to ask for now. Forgets idle workspaces.
+    /// The loan requests to send now. Drops the state of idle workspaces.
     pub fn loan_requests(&self) -> Vec<OutgoingLoanRequest> {
         let now = self.now();
-        let mut rows = self.rows();
-        rows.retain(|_, row| row.limits.in_flight() > 0 || now < row.used_at + IDLE_LIMIT);
-        let ask = |(workspace, row): (&Arc<str>, &mut Row)| {
-            let (lender, request) = row.limits.next_loan_request(now)?;
-            Some(OutgoingLoanRequest { workspace: Arc::clone(workspace), lender, request })
+        let mut workspaces = self.workspaces();
+        workspaces
+            .retain(|_, state| state.limits.in_flight() > 0 || now < state.used_at + IDLE_LIMIT);
+        let next = |(name, state): (&Arc<str>, &mut WorkspaceState)| {
+            let (lender, request) = state.limits.next_loan_request(now)?;
+            Some(OutgoingLoanRequest { workspace: Arc::clone(name), lender, request })
         };
-        rows.iter_mut().filter_map(ask).collect()
+        workspaces.iter_mut().filter_map(next).collect()
     }
 
-    fn row<'a>(
+    fn state<'a>(
         &self,
-        rows: &'a mut HashMap<Arc<str>, Row>,
+        workspaces: &'a mut HashMap<Arc<str>, WorkspaceState>,
         name: &Arc<str>,
         limits: Limits,
         members: &[EntryKey],
         now: Duration,
-    ) -> &'a mut Row {
-        let row = rows.entry(Arc::clone(name)).or_insert_with(|| Row {
+    ) -> &'a mut WorkspaceState {
+        let state = workspaces.entry(Arc::clone(name)).or_insert_with(|| WorkspaceState {
             limits: WorkspaceLimits::new(SplitConfig::default(), limits, self.own, now),
             applied: limits,
             members: Vec::new(),
             used_at: now,
         });
-        if row.applied != limits {
-            row.applied = limits;
-            row.limits.set_limits(limits, now);
+        if state.applied != limits {
+            state.applied = limits;
+            state.limits.set_limits(limits, now);
         }
-        if row.members != members {
-            row.members = members.to_vec();
-            row.limits.set_members(members, now);
+        if state.members != members {
+            state.members = members.to_vec();
+            state.limits.set_members(members, now);
         }
-        row
+        state
     }
 
     fn now(&self) -> Duration {
         self.started.elapsed()
     }
 
-    fn rows(&self) -> MutexGuard<'_, HashMap<Arc<str>, Row>> {
-        self.rows.lock().unwrap_or_else(PoisonError::into_inner)
+    fn workspaces(&self) -> MutexGuard<'_, HashMap<Arc<str>, WorkspaceState>> {
+        self.workspaces.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
+/// The limits with values for those that are not set; `None` if none is set.
 fn limits(set: &template::Limits) -> Option<Limits> {
     if set.requests_per_s.is_none() && set.tokens_per_s.is_none() && set.in_flight.is_none() {
         return None;
@@ -235,8 +239,8 @@
     })
 }
 
-/// When the same request would be admitted, as far as that is known.
-fn wait_for(refusal: &LimitRefusal) -> Option<Duration> {
+/// Time after which the same request would be admitted, if it is known.
+fn retry_after(refusal: &LimitRefusal) -> Option<Duration> {
     match refusal {
         LimitRefusal::Requests { retry_after } | LimitRefusal::Tokens { retry_after } => {
             Some(*retry_after)
@@ -245,8 +249,8 @@
     }
 }
 
-fn refused(refusal: &LimitRefusal) -> NotRun {
-    let retry_after = wait_for(refusal).unwrap_or(NO_SHARE_RETRY);
+fn limit_reached(refusal: &LimitRefusal) -> NotRun {
+    let retry_after = retry_after(refusal).unwrap_or(NO_SHARE_RETRY_AFTER);
     let limit = match refusal {
         LimitRefusal::Requests { .. } | LimitRefusal::NoShare => Limit::RequestRate,
         LimitRefusal::Tokens { .. } => Limit::TokenRate,
@@ -285,36 +289,36 @@
         assert!(matches!(refusal, NotRun::LimitReached { retry_after_ms: 501..=1_000, .. }));
     }
 
-    // The first request of a workspace after a quiet hour must not be refused for a share that
-    // fills within milliseconds.
+    // Guards against refusing the first request of a workspace after an idle period, when its share
+    // is empty but fills within milliseconds.
     #[tokio::test(start_paused = true)]
     async fn admit_first_request_waits_briefly() {
         let limiter = Arc::new(Limiter::new(EntryKey(1)));
         let (workspace, members) = (workspace(10.0), [EntryKey(1)]);
-        let began = Instant::now();
+        let started = Instant::now();
         assert!(limiter.admit(&workspace, &members, 1.0, 1.0).await.is_ok());
-        assert!(began.elapsed() <= Duration::from_millis(101));
+        assert!(started.elapsed() <= Duration::from_millis(101));
     }
 
-    // A caller keeps an address answer from before the subset changed and goes on using an entry
-    // that is no longer in it. It must be served, not refused.
+    // Guards against refusing callers whose address list is from before a change of the subset. They
+    // use an entry that is no longer in it, which must serve them on a loan.
     #[tokio::test(start_paused = true)]
     async fn admit_outside_subset_on_a_loan() {
         let (inside, outside) = (Limiter::new(EntryKey(1)), Arc::new(Limiter::new(EntryKey(2))));
         let (workspace, members) = (workspace(100.0), [EntryKey(1)]);
-        let asking = {
+        let admission = {
             let (outside, workspace) = (Arc::clone(&outside), workspace.clone());
             tokio::spawn(async move { outside.admit(&workspace, &members, 1.0, 1.0).await })
         };
         for _ in 0..3 {
             outside.wait_for_demand(Duration::from_millis(100)).await;
-            for borrowing in outside.loan_requests() {
-                let (own, request) = (EntryKey(2), &borrowing.request);
-                let loan = inside.lend(&workspace, &members, own, request);
+            for outgoing in outside.loan_requests() {
+                let (borrower, request) = (EntryKey(2), &outgoing.request);
+                let loan = inside.lend(&workspace, &members, borrower, request);
                 tokio::time::advance(Duration::from_millis(20)).await;
-                outside.apply_loan(&borrowing, &loan);
+                outside.apply_loan(&outgoing, &loan);
             }
         }
-        assert!(asking.await.unwrap().is_ok());
+        assert!(admission.await.unwrap().is_ok());
     }
 }
--- a/crates/entry/src/links.rs
+++ b/crates/entry/src/links.rs
@@ -1,13 +1,12 @@
-//! Which agents this entry has a link to: those of its cells, and others for as long as they are
-//! needed.
+//! The links from this entry to agents: those of its cells, and others for as long as they are used.
 //!
-//! A link that falls out of the cells takes no new work at once and is closed only when nothing
-//! has used it for [`IDLE_LIMIT`], so that no change of cells cuts anything off.
+//! A link to an agent that leaves the cells gets no new work from then on, but is closed only after
+//! it has been unused for [`IDLE_LIMIT`], so that a change of cells interrupts nothing.
 
-use crate::agents::{Agent, Connected, Duty, Target};
+use crate::agents::{Agent, Connected, LinkPurpose, Target};
 use crate::connector::Connector;
-use crate::router::{Reach, Router};
-use crate::supervisor::{Supervisor, place};
+use crate::router::{AgentDirectory, Router};
+use crate::supervisor::{Supervisor, update_routing};
 use flamingowheel_observe::recorder::Recorder;
 use flamingowheel_policy::key::ServerKey;
 use flamingowheel_protocol::message::{EntryMessage, Hello};
@@ -20,17 +19,17 @@
 use tokio_util::sync::CancellationToken;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// How long a link that is not of the entry's cells outlives its last use. Longer than any step
-/// between choosing an agent and listening for its answer.
+/// How long a link outside the entry's cells stays open after its last use. It exceeds the time from
+/// choosing an agent to registering for its answer.
 pub const IDLE_LIMIT: Duration = Duration::from_secs(30);
 
-/// Agents that are linked at one time for requests that no cell of this entry can serve.
-const GUESTS_STEP: usize = 16;
+/// On-demand links opened per request that no cell of this entry can serve.
+const ON_DEMAND_LINKS_STEP: usize = 16;
 
-/// Such agents for one model or service at the most; as many as a cell may hold.
-const MAX_GUESTS: usize = 96;
+/// Most on-demand links for one model or service; the maximum size of a cell.
+const MAX_ON_DEMAND_LINKS: usize = 96;
 
-/// All agents that this entry is linked to, and the directory of those it may link to.
+/// The agents that this entry has links to, and the directory of all agents.
 pub struct Agents {
     shared: Arc<Shared>,
 }
@@ -40,60 +39,61 @@
     connector: Arc<dyn Connector>,
     router: Arc<Router>,
     recorder: Recorder,
-    /// Makes entries that need guests choose different ones.
+    /// Makes entries choose different agents for on-demand links.
     seed: u64,
-    known: Mutex<HashMap<SocketAddr, (Arc<Agent>, CancellationToken)>>,
-    listed: Mutex<Listed>,
-    pinned: Mutex<BTreeSet<String>>,
+    links: Mutex<HashMap<SocketAddr, (Arc<Agent>, CancellationToken)>>,
+    directory: Mutex<Directory>,
+    pinned_groups: Mutex<BTreeSet<String>>,
 }
 
-/// The directory of agents, by name and by what they serve.
+/// All agents of the fleet, by name and by what they serve.
 #[derive(Default)]
-struct Listed {
+struct Directory {
     agents: HashMap<ServerKey, Arc<AgentRecord>>,
     by_target: HashMap<Target, Vec<ServerKey>>,
 }
 
 impl Agents {
-    /// No agents yet. Connections are served on the runtime that this is called on.
+    /// Starts without links. Connections run on the runtime from which this is called.
     pub fn new(connector: Arc<dyn Connector>, router: Arc<Router>, recorder: Recorder) -> Self {
         let shared = Arc::new_cyclic(|own: &Weak<Shared>| {
-            router.set_reach(Weak::clone(own) as Weak<dyn Reach>);
+            router.set_directory(Weak::clone(own) as Weak<dyn AgentDirectory>);
             Shared {
                 traffic: Handle::current(),
                 connector,
                 router,
                 recorder,
                 seed: rand::random(),
-                known: Mutex::default(),
-                listed: Mutex::default(),
-                pinned: Mutex::default(),
+                links: Mutex::default(),
+                directory: Mutex::default(),
+                pinned_groups: Mutex::default(),
             }
         });
         Self { shared }
     }
 
-    /// Keeps links to exactly the agents of these VMs from now on, besides those in use.
+    /// Keeps links to the agents of exactly these VMs from now on, besides links in use.
     pub fn set_vms(&self, vms: &[AgentVm]) {
-        let mut known = self.shared.known();
+        let mut links = self.shared.links();
         let wanted: HashSet<SocketAddr> = vms.iter().map(|vm| vm.address).collect();
         for vm in vms {
             let (agent, _) =
-                known.entry(vm.address).or_insert_with(|| self.shared.start(vm.address));
-            agent.set_duty(Duty::Cell);
-            place(&self.shared.router, agent);
+                links.entry(vm.address).or_insert_with(|| self.shared.start(vm.address));
+            agent.set_purpose(LinkPurpose::Cell);
+            update_routing(&self.shared.router, agent);
             if vm.leaving {
-                // The list lags differently at each entry; the agent tells all of them at once.
+                // Entries see the change of the VM list at different times; the agent's heartbeats
+                // announce it to all of them at once.
                 agent.send(EntryMessage::VmLeaving);
             }
         }
-        let served = served_by_cells(&known);
-        for (agent, _) in known.values().filter(|(agent, _)| !wanted.contains(&agent.address())) {
+        let served = served_by_cells(&links);
+        for (agent, _) in links.values().filter(|(agent, _)| !wanted.contains(&agent.address())) {
             self.shared.demote(agent, &served);
         }
-        known.retain(|address, (agent, stop)| {
+        links.retain(|address, (agent, stop)| {
             let keep = wanted.contains(address)
-                || agent.duty() == Duty::Guest
+                || agent.purpose() == LinkPurpose::OnDemand
                 || agent.idle_for() < IDLE_LIMIT;
             if !keep {
                 stop.cancel();
@@ -102,60 +102,60 @@
         });
     }
 
-    /// Takes the directory of agents.
+    /// Replaces the directory of agents.
     pub fn set_directory(&self, agents: &[Arc<AgentRecord>]) {
-        let mut listed = Listed::default();
+        let mut directory = Directory::default();
         for record in agents {
             let server = ServerKey::from_name(&record.name);
-            listed.agents.insert(server, Arc::clone(record));
-            listed.by_target.entry(Target::from(&record.serves)).or_default().push(server);
+            directory.agents.insert(server, Arc::clone(record));
+            directory.by_target.entry(Target::from(&record.serves)).or_default().push(server);
         }
-        *self.shared.listed() = listed;
+        *self.shared.directory() = directory;
     }
 
-    /// The groups whose ranks need a link wherever their cells are.
+    /// Sets the groups whose ranks need a link even outside this entry's cells.
     pub fn pin_groups(&self, groups: BTreeSet<String>) {
-        *self.shared.pinned.lock().unwrap_or_else(PoisonError::into_inner) = groups;
+        *self.shared.pinned_groups.lock().unwrap_or_else(PoisonError::into_inner) = groups;
     }
 
-    /// The groups that were pinned last.
+    /// The groups last set by [`Agents::pin_groups`].
     pub fn pinned_groups(&self) -> BTreeSet<String> {
-        self.shared.pinned.lock().unwrap_or_else(PoisonError::into_inner).clone()
+        self.shared.pinned_groups.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// The agents that were connected, are still wanted, and can't be reached.
+    /// The linked agents whose connection was lost and has not been replaced, with their last hello.
     pub fn disconnected(&self) -> Vec<(Arc<Agent>, Arc<Hello>)> {
-        let known = self.shared.known();
-        let agents = known.values().map(|(agent, _)| agent);
+        let links = self.shared.links();
+        let agents = links.values().map(|(agent, _)| agent);
         let lost = agents.filter(|agent| agent.connected().is_none());
-        lost.filter_map(|agent| Some((Arc::clone(agent), agent.last()?))).collect()
+        lost.filter_map(|agent| Some((Arc::clone(agent), agent.last_hello()?))).collect()
     }
 
-    /// All agents that are connected.
+    /// The linked agents that have a connection, with that connection.
     pub fn connected(&self) -> Vec<(Arc<Agent>, Connected)> {
-        let known = self.shared.known();
-        let agents = known.values().map(|(agent, _)| agent);
+        let links = self.shared.links();
+        let agents = links.values().map(|(agent, _)| agent);
         agents.filter_map(|agent| Some((Arc::clone(agent), agent.connected()?))).collect()
     }
 
-    /// The agent at an address, over a link that is opened if there is none.
+    /// The agent at an address. Its link is opened if there is none, without waiting for it.
     pub fn link_to(&self, address: SocketAddr) -> Arc<Agent> {
-        self.shared.call(address)
+        self.shared.link_to(address)
     }
 
-    /// Asks who is at an address, over a connection that is closed again.
+    /// Connects to an address only to receive the hello of its process. `None` if it can't be reached.
     pub async fn fetch_hello(&self, address: SocketAddr) -> Option<Hello> {
         Some(self.shared.connector.connect(address).await.ok()?.peer)
     }
 }
 
 impl Shared {
-    fn known(&self) -> MutexGuard<'_, HashMap<SocketAddr, (Arc<Agent>, CancellationToken)>> {
-        self.known.lock().unwrap_or_else(PoisonError::into_inner)
+    fn links(&self) -> MutexGuard<'_, HashMap<SocketAddr, (Arc<Agent>, CancellationToken)>> {
+        self.links.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn listed(&self) -> MutexGuard<'_, Listed> {
-        self.listed.lock().unwrap_or_else(PoisonError::into_inner)
+    fn directory(&self) -> MutexGuard<'_, Directory> {
+        self.directory.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn start(&self, address: SocketAddr) -> (Arc<Agent>, CancellationToken) {
@@ -171,103 +171,108 @@
         (agent, stop)
     }
 
-    fn call(&self, address: SocketAddr) -> Arc<Agent> {
-        let mut known = self.known();
-        let (agent, _) = known.entry(address).or_insert_with(|| self.start(address));
-        // Under the lock, so that the link isn't closed for idleness meanwhile.
+    fn link_to(&self, address: SocketAddr) -> Arc<Agent> {
+        let mut links = self.links();
+        let (agent, _) = links.entry(address).or_insert_with(|| self.start(address));
+        // Under the lock, so that `set_vms` can't close the link as idle in between.
         agent.touch();
         Arc::clone(agent)
     }
 
-    /// Takes new work from an agent outside the cells. A guest keeps its work while there is any
-    /// and no cell of this entry serves the same.
+    /// Stops routing new work to an agent outside the cells. An on-demand link is still used while it
+    /// is active and no cell of this entry serves the same target.
     fn demote(&self, agent: &Arc<Agent>, served: &HashSet<Target>) {
         let is_served = || {
             let connected = agent.connected();
             connected.is_some_and(|c| served.contains(&Target::from(&c.profile.serves)))
         };
-        if agent.duty() == Duty::Guest && agent.idle_for() < IDLE_LIMIT && !is_served() {
+        if agent.purpose() == LinkPurpose::OnDemand && agent.idle_for() < IDLE_LIMIT && !is_served()
+        {
             return;
         }
-        if agent.duty() != Duty::Called {
-            // A request that was routed to it a moment ago still has the full time to begin.
+        if agent.purpose() != LinkPurpose::Direct {
+            // A request that was routed to it just now still has the full idle time to be sent.
             agent.touch();
-            agent.set_duty(Duty::Called);
+            agent.set_purpose(LinkPurpose::Direct);
         }
-        place(&self.router, agent);
+        update_routing(&self.router, agent);
     }
 }
 
-impl Reach for Shared {
+impl AgentDirectory for Shared {
     fn is_ready(&self) -> bool {
-        !self.listed().agents.is_empty()
+        !self.directory().agents.is_empty()
     }
 
     fn agent(&self, server: ServerKey) -> Option<Arc<Agent>> {
-        let address = self.listed().agents.get(&server)?.address;
-        Some(self.call(address))
+        let address = self.directory().agents.get(&server)?.address;
+        Some(self.link_to(address))
     }
 
     fn serving(&self, target: &Target) -> Vec<ServerKey> {
-        let (listed, known) = (self.listed(), self.known());
+        let (directory, links) = (self.directory(), self.links());
         let is_lost = |server: &ServerKey| {
-            let agent = listed.agents.get(server).and_then(|agent| known.get(&agent.address));
-            agent
-                .is_some_and(|(agent, _)| agent.duty() == Duty::Cell && agent.connected().is_none())
+            let link = directory.agents.get(server).and_then(|agent| links.get(&agent.address));
+            link.is_some_and(|(agent, _)| {
+                agent.purpose() == LinkPurpose::Cell && agent.connected().is_none()
+            })
         };
-        let servers = listed.by_target.get(target).into_iter().flatten();
+        let servers = directory.by_target.get(target).into_iter().flatten();
         servers.copied().filter(|server| !is_lost(server)).collect()
     }
 
-    fn invite(&self, target: &Target) -> Vec<Arc<Agent>> {
-        let mut outside = Vec::new();
+    fn open_links(&self, target: &Target) -> Vec<Arc<Agent>> {
+        let mut candidates = Vec::new();
         {
-            let (listed, known) = (self.listed(), self.known());
-            let servers = listed.by_target.get(target).map_or(&[][..], Vec::as_slice);
-            let mut guests = 0;
+            let (directory, links) = (self.directory(), self.links());
+            let servers = directory.by_target.get(target).map_or(&[][..], Vec::as_slice);
+            let mut on_demand_count = 0;
             for server in servers {
-                let Some(record) = listed.agents.get(server) else { continue };
-                match known.get(&record.address).map(|(agent, _)| agent.duty()) {
-                    Some(Duty::Cell) => {}
-                    Some(Duty::Guest) => guests += 1,
+                let Some(record) = directory.agents.get(server) else { continue };
+                match links.get(&record.address).map(|(agent, _)| agent.purpose()) {
+                    Some(LinkPurpose::Cell) => {}
+                    Some(LinkPurpose::OnDemand) => on_demand_count += 1,
                     _ if record.state != MemberState::Live => {}
-                    _ => outside.push((
+                    _ => candidates.push((
                         xxh3_64_with_seed(&server.0.to_le_bytes(), self.seed),
                         record.address,
                     )),
                 }
             }
-            outside.sort_unstable();
-            outside.truncate(GUESTS_STEP.min(MAX_GUESTS.saturating_sub(guests)));
+            candidates.sort_unstable();
+            candidates.truncate(
+                ON_DEMAND_LINKS_STEP.min(MAX_ON_DEMAND_LINKS.saturating_sub(on_demand_count)),
+            );
         }
-        let invited = outside.into_iter().map(|(_, address)| {
-            let agent = self.call(address);
-            agent.set_duty(Duty::Guest);
-            place(&self.router, &agent);
+        let linked = candidates.into_iter().map(|(_, address)| {
+            let agent = self.link_to(address);
+            agent.set_purpose(LinkPurpose::OnDemand);
+            update_routing(&self.router, &agent);
             agent
         });
-        invited.collect()
+        linked.collect()
     }
 }
 
-/// What the entry's cells serve; nothing if there are no guests, for whom alone it is needed.
+/// What the entry's cells serve. Empty without on-demand links, which alone need it.
 fn served_by_cells(
-    known: &HashMap<SocketAddr, (Arc<Agent>, CancellationToken)>,
+    links: &HashMap<SocketAddr, (Arc<Agent>, CancellationToken)>,
 ) -> HashSet<Target> {
-    let agents = || known.values().map(|(agent, _)| agent);
-    if !agents().any(|agent| agent.duty() == Duty::Guest) {
+    let agents = || links.values().map(|(agent, _)| agent);
+    if !agents().any(|agent| agent.purpose() == LinkPurpose::OnDemand) {
         return HashSet::new();
     }
-    let open = agents().filter(|agent| agent.duty() == Duty::Cell && !agent.is_leaving());
-    let connected = open.filter_map(|agent| agent.connected());
+    let accepting =
+        agents().filter(|agent| agent.purpose() == LinkPurpose::Cell && !agent.is_leaving());
+    let connected = accepting.filter_map(|agent| agent.connected());
     connected.map(|connected| Target::from(&connected.profile.serves)).collect()
 }
 
 /// A VM that may run an agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AgentVm {
-    /// Where its agent would be reached.
+    /// The address at which its agent listens.
     pub address: SocketAddr,
-    /// The VM list says that it is leaving.
+    /// Whether the VM is leaving, according to the VM list.
     pub leaving: bool,
 }
--- a/crates/entry/src/outcome.rs
+++ b/crates/entry/src/outcome.rs
@@ -1,17 +1,17 @@
-//! What a caller is told, and the proof that each answer needs.
+//! Why a request has no complete answer, and what proves that it did not run.
 
 use flamingowheel_observe::reason::Limit;
 use flamingowheel_policy::retry::RetryRefusal;
 use flamingowheel_protocol::message::{Failure, Refusal};
 use flamingowheel_protocol::ticket::TicketError;
 
-/// Proof that a request did not run and won't.
+/// Reasons that prove that a request did not run and won't.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum NotRun {
-    /// This entry does not yet know, or no longer trusts, the configuration that it has.
+    /// This entry has no configuration yet, or can't confirm that the one it has is current.
     #[error("this entry has no confirmed configuration yet")]
     NotReady,
-    /// No workspace is known for the token.
+    /// The request has no token, or no workspace has this token.
     #[error("unknown workspace or token")]
     Unauthorised,
     /// The workspace may not use this model.
@@ -20,42 +20,42 @@
     /// The workspace may not use this service or route.
     #[error("service or route not offered to this workspace")]
     UnknownService,
-    /// The body is too large.
+    /// The body exceeds the entry's limit.
     #[error("body exceeds {limit_bytes} bytes")]
     TooLarge {
-        /// The limit.
+        /// Largest accepted body, in bytes.
         limit_bytes: usize,
     },
-    /// The request can't be read.
+    /// A part of the request can't be parsed.
     #[error("malformed request: {0}")]
     Malformed(#[from] MalformedRequest),
     /// A limit of the workspace is reached.
     #[error("limit of the workspace reached: {limit}")]
     LimitReached {
-        /// Which.
+        /// The limit that was reached.
         limit: Limit,
-        /// When to come back, in milliseconds.
+        /// Time until a retry may succeed, in milliseconds.
         retry_after_ms: u64,
     },
-    /// Every backend server has more waiting than the caller has time for.
+    /// The expected wait at every backend server exceeds the caller's deadline.
     #[error("backend servers overloaded")]
     Overloaded {
-        /// When to come back, in milliseconds.
+        /// Time until a retry may succeed, in milliseconds.
         retry_after_ms: u64,
     },
-    /// It crashed backend servers.
+    /// The request is quarantined because backend servers crashed while running it.
     #[error("refused because backend servers crashed while running this request")]
     Suspect {
-        /// When to come back, in milliseconds.
+        /// Time until a retry may succeed, in milliseconds.
         retry_after_ms: u64,
     },
-    /// No agent that serves it is reachable.
+    /// No reachable agent serves the model or service.
     #[error("no backend server is available")]
     NoneAvailable,
-    /// The last agent that was asked refused it.
+    /// The agent of the last attempt refused the request.
     #[error("refused: {0}")]
     Refused(Refusal),
-    /// The deadline passed before it started.
+    /// The deadline passed before the request started to run.
     #[error("deadline passed before it started")]
     DeadlinePassed,
     /// The idempotency key could not be bound, so nothing was sent.
@@ -64,99 +64,100 @@
     /// The ticket is not valid for this request.
     #[error("ticket refused: {0}")]
     Ticket(#[from] TicketRefusal),
-    /// The idempotency key was used for another request.
+    /// The idempotency key is bound to a request with another fingerprint.
     #[error("the idempotency key was used for another request")]
     KeyMismatch,
-    /// The ticket's agent process ended as planned, and its archive says that it never ran it.
+    /// The ticket's agent process shut down, and its archive shows that the ticket never ran.
     #[error("the process that holds the ticket ended without running it; take a new ticket")]
     HomeEnded,
 }
 
-/// What can't be read in a request.
+/// Which part of a request is malformed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MalformedRequest {
-    /// The body is not JSON with a model's name.
+    /// The body is not a JSON object with a model name.
     #[error("body is not a chat completion request")]
     Body,
-    /// A header has a value that can't be used.
+    /// A header's value can't be parsed.
     #[error("header {0} can't be read")]
     Header(&'static str),
-    /// The path has segments that could step out of its route.
+    /// The path has dot segments, empty segments or escapes, which could lead out of its route.
     #[error("path has dot segments")]
     Path,
-    /// The body ended early or took too long.
+    /// The body ended early or was not received in time.
     #[error("body incomplete")]
     BodyIncomplete,
     /// A query parameter is missing.
     #[error("query parameter {0} is missing")]
     Query(&'static str),
-    /// A stream token is not one of this fleet.
+    /// The stream token is malformed or not signed by this fleet.
     #[error("stream token can't be read")]
     StreamToken,
 }
 
-/// Why a ticket does not fit a request.
+/// Why a ticket can't be used for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TicketRefusal {
-    /// Not a ticket of this fleet.
+    /// The ticket is malformed or not signed by this fleet.
     #[error(transparent)]
     Invalid(#[from] TicketError),
-    /// Minted for another workspace or service.
+    /// The ticket was minted for another workspace or service.
     #[error("minted for another workspace or service")]
     OtherSubject,
-    /// The call may be repeated and needs none.
+    /// The route is idempotent, so its calls take no ticket.
     #[error("the call is idempotent and takes no ticket")]
     NotNeeded,
 }
 
-/// Why nobody can know whether a request ran.
+/// Why it is unknown whether a request ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Unknown {
-    /// The attempt began and ended without a whole answer.
+    /// The attempt started and ended without a complete answer.
     #[error("{0}")]
     Failed(#[from] Failure),
-    /// The answer is larger than an entry gathers.
+    /// The answer is larger than what an entry buffers.
     #[error("the answer exceeds {limit_bytes} bytes")]
     AnswerTooLarge {
-        /// The limit.
+        /// Largest buffered answer, in bytes.
         limit_bytes: usize,
     },
     /// The agent can't be reached.
     #[error("the backend server's agent can't be reached")]
     AgentUnreachable,
-    /// The agent process that had the attempt is gone.
+    /// Another agent process has replaced the one that had the attempt.
     #[error("the agent process that had the request is gone")]
     AgentReplaced,
-    /// The deadline passed while it may have been running.
+    /// The deadline passed while the attempt may have been running.
     #[error("deadline passed while it may have been running")]
     DeadlinePassed,
-    /// The agent no longer has the stream.
+    /// The agent has no record of the stream any more.
     #[error("the stream is no longer there: {0}")]
     StreamGone(Refusal),
-    /// The ticket was submitted before or elsewhere, and its agent can't say what became of it.
+    /// The agent process that the ticket names (its home) is gone or has dropped the ticket's
+    /// record, so earlier attempts under the ticket may have run.
     #[error("the process that holds the ticket's record can't tell: {0}")]
     TicketHome(Refusal),
 }
 
 impl Unknown {
-    /// Whether the agent process that could tell can't be asked any more.
+    /// Whether the one agent process that has the request's record is gone or unreachable.
     pub fn is_home_gone(self) -> bool {
         matches!(self, Self::TicketHome(_) | Self::AgentUnreachable | Self::AgentReplaced)
     }
 }
 
-/// Why a request has no whole answer.
+/// Why a request has no complete answer.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Verdict {
-    /// Proof that it did not run.
+    /// The request provably did not run.
     #[error(transparent)]
     NotRun(#[from] NotRun),
-    /// It may have run.
+    /// The request may have run.
     #[error(transparent)]
     Unknown(#[from] Unknown),
 }
 
-/// Why an attempt that had begun was not repeated.
+/// Why a started attempt was not retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("not tried again: {0}")]
 pub struct NotRetried(#[from] pub RetryRefusal);
--- a/crates/entry/src/request.rs
+++ b/crates/entry/src/request.rs
@@ -1,4 +1,4 @@
-//! A caller's request, checked and resolved against its workspace.
+//! A caller's request after validation against its workspace.
 
 use crate::agents::Target;
 use bytes::Bytes;
@@ -9,44 +9,43 @@
 use std::sync::Arc;
 use tokio::time::Instant;
 
-/// A request that may be sent.
+/// A validated request.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its identity.
+    /// Identifies the request in events and attempts.
     pub id: RequestId,
-    /// The workspace as it was when the request came.
+    /// The workspace's configuration when the request was received.
     pub workspace: Arc<EffectiveWorkspace>,
-    /// What must serve it.
+    /// The model or service that the request is for.
     pub target: Target,
-    /// The HTTP method at the backend server.
+    /// The HTTP method to use at the backend server.
     pub method: String,
-    /// Path and query at the backend server.
+    /// Path and query to use at the backend server.
     pub path: String,
-    /// Media type of the body.
+    /// Media type of the body, if the caller sent one.
     pub content_type: Option<String>,
-    /// The body.
+    /// The body as received from the caller.
     pub body: Bytes,
-    /// Whether running it twice is harmless.
+    /// Whether the request may run more than once.
     pub idempotent: bool,
-    /// When it came.
+    /// When the request was received, after its body.
     pub received: Instant,
-    /// When the caller gives up waiting for the answer to begin.
+    /// Deadline for the answer to begin.
     pub deadline: Instant,
     /// Hash of workspace, route and body.
     pub fingerprint: Fingerprint,
-    /// Blocks of the prompt as the engine's prefix cache counts them.
+    /// Hashes of the prompt's blocks as in the engines' prefix caches; empty for services.
     pub prompt: Vec<BlockHash>,
 }
 
-/// Blocks of a prompt that routing looks at. What lies beyond can't change a choice by much, and
-/// every block is looked up for every backend server that has those before it.
+/// Blocks of a prompt that routing considers. Later blocks hardly change the choice, and each block
+/// costs a lookup for every backend server that has the blocks before it.
 pub const MAX_PROMPT_BLOCKS: usize = 256;
 
 /// The blocks of a completion's prompt, which is the body from its first byte on.
 ///
-/// Engines hash blocks in ways of their own; this must agree with them in the size, which
-/// [`crate::config::EntryConfig::cache_block_bytes`] gives, and in the hash. Where it does not, no
-/// block is ever found and requests are routed by load alone.
+/// Block size ([`crate::config::EntryConfig::cache_block_bytes`]) and hash function must match those
+/// of the engines. Otherwise no block is ever found and requests are routed by load alone.
 ///
 /// ```
 /// use flamingowheel_entry::request::{MAX_PROMPT_BLOCKS, prompt_blocks};
@@ -59,7 +58,7 @@
 }
 
 impl Request {
-    /// Stands for a request that another entry had sent, of which only the answer matters here.
+    /// A placeholder for a request that another entry sent and whose stream continues here.
     pub fn of_stream(workspace: Arc<EffectiveWorkspace>, id: RequestId, deadline: Instant) -> Self {
         Self {
             id,
@@ -77,14 +76,14 @@
         }
     }
 
-    /// The name of the service or model that must serve it.
+    /// The name of the model or service that the request is for.
     pub fn service_name(&self) -> &str {
         match &self.target {
             Target::Model(name) | Target::Service(name) => name,
         }
     }
 
-    /// Milliseconds until the caller gives up.
+    /// Milliseconds until the deadline; 0 after it.
     pub fn remaining_ms(&self) -> u64 {
         self.deadline.saturating_duration_since(Instant::now()).as_millis() as u64
     }
--- a/crates/entry/src/router.rs
+++ b/crates/entry/src/router.rs
@@ -1,4 +1,4 @@
-//! Applies the routing policy to the agents that are connected.
+//! Applies the routing policy to the connected agents.
 
 use crate::agents::{Agent, Target};
 use flamingowheel_policy::key::{Fingerprint, ScopeKey, ServerKey};
@@ -15,63 +15,64 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, timeout};
 
-/// How a request is treated among others.
+/// Parameters of a request's priority and retries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RouteClass {
-    /// It overtakes all that wait.
+    /// Whether the request overtakes waiting requests.
     pub urgent: bool,
-    /// A longer expected wait is refused at once.
+    /// Longest expected wait; beyond it the request is refused at once.
     pub max_wait: Duration,
-    /// Tries that the workspace allows, the first included.
+    /// Number of attempts that the workspace allows, the first included.
     pub max_tries: u32,
 }
 
-/// Knowledge of the backend servers and the choice among them.
+/// Tracks the backend servers' load, caches and suspicions and chooses among the servers.
 pub struct Router {
     config: RoutingConfig,
     started: Instant,
     state: Mutex<State>,
-    suspicion: Mutex<SuspectTracker>,
-    reach: OnceLock<Weak<dyn Reach>>,
+    suspects: Mutex<SuspectTracker>,
+    directory: OnceLock<Weak<dyn AgentDirectory>>,
 }
 
-/// Reaches agents that this entry has no link to.
-pub trait Reach: Send + Sync {
-    /// Whether there is a directory of agents yet.
+/// Finds agents that this entry has no link to, and opens links to them.
+pub trait AgentDirectory: Send + Sync {
+    /// Whether the directory has been received.
     fn is_ready(&self) -> bool;
 
-    /// The agent in front of a backend server; its link is opened if there is none.
+    /// The agent of a backend server; `None` if it is not listed. Opens its link if there is none.
     fn agent(&self, server: ServerKey) -> Option<Arc<Agent>>;
 
-    /// All backend servers of the fleet that serve this, linked or not, but for those whose link
-    /// should be there and is not.
+    /// All backend servers of the fleet that serve `target`, linked or not, except those in this
+    /// entry's cells whose connection is lost.
     fn serving(&self, target: &Target) -> Vec<ServerKey>;
 
-    /// Opens links to some more agents that serve this.
-    fn invite(&self, target: &Target) -> Vec<Arc<Agent>>;
+    /// Opens links to some more agents that serve `target` and returns these agents.
+    fn open_links(&self, target: &Target) -> Vec<Arc<Agent>>;
 }
 
-/// How long a request waits for the first link of those that it made this entry open.
-const INVITE_LIMIT: Duration = Duration::from_secs(2);
+/// How long a request waits for the first connection of the links opened for it.
+const ON_DEMAND_LINK_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long a new agent's record may take to get here after a caller does.
-const LISTED_LIMIT: Duration = Duration::from_secs(2);
+/// How long to wait for an agent that is not in the directory yet, since a caller can reach this entry
+/// with the agent's ticket before the agent's record does.
+const DIRECTORY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Time between two looks for it.
-const LISTED_POLL: Duration = Duration::from_millis(100);
+/// Time between two lookups during that wait.
+const DIRECTORY_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Where a request goes.
+/// The routing decision for a request.
 pub struct Routed {
-    /// The choice.
+    /// The chosen backend server and its expected cost.
     pub choice: Choice,
-    /// The agent in front of the backend server.
+    /// The agent of the chosen backend server.
     pub agent: Arc<Agent>,
-    /// Without knowledge of prefix caches it would have gone elsewhere.
+    /// Whether the prefix caches decided: without them another server would have been chosen.
     pub by_prefix: bool,
 }
 
 struct State {
-    book: LoadTracker,
+    load: LoadTracker,
     prefixes: PrefixIndex,
     by_target: HashMap<Target, Vec<ServerKey>>,
     agents: HashMap<ServerKey, Arc<Agent>>,
@@ -79,11 +80,11 @@
 
 impl Default for State {
     fn default() -> Self {
-        // Agents send in order and leave a number out where events were lost for good, so there
-        // is nothing to wait for.
+        // Agents send events in order and skip a number where events were lost for good, so there
+        // are no missing events to wait for.
         let config = PrefixConfig { max_pending: 0, ..PrefixConfig::default() };
         Self {
-            book: LoadTracker::default(),
+            load: LoadTracker::default(),
             prefixes: PrefixIndex::new(config),
             by_target: HashMap::new(),
             agents: HashMap::new(),
@@ -98,41 +99,41 @@
 }
 
 impl Router {
-    /// Knows no backend server yet.
+    /// A router without backend servers.
     pub fn new(config: RoutingConfig) -> Self {
-        let suspicion = Mutex::new(SuspectTracker::new(SuspicionConfig::default()));
+        let suspects = Mutex::new(SuspectTracker::new(SuspicionConfig::default()));
         let (started, state) = (Instant::now(), Mutex::default());
-        Self { config, started, state, suspicion, reach: OnceLock::new() }
+        Self { config, started, state, suspects, directory: OnceLock::new() }
     }
 
-    /// Says who opens links on demand; only the first counts.
-    pub fn set_reach(&self, reach: Weak<dyn Reach>) {
-        let _ = self.reach.set(reach);
+    /// Sets the directory that opens links on demand; only the first call has an effect.
+    pub fn set_directory(&self, directory: Weak<dyn AgentDirectory>) {
+        let _ = self.directory.set(directory);
     }
 
-    fn reach(&self) -> Option<Arc<dyn Reach>> {
-        self.reach.get()?.upgrade()
+    fn directory(&self) -> Option<Arc<dyn AgentDirectory>> {
+        self.directory.get()?.upgrade()
     }
 
-    /// The agent in front of a backend server, whichever cell that is in.
-    pub async fn called(&self, server: ServerKey, deadline: Instant) -> Option<Arc<Agent>> {
-        let deadline = deadline.min(Instant::now() + LISTED_LIMIT);
+    /// The agent of a backend server in any cell. Waits for the directory if it isn't listed yet.
+    pub async fn find_agent(&self, server: ServerKey, deadline: Instant) -> Option<Arc<Agent>> {
+        let deadline = deadline.min(Instant::now() + DIRECTORY_TIMEOUT);
         loop {
             if let Some(agent) = self.agent(server) {
                 return Some(agent);
             }
-            let reach = self.reach().filter(|reach| reach.is_ready())?;
-            if let Some(agent) = reach.agent(server) {
+            let directory = self.directory().filter(|directory| directory.is_ready())?;
+            if let Some(agent) = directory.agent(server) {
                 return Some(agent);
             }
             if Instant::now() >= deadline {
                 return None;
             }
-            sleep(LISTED_POLL).await;
+            sleep(DIRECTORY_POLL_INTERVAL).await;
         }
     }
 
-    /// Like [`Router::route`]; opens links if no agent at hand can serve this.
+    /// Like [`Router::route`], but opens links on demand if no linked agent can serve `target`.
     pub async fn route_anywhere(
         &self,
         target: &Target,
@@ -145,8 +146,9 @@
             if !matches!(routed, Err(RouteError::NoneAvailable)) {
                 return routed;
             }
-            let invited = self.reach().map(|reach| reach.invite(target)).unwrap_or_default();
-            if !any_connects(invited, class.max_wait.min(INVITE_LIMIT)).await {
+            let linked =
+                self.directory().map(|directory| directory.open_links(target)).unwrap_or_default();
+            if !any_connects(linked, class.max_wait.min(ON_DEMAND_LINK_TIMEOUT)).await {
                 return routed;
             }
         }
@@ -155,8 +157,8 @@
     /// Adds a backend server whose agent is connected.
     pub fn add(&self, server: ServerKey, serves: &Serves, agent: Arc<Agent>) {
         let mut state = self.lock();
-        state.book.insert(server);
-        // A new agent process counts its cache events anew.
+        state.load.insert(server);
+        // A new agent process numbers its cache events from the start.
         state.prefixes.remove(server);
         state.agents.insert(server, agent);
         let servers = state.by_target.entry(Target::from(serves)).or_default();
@@ -165,72 +167,73 @@
         }
     }
 
-    /// Takes a backend server out, unless another process has taken its name meanwhile.
+    /// Removes a backend server, unless another agent process has been added under its name.
     pub fn remove(&self, server: ServerKey, agent: &Arc<Agent>) {
         let mut state = self.lock();
-        let current = state.agents.get(&server).is_some_and(|known| Arc::ptr_eq(known, agent));
-        if !current {
+        let is_current =
+            state.agents.get(&server).is_some_and(|current| Arc::ptr_eq(current, agent));
+        if !is_current {
             return;
         }
         state.agents.remove(&server);
-        state.book.remove(server);
+        state.load.remove(server);
         state.prefixes.remove(server);
         for servers in state.by_target.values_mut() {
-            servers.retain(|known| *known != server);
+            servers.retain(|other| *other != server);
         }
     }
 
-    /// The agent in front of a backend server.
+    /// The agent of a backend server, if it was added.
     pub fn agent(&self, server: ServerKey) -> Option<Arc<Agent>> {
         self.lock().agents.get(&server).cloned()
     }
 
-    /// Notes whether a backend server takes new work.
+    /// Records whether a backend server accepts new work.
     pub fn set_accepting(&self, server: ServerKey, leaving: bool, backend_up: bool) {
         let availability = match (leaving, backend_up) {
             (true, _) => Availability::Leaving,
             (false, false) => Availability::Suspect,
             (false, true) => Availability::Available,
         };
-        self.lock().book.set_availability(server, availability);
+        self.lock().load.set_availability(server, availability);
     }
 
-    /// What may be done with a request, by what is known of crashes.
+    /// Whether a request may run, must be isolated or is refused, according to recorded crashes.
     pub fn verdict(&self, fingerprint: Fingerprint) -> Verdict {
         let now = self.started.elapsed();
-        self.suspicion().verdict(fingerprint, now)
+        self.suspects().verdict(fingerprint, now)
     }
 
-    /// Takes in suspicions and returns what was news, for all other agents.
-    pub fn suspect(&self, records: &[SuspectRecord]) -> Vec<SuspectRecord> {
+    /// Merges suspicions and returns the changed ones, to be sent to all other agents.
+    pub fn merge_suspicions(&self, records: &[SuspectRecord]) -> Vec<SuspectRecord> {
         let now = self.started.elapsed();
-        let mut suspicion = self.suspicion();
-        suspicion.merge(records, now);
-        suspicion.drain_changes(now)
+        let mut suspects = self.suspects();
+        suspects.merge(records, now);
+        suspects.drain_changes(now)
     }
 
-    /// All suspicions, for an agent that has just been connected.
+    /// All suspicions, for an agent that has just connected.
     pub fn suspicions(&self) -> Vec<SuspectRecord> {
-        self.suspicion().records(self.started.elapsed())
+        self.suspects().records(self.started.elapsed())
     }
 
-    /// All agents that are connected.
+    /// All agents that were added.
     pub fn agents(&self) -> Vec<Arc<Agent>> {
         self.lock().agents.values().cloned().collect()
     }
 
-    /// Takes in the load that a message carried.
-    pub fn learn(&self, server: ServerKey, hint: LoadHint) {
+    /// Applies the load that an agent reported.
+    pub fn update_load(&self, server: ServerKey, hint: LoadHint) {
         let now = self.started.elapsed();
-        let book = &mut self.lock().book;
+        let load_tracker = &mut self.lock().load;
         match hint {
-            LoadHint::Whole(load) => book.on_current_load(server, load, now),
-            LoadHint::Occupancy(Occupancy(hint)) => book.on_hint(server, hint, now),
+            LoadHint::Whole(load) => load_tracker.on_current_load(server, load, now),
+            LoadHint::Occupancy(Occupancy(hint)) => load_tracker.on_hint(server, hint, now),
         }
     }
 
-    /// Takes in changes of a backend server's prefix cache.
-    pub fn learn_cache(&self, server: ServerKey, events: Vec<CacheEvent>) {
+    /// Applies changes of a backend server's prefix cache.
+    pub fn apply_cache_events(&self, server: ServerKey, events: Vec<CacheEvent>) {
         let now = self.started.elapsed();
         let mut state = self.lock();
         if !state.agents.contains_key(&server) {
@@ -241,19 +244,19 @@
         }
     }
 
-    /// Leading blocks of a prompt that a backend server probably has cached.
+    /// Estimated number of leading prompt blocks that a backend server has cached.
     pub fn covered_blocks(&self, server: ServerKey, prompt: &[BlockHash]) -> f64 {
         let now = self.started.elapsed();
         self.lock().prefixes.covered_blocks(server, prompt, now)
     }
 
-    /// Blocks of prefix caches that are remembered in all.
+    /// Number of cached blocks tracked for all backend servers.
     pub fn block_count(&self) -> usize {
         self.lock().prefixes.block_count()
     }
 
-    /// Chooses a backend server for a request whose prompt has these blocks, and counts the
-    /// request that will be sent to it.
+    /// Chooses a backend server for a request whose prompt has the blocks `prompt`, and counts the
+    /// request as sent to it.
     pub fn route(
         &self,
         target: &Target,
@@ -268,18 +271,19 @@
         let RouteClass { urgent, max_wait, max_tries } = *class;
         let config = RoutingConfig { urgent, max_wait, max_tries, ..self.config };
         let extra_cost = |server| Some(extra.of(server));
-        let choice = choose(&config, request, servers, &state.book, now, extra_cost)?;
+        let choice = choose(&config, request, servers, &state.load, now, extra_cost)?;
         let by_prefix = extra.is_covered(choice.server) && {
             let no_cost = |_| Some(Duration::ZERO);
-            let otherwise = choose(&config, request, servers, &state.book, now, no_cost);
+            let otherwise = choose(&config, request, servers, &state.load, now, no_cost);
             otherwise.is_ok_and(|otherwise| otherwise.server != choice.server)
         };
         let agent = state.agents.get(&choice.server).cloned().ok_or(RouteError::NoneAvailable)?;
-        state.book.on_sent(choice.server, now);
+        state.load.on_sent(choice.server, now);
         Ok(Routed { choice, agent, by_prefix })
     }
 
-    /// Chooses the one backend server for a request that may have crashed others.
+    /// Chooses the one backend server for a request that may have crashed others, and counts the
+    /// request as sent to it.
     pub fn route_isolated(
         &self,
         target: &Target,
@@ -287,30 +291,31 @@
         crashed: &[ServerKey],
     ) -> Result<(ServerKey, Arc<Agent>), RouteError> {
         let now = self.started.elapsed();
-        let server = self.alone(target, fingerprint, crashed)?;
-        let reached = || self.reach().and_then(|reach| reach.agent(server));
-        let agent = self.agent(server).or_else(reached).ok_or(RouteError::NoneAvailable)?;
-        self.lock().book.on_sent(server, now);
+        let server = self.choose_isolated(target, fingerprint, crashed)?;
+        let linked = || self.directory().and_then(|directory| directory.agent(server));
+        let agent = self.agent(server).or_else(linked).ok_or(RouteError::NoneAvailable)?;
+        self.lock().load.on_sent(server, now);
         Ok((server, agent))
     }
 
-    /// The choice is among all backend servers of the fleet: were it among those at hand, copies
-    /// through entries of different cells would each crash another one.
-    fn alone(
+    /// Chooses among all backend servers of the fleet. If only linked ones were considered, copies of
+    /// the request through entries of different cells could each crash a different server.
+    fn choose_isolated(
         &self,
         target: &Target,
         fingerprint: Fingerprint,
         crashed: &[ServerKey],
     ) -> Result<ServerKey, RouteError> {
-        let mut servers = self.reach().map(|reach| reach.serving(target)).unwrap_or_default();
+        let mut servers =
+            self.directory().map(|directory| directory.serving(target)).unwrap_or_default();
         let state = self.lock();
         servers.extend(state.by_target.get(target).into_iter().flatten());
         servers.sort_unstable();
         servers.dedup();
-        choose_alone(fingerprint, crashed, &servers, &state.book)
+        choose_alone(fingerprint, crashed, &servers, &state.load)
     }
 
-    /// Backend servers by what they serve, for the choice of subsets.
+    /// Backend servers by what they serve, for choosing subsets.
     pub fn scopes(&self) -> Vec<(ScopeKey, Vec<ServerKey>)> {
         let state = self.lock();
         let scopes = state.by_target.iter();
@@ -320,14 +325,14 @@
         scopes
     }
 
-    /// Counts the end of a request that was sent.
-    pub fn ended(&self, server: ServerKey) {
+    /// Counts the end of a request that was sent to `server`.
+    pub fn request_ended(&self, server: ServerKey) {
         let now = self.started.elapsed();
-        self.lock().book.on_ended(server, now);
+        self.lock().load.on_ended(server, now);
     }
 
-    fn suspicion(&self) -> MutexGuard<'_, SuspectTracker> {
-        self.suspicion.lock().unwrap_or_else(PoisonError::into_inner)
+    fn suspects(&self) -> MutexGuard<'_, SuspectTracker> {
+        self.suspects.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
@@ -335,12 +340,12 @@
     }
 }
 
-/// Whether one of these agents is connected in time.
-async fn any_connects(agents: Vec<Arc<Agent>>, limit: Duration) -> bool {
+/// Whether one of these agents connects before the timeout.
+async fn any_connects(agents: Vec<Arc<Agent>>, wait: Duration) -> bool {
     let connecting = agents.iter().map(|agent| Box::pin(agent.connected_after(0)));
     let connecting: Vec<_> = connecting.collect();
     if connecting.is_empty() {
         return false;
     }
-    timeout(limit, select_all(connecting)).await.is_ok()
+    timeout(wait, select_all(connecting)).await.is_ok()
 }
--- a/crates/entry/src/state.rs
+++ b/crates/entry/src/state.rs
@@ -1,4 +1,4 @@
-//! What the handlers of callers' requests share.
+//! State shared by the HTTP handlers.
 
 use crate::addresses::{AddressBook, demand};
 use crate::archive::Archive;
@@ -17,28 +17,28 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Shared by all handlers. The control thread replaces the snapshots; traffic reads them without
-/// a lock.
+/// State shared by the HTTP handlers. The control thread replaces the `ArcSwap` snapshots; request
+/// handlers read them without a lock.
 pub struct EntryState {
-    /// Identity and limits.
+    /// Identity and limits of this entry.
     pub config: Arc<EntryConfig>,
-    /// The configuration in force.
+    /// Snapshot of the configuration in force.
     pub effective: ArcSwap<Effective>,
-    /// Who answers callers.
+    /// Snapshot of the entries that callers may use.
     pub addresses: ArcSwap<AddressBook>,
-    /// Sends requests.
+    /// Sends requests to agents.
     pub dispatcher: Dispatcher,
     /// Binds idempotency keys.
     pub claims: Claims,
-    /// Answers of agent processes that ended as planned.
+    /// Answers archived by agent processes that have shut down.
     pub archive: Archive,
-    /// Events.
+    /// Records events and metrics.
     pub recorder: Recorder,
-    /// Requests and streams in progress.
+    /// Number of requests and streams in progress.
     pub in_progress: Arc<InProgress>,
-    /// This entry among the others.
+    /// This entry's membership in the fleet.
     pub node: Node,
-    /// Applies the workspaces' limits.
+    /// Enforces the workspaces' limits.
     pub limiter: Arc<Limiter>,
 }
 
@@ -49,7 +49,7 @@
         self.addresses.load().subset(&workspace.name, &scopes, rate_per_s)
     }
 
-    /// Admits a request within its workspace's limits.
+    /// Admits a request within its workspace's limits. The permit is absent if no limit is set.
     pub async fn admit(
         &self,
         workspace: &EffectiveWorkspace,
@@ -70,17 +70,17 @@
     }
 }
 
-/// Held while a request or its answer is in progress.
+/// Held until an admitted request has been answered.
 #[derive(Debug)]
-pub struct Hold {
-    /// Keeps a leaving entry from ending.
+pub struct Admission {
+    /// Delays the exit of a leaving entry.
     pub in_progress: InProgressGuard,
-    /// Counts against the workspace's limits, if it has any.
+    /// Counts against the workspace's limits; absent if it has none.
     pub permit: Option<Permit>,
 }
 
-impl Hold {
-    /// Notes tokens that were generated.
+impl Admission {
+    /// Counts generated tokens against the workspace's limits.
     pub fn add_tokens(&mut self, count: f64) {
         if let Some(permit) = &mut self.permit {
             permit.add_tokens(count);
@@ -88,18 +88,18 @@
     }
 }
 
-/// Counts requests and streams in progress, so that a leaving entry knows when it may end.
+/// Counts requests and streams in progress, so that a leaving entry knows when it may exit.
 #[derive(Debug, Default)]
 pub struct InProgress(AtomicUsize);
 
 impl InProgress {
-    /// Counts one until the guard is dropped.
+    /// Increments the count until the guard is dropped.
     pub fn enter(self: &Arc<Self>) -> InProgressGuard {
         self.0.fetch_add(1, Ordering::AcqRel);
         InProgressGuard(Arc::clone(self))
     }
 
-    /// How many there are.
+    /// The current count.
     ///
     /// ```
     /// use flamingowheel_entry::state::InProgress;
@@ -114,7 +114,7 @@
     }
 }
 
-/// Counts as one while it exists.
+/// Decrements the count of [`InProgress`] on drop.
 #[derive(Debug)]
 pub struct InProgressGuard(Arc<InProgress>);
 
--- a/crates/entry/src/stream.rs
+++ b/crates/entry/src/stream.rs
@@ -1,4 +1,4 @@
-//! An answer on its way to the caller.
+//! An answer that is being forwarded to the caller.
 
 use crate::attempt::{Attempt, AttemptEnd, Head, Piece, Prepared, Streaming};
 use crate::dispatch::verdict;
@@ -20,24 +20,23 @@
 /// Media type of event streams.
 pub const EVENT_STREAM: &str = "text/event-stream";
 
-/// Where an answer comes from.
+/// The source of an answer.
 #[derive(Clone, Copy, Debug)]
 pub struct Origin {
-    /// The backend server.
+    /// The backend server that sends it.
     pub server: ServerKey,
-    /// Attempts made until the answer began.
+    /// Attempts made up to and including the one that is answered.
     pub attempts: u32,
-    /// The backend server can go on with a stream under a new agent process.
+    /// Whether the backend server can resume a stream under a new agent process.
     pub can_resume: bool,
 }
 
-/// An answer that has begun. Dropping it before its end tells the agent that nobody reads any
-/// more.
+/// An answer that has begun. Dropping it before its end cancels the attempt.
 pub struct Answer {
     request: Request,
     head: Head,
     attempt: Option<Attempt<Streaming>>,
-    /// Read before the answer was given to the caller.
+    /// A piece that was read before the response to the caller began.
     first: Option<Piece>,
     origin: Origin,
     router: Arc<Router>,
@@ -66,17 +65,17 @@
         &self.head
     }
 
-    /// When the request came.
+    /// When the request was received.
     pub fn received(&self) -> Instant {
         self.request.received
     }
 
-    /// Attempts made until the answer began.
+    /// Number of attempts so far.
     pub fn attempts(&self) -> u32 {
         self.origin.attempts
     }
 
-    /// With which any entry goes on with the stream.
+    /// The token with which any entry can resume the stream; `None` after the end.
     pub fn token(&self) -> Option<StreamToken> {
         let attempt = self.attempt.as_ref()?;
         let identity = attempt.identity();
@@ -90,13 +89,13 @@
         })
     }
 
-    /// Gives it back a piece that was read already.
+    /// Puts back a piece that was read already; `next` returns it first.
     pub fn with_first(mut self, first: Piece) -> Self {
         self.first = Some(first);
         self
     }
 
-    /// The next piece. After an error or the end there is none.
+    /// The next piece; `Piece::End` after an error or the end.
     pub async fn next(&mut self) -> Result<Piece, Verdict> {
         loop {
             let Some(attempt) = self.attempt.as_mut() else { return Ok(Piece::End) };
@@ -115,12 +114,12 @@
         }
     }
 
-    /// Goes on under a new agent process if the backend server itself still has the stream.
+    /// Resumes the stream under a new agent process if the backend server supports it.
     async fn resume_or_fail(&mut self, end: AttemptEnd) -> Result<(), Verdict> {
         let resumable = matches!(end, AttemptEnd::Replaced(_));
         let resumed = match self.attempt.take() {
-            // What the new process says of the second attempt proves nothing of the first, which
-            // ran: its refusal must not become "not run".
+            // The first attempt ran, so a refusal of the second one by the new process must not
+            // become "not run".
             Some(attempt) if resumable && self.may_resume() => {
                 self.resume(attempt).await.map_err(|_| end)
             }
@@ -132,7 +131,7 @@
                 Ok(())
             }
             Err(end) => {
-                self.router.ended(self.origin.server);
+                self.router.request_ended(self.origin.server);
                 let verdict = verdict(end);
                 let class = events::class(&self.request);
                 self.log.record(events::verdict(&verdict, class, self.origin.attempts));
@@ -141,11 +140,11 @@
         }
     }
 
-    /// Engines resume event streams only. Any other body would come once more from its beginning,
-    /// and the caller would take part of one answer and the whole of another for its own.
+    /// Engines resume event streams only. Any other body would be sent again from its beginning, and
+    /// the caller would receive part of one answer followed by the whole of another.
     fn may_resume(&self) -> bool {
-        let events = self.head.content_type.starts_with(EVENT_STREAM);
-        events && self.origin.can_resume && self.request.idempotent
+        let is_event_stream = self.head.content_type.starts_with(EVENT_STREAM);
+        is_event_stream && self.origin.can_resume && self.request.idempotent
     }
 
     async fn resume(&mut self, old: Attempt<Streaming>) -> Result<Attempt<Streaming>, AttemptEnd> {
@@ -182,13 +181,14 @@
             .send(&agent, connected, self.reconnect_timeout)
             .await
             .map_err(AttemptEnd::Refused)?;
-        let (_, attempt) = sent.begin(deadline, next_chunk).await.map_err(|(end, _)| end)?;
+        let (_, attempt) =
+            sent.wait_for_head(deadline, next_chunk).await.map_err(|(end, _)| end)?;
         Ok(attempt)
     }
 
     fn finish(&mut self) {
         let Some(attempt) = self.attempt.take() else { return };
-        self.router.ended(self.origin.server);
+        self.router.request_ended(self.origin.server);
         self.log.record(Event::Completed {
             class: events::class(&self.request),
             attempts: self.origin.attempts,
@@ -203,7 +203,7 @@
         if self.attempt.take().is_none() {
             return;
         }
-        self.router.ended(self.origin.server);
+        self.router.request_ended(self.origin.server);
         let cause = CancelCause::CallerGone;
         self.log.record(Event::Cancelled { attempt: self.origin.attempts, cause });
     }
