--- a/crates/entry/src/supervisor.rs
+++ b/crates/entry/src/supervisor.rs
@@ -1,6 +1,6 @@
-//! Keeps one agent connected, and brings what it says to the router and to its attempts.
+//! Keeps one agent connected and passes its messages to the router and the attempts.
 
-use crate::agents::{Agent, Connected, Duty};
+use crate::agents::{Agent, Connected, LinkPurpose};
 use crate::connector::{AgentLink, Connector};
 use crate::router::Router;
 use flamingowheel_observe::event::Event;
@@ -13,17 +13,17 @@
 use std::time::Duration;
 use tokio_util::sync::CancellationToken;
 
-/// Shortest and longest wait between two tries to connect.
-const RECONNECT_WAIT: (Duration, Duration) =
+/// Shortest and longest delay between two connection attempts.
+const RECONNECT_DELAY: (Duration, Duration) =
     (Duration::from_millis(50), Duration::from_millis(1_000));
 
-/// A connection that ended this long after the last heartbeat had gone silent.
+/// A connection that ends this long after the last heartbeat is recorded as silent, not as closed.
 const SILENT_AFTER: Duration = Duration::from_millis(1_500);
 
-/// How long an address that turned out to be no agent is left alone.
-const NOT_AN_AGENT_WAIT: Duration = Duration::from_secs(30);
+/// Delay before connecting again to an address that turned out not to be an agent.
+const NOT_AN_AGENT_DELAY: Duration = Duration::from_secs(30);
 
-/// Keeps one agent connected.
+/// Maintains the connection to one agent.
 pub(crate) struct Supervisor {
     pub(crate) agent: Arc<Agent>,
     pub(crate) connector: Arc<dyn Connector>,
@@ -34,31 +34,31 @@
 
 impl Supervisor {
     pub(crate) async fn run(self) {
-        let mut wait = RECONNECT_WAIT.0;
+        let mut delay = RECONNECT_DELAY.0;
         let mut epoch = 0;
         while !self.stop.is_cancelled() {
             match self.connector.connect(self.agent.address()).await {
                 Ok(link) => {
-                    wait = RECONNECT_WAIT.0;
+                    delay = RECONNECT_DELAY.0;
                     epoch += 1;
-                    self.attend(link, epoch).await;
+                    self.serve_connection(link, epoch).await;
                 }
                 Err(error) => {
-                    tracing::debug!(address = %self.agent.address(), %error, "can't connect");
-                    wait = (wait * 2).min(RECONNECT_WAIT.1);
+                    tracing::debug!(address = %self.agent.address(), %error, "can't connect to agent");
+                    delay = (delay * 2).min(RECONNECT_DELAY.1);
                 }
             }
             tokio::select! {
-                () = tokio::time::sleep(wait) => {}
+                () = tokio::time::sleep(delay) => {}
                 () = self.stop.cancelled() => {}
             }
         }
     }
 
-    async fn attend(&self, mut link: AgentLink, epoch: u64) {
+    async fn serve_connection(&self, mut link: AgentLink, epoch: u64) {
         let Role::Agent(profile) = &link.peer.role else {
-            // Another entry. It stays one until its VM is replaced.
-            let retry = tokio::time::sleep(NOT_AN_AGENT_WAIT);
+            // Another entry. The address doesn't become an agent's before its VM is replaced.
+            let retry = tokio::time::sleep(NOT_AN_AGENT_DELAY);
             tokio::select! {
                 () = retry => {}
                 () = self.stop.cancelled() => {}
@@ -72,24 +72,24 @@
             profile: Arc::new(profile.clone()),
             sender: link.sender.clone(),
         };
-        // The window of another incarnation means nothing to this one.
+        // The window of another incarnation doesn't apply to this one.
         self.agent.window.store(0, Ordering::Relaxed);
-        let mut announced = false;
+        let mut is_ready = false;
         while let Some(message) = self.next(&mut link).await {
-            self.take(server, &message);
-            // The first heartbeat tells the window; a dispatch before it would be refused.
-            if !announced && matches!(message, AgentMessage::Heartbeat { .. }) {
-                announced = true;
-                self.agent.announce(connected.clone());
-                place(&self.router, &self.agent);
+            self.apply(server, &message);
+            // The first heartbeat carries the window; a dispatch before it would be refused.
+            if !is_ready && matches!(message, AgentMessage::Heartbeat { .. }) {
+                is_ready = true;
+                self.agent.set_connected(connected.clone());
+                update_routing(&self.router, &self.agent);
                 self.record_opened(&connected);
-                let known = self.router.suspicions();
-                if !known.is_empty() {
-                    self.agent.send(EntryMessage::Suspicions(known));
+                let suspicions = self.router.suspicions();
+                if !suspicions.is_empty() {
+                    self.agent.send(EntryMessage::Suspicions(suspicions));
                 }
             }
             match message {
-                AgentMessage::CacheEvents(events) => self.router.learn_cache(server, events),
+                AgentMessage::CacheEvents(events) => self.router.apply_cache_events(server, events),
                 AgentMessage::OrderAnswer { number, body } => {
                     if let Some(waiting) = self.agent.orders().remove(&number) {
                         let _ = waiting.send(body);
@@ -97,18 +97,18 @@
                 }
                 message => {
                     if let Some(attempt) = message.attempt() {
-                        self.agent.route(attempt, message);
+                        self.agent.deliver(attempt, message);
                     }
                 }
             }
         }
         self.router.remove(server, &self.agent);
         self.agent.connected.send_replace(None);
-        self.agent.tell_lost(epoch);
+        self.agent.notify_lost(epoch);
         self.record_closed(&connected);
     }
 
-    /// The next message; none once the connection ended or is not wanted any more.
+    /// The next message; `None` once the connection has ended or the supervisor was stopped.
     async fn next(&self, link: &mut AgentLink) -> Option<AgentMessage> {
         tokio::select! {
             message = link.receiver.recv() => message,
@@ -125,50 +125,51 @@
         });
     }
 
-    /// An agent that lives is heard several times a second, so a gap tells a silent connection
-    /// from one that was closed.
+    /// A live agent sends several heartbeats per second, so the time since the last one tells whether
+    /// the connection fell silent or was closed.
     fn record_closed(&self, connected: &Connected) {
         let peer = connected.hello.name.as_str().into();
-        let silent = self.agent.since_heartbeat();
-        self.recorder.record(match silent >= SILENT_AFTER {
-            true => Event::ConnectionSilent { peer, silent_ms: silent.as_millis() as u64 },
+        let silence = self.agent.since_heartbeat();
+        self.recorder.record(match silence >= SILENT_AFTER {
+            true => Event::ConnectionSilent { peer, silent_ms: silence.as_millis() as u64 },
             false => Event::ConnectionClosed { peer },
         });
     }
 
-    fn take(&self, server: ServerKey, message: &AgentMessage) {
+    fn apply(&self, server: ServerKey, message: &AgentMessage) {
         if let AgentMessage::Heartbeat { window, leaving, backend_up, .. } = message {
             self.agent.on_heartbeat(*window, *leaving);
             self.router.set_accepting(server, *leaving, *backend_up);
         }
         if let Some(hint) = message.load_hint() {
-            self.router.learn(server, hint);
+            self.router.update_load(server, hint);
         }
         if let AgentMessage::Suspicions(records) = message {
-            self.pass_on(records);
+            self.forward_suspicions(records);
         }
     }
 
-    /// Entries carry suspicions from agent to agent. Only news is passed on, so it ends.
-    fn pass_on(&self, records: &[SuspectRecord]) {
-        let news = self.router.suspect(records);
-        if news.is_empty() {
+    /// Forwards suspicions from one agent to the others. Only changes are forwarded, so that they
+    /// don't circulate forever.
+    fn forward_suspicions(&self, records: &[SuspectRecord]) {
+        let changes = self.router.merge_suspicions(records);
+        if changes.is_empty() {
             return;
         }
         for agent in self.router.agents() {
-            agent.send(EntryMessage::Suspicions(news.clone()));
+            agent.send(EntryMessage::Suspicions(changes.clone()));
         }
     }
 }
 
-/// Offers an agent to requests, or takes it out, as its duty says.
-pub(crate) fn place(router: &Router, agent: &Arc<Agent>) {
+/// Adds an agent to the router or removes it, as its link's purpose requires.
+pub(crate) fn update_routing(router: &Router, agent: &Arc<Agent>) {
     let Some(connected) = agent.connected() else { return };
     let server = ServerKey::from_name(&connected.hello.name);
-    let is_placed = router.agent(server).is_some_and(|known| Arc::ptr_eq(&known, agent));
-    match (agent.duty(), is_placed) {
-        (Duty::Called, true) => router.remove(server, agent),
-        (Duty::Cell | Duty::Guest, false) => {
+    let is_routed = router.agent(server).is_some_and(|current| Arc::ptr_eq(&current, agent));
+    match (agent.purpose(), is_routed) {
+        (LinkPurpose::Direct, true) => router.remove(server, agent),
+        (LinkPurpose::Cell | LinkPurpose::OnDemand, false) => {
             router.add(server, &connected.profile.serves, Arc::clone(agent));
             router.set_accepting(server, agent.is_leaving(), true);
         }
