--- a/crates/agent/src/archive.rs
+++ b/crates/agent/src/archive.rs
@@ -36,12 +36,12 @@
     /// The agent process.
     pub incarnation: Incarnation,
     /// How long its tickets are remembered.
-    pub record_time: Duration,
+    pub ticket_retention: Duration,
 }
 
 /// How many answers were there and how many are archived for certain.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Archived {
+pub struct ArchiveSummary {
     /// Finished tickets with a whole answer.
     pub finished: usize,
     /// Those whose write was confirmed.
@@ -52,13 +52,13 @@
 
 impl Archive {
     /// Writes what is finished. Ends within a few seconds whatever the service does.
-    pub async fn store<K>(&self, agent: &AgentHandle, kv: &K) -> Archived
+    pub async fn store<K>(&self, agent: &AgentHandle, kv: &K) -> ArchiveSummary
     where
         K: KeyValue + ?Sized,
     {
         let tickets = agent.tickets().await;
         let finished = tickets.finished.len();
-        let mut archived = Archived { finished, ..Archived::default() };
+        let mut archived = ArchiveSummary { finished, ..ArchiveSummary::default() };
         if finished == 0 && !tickets.is_final {
             return archived;
         }
@@ -74,17 +74,20 @@
         &self,
         tickets: TicketList,
         kv: &K,
-        archived: &mut Archived,
+        archived: &mut ArchiveSummary,
     ) -> Result<(), KeyValueError>
     where
         K: KeyValue + ?Sized,
     {
         // All keys have one lease: a seal that outlives a bucket would say of work that ran that it
         // never did.
-        let lease = Some(kv.grant_lease(self.record_time).await?);
+        let lease = Some(kv.grant_lease(self.ticket_retention).await?);
         let mut batch = Batch::default();
-        let mut seal =
-            Seal { oldest: tickets.oldest, unanswered: tickets.unanswered, ..Seal::default() };
+        let mut seal = Seal {
+            oldest: tickets.oldest_window,
+            unanswered: tickets.unanswered,
+            ..Seal::default()
+        };
         for (number, answers) in buckets(tickets.finished, &mut seal.unanswered) {
             seal.buckets.push(number);
             let value = archive::encode(&answers);
@@ -163,11 +166,11 @@
 
 /// What is archived of a ticket, and its bytes at the most.
 fn archived(number: Uuid, execution: &Execution) -> Option<(usize, ArchivedAnswer)> {
-    let whole = execution.whole_answer(MAX_BODY_BYTES)?;
+    let whole = execution.complete_answer(MAX_BODY_BYTES)?;
     let bytes = whole.body.len() + whole.content_type.len() + RECORD_OVERHEAD_BYTES;
     let answer = ArchivedAnswer {
         number,
-        fingerprint: execution.work().fingerprint,
+        fingerprint: execution.spec().fingerprint,
         status: whole.status,
         content_type: whole.content_type,
         body: whole.body,
--- a/crates/agent/src/cache.rs
+++ b/crates/agent/src/cache.rs
@@ -2,7 +2,7 @@
 //!
 //! The engine's events are read every now and then and passed on in batches under numbers of the
 //! agent's own, which leave one out where the engine lost events. What was known before a loss may
-//! have been evicted unseen: entries trust it less with time, and after [`DOUBT_LIMIT`] all but
+//! have been evicted unseen: entries trust it less with time, and after [`UNCERTAIN_BLOCK_TTL`] all but
 //! what was stored since is forgotten here and there.
 
 use flamingowheel_backing::backend;
@@ -15,10 +15,10 @@
 pub const MAX_BLOCKS: usize = 4_096;
 
 /// Events of the engine taken in at once; the rest is read again by the next poll.
-pub const MAX_BATCH: usize = 1_024;
+pub const MAX_EVENTS_PER_POLL: usize = 1_024;
 
 /// How long blocks stored before a loss of events are still passed for probable.
-pub const DOUBT_LIMIT: Duration = Duration::from_secs(60);
+pub const UNCERTAIN_BLOCK_TTL: Duration = Duration::from_secs(60);
 
 /// The engine's cache as its events tell it.
 #[derive(Debug, Default)]
@@ -43,7 +43,7 @@
 
 /// Which events to ask the engine for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Poll {
+pub struct CachePoll {
     /// The engine process as counted here; an answer to an older one says nothing.
     life: u64,
     /// Events after this number are asked for.
@@ -52,14 +52,14 @@
 
 impl CacheView {
     /// What to ask next.
-    pub fn poll(&self) -> Poll {
-        Poll { life: self.life, after: self.last_read.unwrap_or(0) }
+    pub fn next_poll(&self) -> CachePoll {
+        CachePoll { life: self.life, after: self.last_read.unwrap_or(0) }
     }
 
     /// Takes in the answer to a poll; gives what entries should be told.
-    pub fn on_events(
+    pub fn apply_events(
         &mut self,
-        poll: Poll,
+        poll: CachePoll,
         mut events: Vec<backend::CacheEvent>,
     ) -> Vec<CacheEvent> {
         if poll.life != self.life {
@@ -69,9 +69,9 @@
         let mut told = Vec::new();
         if events.first().is_some_and(|event| event.number <= poll.after) {
             // Numbers fell: an engine that counts anew answered, whatever was asked for.
-            told.push(self.start_over());
+            told.push(self.reset());
         }
-        events.truncate(MAX_BATCH);
+        events.truncate(MAX_EVENTS_PER_POLL);
         for event in events {
             self.take(&event, &mut told);
         }
@@ -79,15 +79,15 @@
     }
 
     /// The engine is another process: its cache is empty and it counts anew.
-    pub fn start_over(&mut self) -> CacheEvent {
+    pub fn reset(&mut self) -> CacheEvent {
         let (life, last_told) = (self.life + 1, self.last_told + 1);
         *self = Self { life, last_told, ..Self::default() };
         self.snapshot()
     }
 
     /// Forgets what has been in doubt for too long; gives what entries should be told.
-    pub fn expire(&mut self) -> Option<CacheEvent> {
-        if self.loss?.at.elapsed() < DOUBT_LIMIT {
+    pub fn expire_uncertain(&mut self) -> Option<CacheEvent> {
+        if self.loss?.at.elapsed() < UNCERTAIN_BLOCK_TTL {
             return None;
         }
         self.last_told += 1;
--- a/crates/agent/src/config.rs
+++ b/crates/agent/src/config.rs
@@ -42,7 +42,7 @@
     /// Bytes of one answer kept for replay.
     pub max_replay_bytes: usize,
     /// How long idempotent work goes on without anybody attached.
-    pub orphan_limit: Duration,
+    pub orphan_timeout: Duration,
 }
 
 impl AgentConfig {
@@ -73,12 +73,12 @@
             max_record_bytes: 64 << 20,
             max_attempt_bytes: 192 << 20,
             max_replay_bytes: 256 * 1024,
-            orphan_limit: Duration::from_secs(10),
+            orphan_timeout: Duration::from_secs(10),
         }
     }
 
     /// How long a ticket's record is kept.
-    pub fn record_time(&self) -> Duration {
+    pub fn ticket_retention(&self) -> Duration {
         self.window * self.ticket_windows
     }
 }
--- a/crates/agent/src/control.rs
+++ b/crates/agent/src/control.rs
@@ -147,7 +147,7 @@
     }
 
     /// Says who carries out orders; without it they are not answered.
-    pub fn with_orders(mut self, orders: Arc<dyn OrderHandler>) -> Self {
+    pub fn with_order_handler(mut self, orders: Arc<dyn OrderHandler>) -> Self {
         self.orders = Some(orders);
         self
     }
@@ -298,7 +298,7 @@
         attempt: AttemptId,
         refusal: Refusal,
     ) {
-        self.records.bury_attempt(attempt);
+        self.records.add_attempt_tombstone(attempt);
         let event = Event::TombstoneWritten { attempt: attempt.number };
         self.recorder.record_about(&Subject::request(attempt.request.0), event);
         self.refuse_unrecorded(sender, attempt, refusal);
@@ -343,7 +343,7 @@
         let idle = self.running.is_empty() && self.pending.is_empty();
         let drained = self.leaving
             && idle
-            && !self.records.executions().any(|(_, execution)| execution.is_being_read());
+            && !self.records.executions().any(|(_, execution)| execution.has_listeners());
         let status = AgentStatus {
             leaving: self.leaving,
             closed: self.closed,
--- a/crates/agent/src/control/handle.rs
+++ b/crates/agent/src/control/handle.rs
@@ -1,6 +1,6 @@
 //! How others speak to the control task, and what they see of it.
 
-use crate::cache::Poll;
+use crate::cache::CachePoll;
 use crate::execution::Execution;
 use crate::runner::RunEnd;
 use flamingowheel_backing::backend::{BackendError, CacheEvent, LoadReport};
@@ -42,7 +42,7 @@
     /// The backend server answered a health check, or did not.
     Health(Result<LoadReport, BackendError>),
     /// The engine answered a poll for cache events, or did not.
-    CacheEvents(Poll, Result<Vec<CacheEvent>, BackendError>),
+    CacheEvents(CachePoll, Result<Vec<CacheEvent>, BackendError>),
     /// Take no new work from now on.
     Leave,
     /// Take new work, or none until told otherwise.
@@ -59,7 +59,7 @@
     /// Those that began, or may have, and have none.
     pub unanswered: Vec<Uuid>,
     /// The oldest window whose tickets are all listed.
-    pub oldest: Window,
+    pub oldest_window: Window,
     /// This process takes tickets, and from now on none that is not listed will begin.
     pub is_final: bool,
 }
--- a/crates/agent/src/control/health.rs
+++ b/crates/agent/src/control/health.rs
@@ -1,7 +1,7 @@
 //! The backend server as seen from here: crashes, suspects, its prefix cache.
 
 use super::{Command, Control, fingerprint_name};
-use crate::cache::Poll;
+use crate::cache::CachePoll;
 use crate::records::Record;
 use flamingowheel_backing::backend::{BackendError, CacheEvent, LoadReport};
 use flamingowheel_observe::event::Event;
@@ -68,7 +68,7 @@
     pub(super) fn note_process(&mut self, process: Option<u64>) {
         let is_other = process.is_some() && process != self.backend_process;
         if is_other && self.backend_process.is_some() && self.has_prefix_cache() {
-            let snapshot = self.cache.start_over();
+            let snapshot = self.cache.reset();
             self.tell_cache(vec![snapshot]);
         }
     }
@@ -85,9 +85,9 @@
     pub(super) fn stop_orphans(&self) {
         for key in self.running.keys() {
             let Some(Record::Execution(execution)) = self.records.get(*key) else { continue };
-            let unattended = execution.unattended_since().map(|since| since.elapsed());
-            let orphaned = unattended.is_some_and(|time| time >= self.config.orphan_limit);
-            if orphaned && execution.work().idempotent {
+            let unattended = execution.no_listeners_since().map(|since| since.elapsed());
+            let orphaned = unattended.is_some_and(|time| time >= self.config.orphan_timeout);
+            if orphaned && execution.spec().idempotent {
                 execution.stop_token().cancel();
             }
         }
@@ -102,7 +102,7 @@
             return;
         }
         let (backend, commands) = (Arc::clone(&self.backend), self.commands.clone());
-        let poll = self.cache.poll();
+        let poll = self.cache.next_poll();
         self.traffic.spawn(async move {
             let events = backend.cache_events(poll.after).await;
             let _ = commands.send(Command::CacheEvents(poll, events)).await;
@@ -112,12 +112,12 @@
     /// After a failed poll the next one asks for the same events again.
     pub(super) fn on_cache_events(
         &mut self,
-        poll: Poll,
+        poll: CachePoll,
         events: Result<Vec<CacheEvent>, BackendError>,
     ) {
         self.polling_cache = false;
-        let mut told = self.cache.on_events(poll, events.unwrap_or_default());
-        told.extend(self.cache.expire());
+        let mut told = self.cache.apply_events(poll, events.unwrap_or_default());
+        told.extend(self.cache.expire_uncertain());
         if !told.is_empty() {
             self.tell_cache(told);
         }
--- a/crates/agent/src/control/questions.rs
+++ b/crates/agent/src/control/questions.rs
@@ -19,7 +19,7 @@
         if question.incarnation != self.config.incarnation {
             return self.fail(sender, attempt, Failure::RecordGone);
         }
-        if self.records.is_buried(attempt) {
+        if self.records.has_tombstone(attempt) {
             return self.refuse_unrecorded(sender, attempt, Refusal::Cancelled);
         }
         match self.records.get(question.key) {
@@ -28,7 +28,7 @@
                 self.attach(&execution, attempt, sender, from_chunk);
             }
             Some(Record::Tombstone) => self.refuse(sender, attempt, Refusal::Cancelled),
-            None if self.is_forgotten(&question) => {
+            None if self.is_outside_retention(&question) => {
                 self.fail(sender, attempt, Failure::RecordGone);
             }
             None => self.refuse(sender, attempt, Refusal::NeverArrived),
@@ -51,7 +51,7 @@
                 self.cancel_execution(sender, question, &execution, void_ticket);
             }
             Some(Record::Tombstone) => self.refuse(sender, attempt, Refusal::Cancelled),
-            None if self.is_forgotten(&question) => {
+            None if self.is_outside_retention(&question) => {
                 self.fail(sender, attempt, Failure::RecordGone);
             }
             None => self.refuse_all(sender, question, void_ticket),
@@ -66,7 +66,7 @@
         question: Question,
         void_ticket: bool,
     ) {
-        if void_ticket && self.records.bury(question.key).is_err() {
+        if void_ticket && self.records.add_tombstone(question.key).is_err() {
             return self.fail(sender, question.attempt, Failure::Cancelled);
         }
         self.refuse(sender, question.attempt, Refusal::Cancelled);
@@ -90,14 +90,14 @@
             self.give_up(key, Refusal::Cancelled);
             return self.refuse_all(sender, question, void_ticket);
         }
-        if execution.work().idempotent && !others {
+        if execution.spec().idempotent && !others {
             execution.stop_token().cancel();
         }
         self.fail(sender, attempt, Failure::Cancelled);
     }
 
-    pub(super) fn is_forgotten(&self, question: &Question) -> bool {
-        self.records.is_forgotten(ExecutionKey::Attempt(question.attempt), question.window)
-            || self.records.is_forgotten(question.key, question.window)
+    pub(super) fn is_outside_retention(&self, question: &Question) -> bool {
+        self.records.is_outside_retention(ExecutionKey::Attempt(question.attempt), question.window)
+            || self.records.is_outside_retention(question.key, question.window)
     }
 }
--- a/crates/agent/src/control/record.rs
+++ b/crates/agent/src/control/record.rs
@@ -14,7 +14,7 @@
     /// a ticket of its windows that is not in it never began.
     pub(super) fn tickets(&self) -> TicketList {
         let mut list = TicketList {
-            oldest: self.records.oldest_ticket_window(),
+            oldest_window: self.records.oldest_ticket_window(),
             is_final: self.leaving
                 && self.pending.is_empty()
                 && self.running.is_empty()
@@ -24,7 +24,7 @@
         for (key, execution) in self.records.executions() {
             let ExecutionKey::Ticket { number, .. } = key else { continue };
             match execution.ending() {
-                Some(Ending::Whole) => list.finished.push((*number, Arc::clone(execution))),
+                Some(Ending::Complete) => list.finished.push((*number, Arc::clone(execution))),
                 _ => list.unanswered.push(*number),
             }
         }
@@ -48,7 +48,7 @@
     pub(super) fn record_end(&self, key: ExecutionKey, running: &Running, end: RunEnd) {
         let Some(Record::Execution(execution)) = self.records.get(key) else { return };
         // A run without a whole answer is told by the attempt's end at the entry.
-        if end != RunEnd::Whole {
+        if end != RunEnd::Complete {
             return;
         }
         let event = Event::Finished {
--- a/crates/agent/src/control/work.rs
+++ b/crates/agent/src/control/work.rs
@@ -1,7 +1,7 @@
 //! Admission, start and end of work.
 
 use super::{Control, Pending, Running, fingerprint_name, subject, ticket_name};
-use crate::execution::{Ending, Execution, Work};
+use crate::execution::{Ending, Execution, ExecutionSpec};
 use crate::records::Record;
 use crate::runner::{self, RunEnd};
 use flamingowheel_observe::event::Event;
@@ -26,7 +26,7 @@
             // No record is needed: this process never runs what names another.
             return self.refuse_unrecorded(sender, attempt, Refusal::WrongIncarnation);
         }
-        if self.records.is_buried(attempt) {
+        if self.records.has_tombstone(attempt) {
             return self.refuse_unrecorded(sender, attempt, Refusal::Cancelled);
         }
         match self.records.get(key) {
@@ -37,8 +37,8 @@
             }
             None => {}
         }
-        if self.records.is_forgotten(ExecutionKey::Attempt(attempt), dispatch.window)
-            || self.records.is_forgotten(key, dispatch.window)
+        if self.records.is_outside_retention(ExecutionKey::Attempt(attempt), dispatch.window)
+            || self.records.is_outside_retention(key, dispatch.window)
         {
             return self.refuse_unrecorded(sender, attempt, Refusal::Expired);
         }
@@ -58,7 +58,7 @@
         if execution.has_listener(dispatch.attempt) {
             return;
         }
-        if execution.work().fingerprint != dispatch.fingerprint {
+        if execution.spec().fingerprint != dispatch.fingerprint {
             return self.refuse(sender, dispatch.attempt, Refusal::TicketMismatch);
         }
         if matches!(dispatch.key, ExecutionKey::Attempt(_)) {
@@ -138,14 +138,14 @@
     }
 
     pub(super) fn execution(&self, dispatch: &Dispatch) -> Execution {
-        let work = Work {
+        let spec = ExecutionSpec {
             fingerprint: dispatch.fingerprint,
             idempotent: dispatch.idempotent,
             max_replay_bytes: self.config.max_replay_bytes,
             can_resume: self.config.profile.can_resume,
             first_chunk: dispatch.resume_after_chunks,
         };
-        Execution::new(work, self.records.stored(dispatch.key).clone())
+        Execution::new(spec, self.records.stored_bytes(dispatch.key).clone())
     }
 
     /// A request that may kill the backend server runs with nothing beside it, so that it can't
@@ -181,7 +181,7 @@
         }
         let Some(running) = self.running.remove(&key) else { return };
         self.record_end(key, &running, end);
-        if end == RunEnd::Whole {
+        if end == RunEnd::Complete {
             self.clear(running.fingerprint);
         }
         let mut next = self.admission.finish(running.since.elapsed());
@@ -214,7 +214,7 @@
         for attempt in Arc::clone(execution).attempts() {
             // An attempt of idempotent work has its execution as record already.
             if ExecutionKey::Attempt(attempt) != key {
-                self.records.bury_attempt(attempt);
+                self.records.add_attempt_tombstone(attempt);
             }
         }
     }
--- a/crates/agent/src/execution.rs
+++ b/crates/agent/src/execution.rs
@@ -32,7 +32,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
     /// The whole answer is there.
-    Whole,
+    Complete,
     /// It may have run; there is no whole answer.
     Failed(Failure),
     /// It did not run and won't.
@@ -41,7 +41,7 @@
 
 /// What an execution is, fixed from its start.
 #[derive(Clone, Debug)]
-pub struct Work {
+pub struct ExecutionSpec {
     /// Hash of workspace, route and body.
     pub fingerprint: Fingerprint,
     /// Whether running it twice is harmless.
@@ -57,7 +57,7 @@
 
 /// A whole answer, gathered.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct WholeAnswer {
+pub struct CompleteAnswer {
     /// The HTTP status.
     pub status: u16,
     /// Media type of the body.
@@ -82,7 +82,7 @@
     ending: Option<Ending>,
     listeners: Vec<Listener>,
     generations: u64,
-    unattended_since: Option<Instant>,
+    no_listeners_since: Option<Instant>,
     stored: StoredBytes,
 }
 
@@ -123,7 +123,7 @@
 /// One execution, shared between the control task, the reading task and the sending tasks.
 #[derive(Debug)]
 pub struct Execution {
-    work: Work,
+    spec: ExecutionSpec,
     answer: Mutex<Answer>,
     changed: Notify,
     room: Notify,
@@ -132,13 +132,13 @@
 
 impl Execution {
     /// An execution that has not begun, whose answer counts as stored for as long as it is kept.
-    pub fn new(work: Work, stored: StoredBytes) -> Self {
+    pub fn new(spec: ExecutionSpec, stored: StoredBytes) -> Self {
         let mut answer = Answer::default();
-        answer.unattended_since = Some(Instant::now());
-        answer.first = work.first_chunk;
+        answer.no_listeners_since = Some(Instant::now());
+        answer.first = spec.first_chunk;
         answer.stored = stored;
         Self {
-            work,
+            spec,
             answer: Mutex::new(answer),
             changed: Notify::new(),
             room: Notify::new(),
@@ -147,8 +147,8 @@
     }
 
     /// What it is.
-    pub fn work(&self) -> &Work {
-        &self.work
+    pub fn spec(&self) -> &ExecutionSpec {
+        &self.spec
     }
 
     /// Fires when the execution should be stopped.
@@ -172,12 +172,12 @@
     }
 
     /// Since when nobody listens, if nobody does.
-    pub fn unattended_since(&self) -> Option<Instant> {
-        self.lock().unattended_since
+    pub fn no_listeners_since(&self) -> Option<Instant> {
+        self.lock().no_listeners_since
     }
 
     /// Whether somebody is still being sent the answer.
-    pub fn is_being_read(&self) -> bool {
+    pub fn has_listeners(&self) -> bool {
         !self.lock().listeners.is_empty()
     }
 
@@ -210,7 +210,7 @@
         let generation = answer.generations;
         answer.listeners.retain(|listener| listener.attempt != attempt);
         answer.listeners.push(Listener { attempt, generation, next_unacknowledged: from_chunk });
-        answer.unattended_since = None;
+        answer.no_listeners_since = None;
         generation
     }
 
@@ -219,8 +219,8 @@
         let mut answer = self.lock();
         answer.listeners.retain(|listener| listener.attempt != attempt);
         let others = !answer.listeners.is_empty();
-        if !others && answer.unattended_since.is_none() {
-            answer.unattended_since = Some(Instant::now());
+        if !others && answer.no_listeners_since.is_none() {
+            answer.no_listeners_since = Some(Instant::now());
         }
         drop(answer);
         self.changed.notify_waiters();
@@ -266,7 +266,7 @@
     }
 
     /// Notes status and media type.
-    pub fn begin(&self, status: u16, content_type: String) {
+    pub fn set_head(&self, status: u16, content_type: String) {
         self.lock().head = Some((status, content_type));
         self.changed.notify_waiters();
     }
@@ -289,8 +289,8 @@
 
     fn try_push(&self, data: &mut Option<Bytes>) -> Result<bool, Failure> {
         let mut answer = self.lock();
-        while answer.kept_bytes >= self.work.max_replay_bytes && !answer.chunks.is_empty() {
-            if !self.work.idempotent {
+        while answer.kept_bytes >= self.spec.max_replay_bytes && !answer.chunks.is_empty() {
+            if !self.spec.idempotent {
                 return Err(Failure::ReplayGone);
             }
             if answer.needed_from().is_none_or(|needed| needed <= answer.first) {
@@ -320,7 +320,7 @@
     pub fn may_resume(&self) -> bool {
         let answer = self.lock();
         let events = answer.head.as_ref().is_some_and(|(_, kind)| kind.starts_with(EVENT_STREAM));
-        events && self.work.can_resume && self.work.idempotent && answer.ending.is_none()
+        events && self.spec.can_resume && self.spec.idempotent && answer.ending.is_none()
     }
 
     /// How it ended.
@@ -329,16 +329,16 @@
     }
 
     /// The answer, if all of it is here and its body is not larger than `max_bytes`.
-    pub fn whole_answer(&self, max_bytes: usize) -> Option<WholeAnswer> {
+    pub fn complete_answer(&self, max_bytes: usize) -> Option<CompleteAnswer> {
         let answer = self.lock();
-        let is_whole = answer.ending == Some(Ending::Whole) && answer.first == 0;
+        let is_whole = answer.ending == Some(Ending::Complete) && answer.first == 0;
         if !is_whole || answer.kept_bytes > max_bytes {
             return None;
         }
         let (status, content_type) = answer.head.clone()?;
         let mut body = BytesMut::with_capacity(answer.kept_bytes);
         answer.chunks.iter().for_each(|chunk| body.extend_from_slice(chunk));
-        Some(WholeAnswer { status, content_type, body: body.freeze() })
+        Some(CompleteAnswer { status, content_type, body: body.freeze() })
     }
 
     fn lock(&self) -> MutexGuard<'_, Answer> {
@@ -436,11 +436,13 @@
             self.next += 1;
         }
         let Some(ending) = answer.ending else { return Turn::Wait };
-        if matches!(ending, Ending::Whole) && self.next < answer.next() {
+        if matches!(ending, Ending::Complete) && self.next < answer.next() {
             return Turn::Wait;
         }
         messages.push(match ending {
-            Ending::Whole => AgentMessage::End { attempt, chunk_count: answer.next(), occupancy },
+            Ending::Complete => {
+                AgentMessage::End { attempt, chunk_count: answer.next(), occupancy }
+            }
             Ending::Failed(failure) => AgentMessage::Failed { attempt, failure, occupancy },
             Ending::NotRun(refusal) => {
                 AgentMessage::Refused { attempt, refusal, load: self.load.get() }
--- a/crates/agent/src/records.rs
+++ b/crates/agent/src/records.rs
@@ -117,13 +117,13 @@
     }
 
     /// Whether this very attempt was told that it does not run.
-    pub fn is_buried(&self, attempt: AttemptId) -> bool {
+    pub fn has_tombstone(&self, attempt: AttemptId) -> bool {
         matches!(self.get(ExecutionKey::Attempt(attempt)), Some(Record::Tombstone))
     }
 
     /// Whether `window` is older than the records for `key` reach, so that its absence proves
     /// nothing.
-    pub fn is_forgotten(&self, key: ExecutionKey, window: Window) -> bool {
+    pub fn is_outside_retention(&self, key: ExecutionKey, window: Window) -> bool {
         let window = match key {
             ExecutionKey::Attempt(_) => window,
             ExecutionKey::Ticket { window, .. } => window,
@@ -154,7 +154,7 @@
     }
 
     /// Makes sure that an attempt can't run from now on.
-    pub fn bury_attempt(&mut self, attempt: AttemptId) {
+    pub fn add_attempt_tombstone(&mut self, attempt: AttemptId) {
         self.make_room();
         let key = ExecutionKey::Attempt(attempt);
         let window = self.window();
@@ -162,9 +162,9 @@
     }
 
     /// Makes sure that a key can't run from now on.
-    pub fn bury(&mut self, key: ExecutionKey) -> Result<(), RecordsFull> {
+    pub fn add_tombstone(&mut self, key: ExecutionKey) -> Result<(), RecordsFull> {
         if let ExecutionKey::Attempt(attempt) = key {
-            self.bury_attempt(attempt);
+            self.add_attempt_tombstone(attempt);
             return Ok(());
         }
         let known = self.tickets.records.contains_key(&key);
@@ -189,7 +189,7 @@
     }
 
     /// Where the answer filed under `key` is counted.
-    pub fn stored(&self, key: ExecutionKey) -> &StoredBytes {
+    pub fn stored_bytes(&self, key: ExecutionKey) -> &StoredBytes {
         match key {
             ExecutionKey::Attempt(_) => &self.stored_of_attempts,
             ExecutionKey::Ticket { .. } => &self.stored,
--- a/crates/agent/src/runner.rs
+++ b/crates/agent/src/runner.rs
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunEnd {
     /// The whole answer is in the buffer.
-    Whole,
+    Complete,
     /// It may have run; there is no whole answer.
     Failed(Failure),
     /// The backend server refused the connection, so it did not start. The control task ends the
@@ -48,7 +48,7 @@
         }
     };
     match end {
-        RunEnd::Whole => execution.finish(Ending::Whole),
+        RunEnd::Complete => execution.finish(Ending::Complete),
         RunEnd::Failed(failure) => execution.finish(Ending::Failed(failure)),
         RunEnd::NotStarted => {}
     }
@@ -102,7 +102,7 @@
 }
 
 async fn pour(mut answer: BackendAnswer, execution: &Execution) -> RunEnd {
-    execution.begin(answer.status, answer.content_type);
+    execution.set_head(answer.status, answer.content_type);
     loop {
         match answer.body.recv().await {
             Some(Ok(BodyPiece::Data(data))) => {
@@ -110,7 +110,7 @@
                     return RunEnd::Failed(failure);
                 }
             }
-            Some(Ok(BodyPiece::End)) => return RunEnd::Whole,
+            Some(Ok(BodyPiece::End)) => return RunEnd::Complete,
             Some(Err(error)) => return RunEnd::Failed(failure(&error)),
             None => return RunEnd::Failed(Failure::BackendLost),
         }
--- a/crates/agent/src/serve.rs
+++ b/crates/agent/src/serve.rs
@@ -33,11 +33,11 @@
     agent: AgentHandle,
     stop: CancellationToken,
 ) {
-    accept_links(listener, identity, stop, move |link| attend(link, agent.clone())).await;
+    accept_links(listener, identity, stop, move |link| handle_link(link, agent.clone())).await;
 }
 
 /// Hands the messages of one connection to the control task until it ends.
-pub async fn attend(mut link: Link<AgentMessage, EntryMessage>, agent: AgentHandle) {
+pub async fn handle_link(mut link: Link<AgentMessage, EntryMessage>, agent: AgentHandle) {
     let number = LINKS.fetch_add(1, Ordering::Relaxed);
     let commands = agent.commands();
     let linked = Command::Linked { link: number, sender: link.sender.clone() };
--- a/crates/agent/tests/cache.rs
+++ b/crates/agent/tests/cache.rs
@@ -1,7 +1,7 @@
 //! What an agent makes of its engine's cache events, with a paused clock.
 
 use bytes::Bytes;
-use flamingowheel_agent::cache::{CacheView, DOUBT_LIMIT, MAX_BATCH, MAX_BLOCKS};
+use flamingowheel_agent::cache::{CacheView, MAX_BLOCKS, MAX_EVENTS_PER_POLL, UNCERTAIN_BLOCK_TTL};
 use flamingowheel_agent::config::AgentConfig;
 use flamingowheel_agent::control::{Command, Control};
 use flamingowheel_backing::backend::{self, BackendCall, BackendServer, Priority};
@@ -25,7 +25,7 @@
 }
 
 fn read(view: &mut CacheView, events: Vec<backend::CacheEvent>) -> Vec<CacheEvent> {
-    view.on_events(view.poll(), events)
+    view.apply_events(view.next_poll(), events)
 }
 
 #[tokio::test(start_paused = true)]
@@ -51,14 +51,14 @@
     let told = read(&mut view, stored(5..=6));
     assert_eq!(told, [CacheEvent { number: 3, change: CacheChange::Stored(blocks(5..=6)) }]);
     assert_eq!(view.snapshot().change, CacheChange::Snapshot(blocks(5..=6)));
-    advance(DOUBT_LIMIT - Duration::from_secs(1)).await;
+    advance(UNCERTAIN_BLOCK_TTL - Duration::from_secs(1)).await;
     // A later loss doesn't make the doubt about the first begin anew.
     read(&mut view, stored(8..=8));
-    assert_eq!(view.expire(), None);
+    assert_eq!(view.expire_uncertain(), None);
     advance(Duration::from_secs(1)).await;
     let change = CacheChange::Snapshot(blocks(8..=8));
-    assert_eq!(view.expire(), Some(CacheEvent { number: 6, change }));
-    assert_eq!(view.expire(), None);
+    assert_eq!(view.expire_uncertain(), Some(CacheEvent { number: 6, change }));
+    assert_eq!(view.expire_uncertain(), None);
 }
 
 // An engine comes back with an empty cache and counts anew. An answer of the old one that is still
@@ -67,11 +67,11 @@
 async fn start_over_late_answer_ignored() {
     let mut view = CacheView::default();
     read(&mut view, stored(1..=3));
-    let late = view.poll();
+    let late = view.next_poll();
     let change = CacheChange::Snapshot(Vec::new());
-    assert_eq!(view.start_over(), CacheEvent { number: 2, change });
-    assert!(view.on_events(late, stored(4..=9)).is_empty());
-    assert_eq!(view.poll().after, 0);
+    assert_eq!(view.reset(), CacheEvent { number: 2, change });
+    assert!(view.apply_events(late, stored(4..=9)).is_empty());
+    assert_eq!(view.next_poll().after, 0);
 }
 
 #[tokio::test(start_paused = true)]
@@ -88,10 +88,10 @@
 async fn on_events_many_memory_and_batch_bounded() {
     let mut view = CacheView::default();
     let count = 3 * MAX_BLOCKS as u64;
-    while view.poll().after < count {
-        let before = view.poll().after;
+    while view.next_poll().after < count {
+        let before = view.next_poll().after;
         read(&mut view, stored(before + 1..=count));
-        assert_eq!(view.poll().after, count.min(before + MAX_BATCH as u64));
+        assert_eq!(view.next_poll().after, count.min(before + MAX_EVENTS_PER_POLL as u64));
     }
     let newest = count - MAX_BLOCKS as u64 + 1..=count;
     assert_eq!(view.snapshot().change, CacheChange::Snapshot(blocks(newest)));
--- a/crates/flamingowheeld/src/agent.rs
+++ b/crates/flamingowheeld/src/agent.rs
@@ -61,8 +61,10 @@
         let Sockets { inner, operators, .. } = sockets;
         let operators_address = operators.local_addr()?;
         let config = config(settings, own, operators_address);
-        let archive =
-            Archive { incarnation: config.incarnation, record_time: config.record_time() };
+        let archive = Archive {
+            incarnation: config.incarnation,
+            ticket_retention: config.ticket_retention(),
+        };
         let backend = Arc::new(backend(own));
         recorder.record(Event::ProcessStarted {
             version: env!("CARGO_PKG_VERSION").into(),
@@ -76,7 +78,7 @@
         let (control, handle, commands) = Control::new(config, backend, recorder.clone());
         let orders = GateOrders::start(settings, own, incarnation, &handle, &recorder);
         let control = match orders {
-            Some(orders) => control.with_orders(orders),
+            Some(orders) => control.with_order_handler(orders),
             None => control,
         };
         spawn_control("control", move || control.run(commands))?;
--- a/crates/flamingowheeld/src/groups.rs
+++ b/crates/flamingowheeld/src/groups.rs
@@ -20,8 +20,8 @@
 use flamingowheel_group::lease::Leases;
 use flamingowheel_group::message::{RankError, RankRequest, RankState};
 use flamingowheel_group::ranks::Ranks;
-use flamingowheel_group::record::{RecordError, RecordStore, Stored};
-use flamingowheel_group::session::{Loads, Timing};
+use flamingowheel_group::record::{RecordError, RecordStore, StoredRecord};
+use flamingowheel_group::session::{LoadLimiter, Timing};
 use flamingowheel_group::status::{Activity, GroupStatus};
 use flamingowheel_observe::event::{Event, Subject};
 use flamingowheel_observe::reason::SwitchStep;
@@ -61,7 +61,7 @@
     node: Node,
     duties: BTreeMap<String, CancellationToken>,
     statuses: Statuses,
-    loads: Option<Loads>,
+    loads: Option<LoadLimiter>,
 }
 
 /// One group as its agents describe it.
@@ -81,7 +81,7 @@
     }
 
     /// Keeps loads of weights within this process's share of the weight store's rate.
-    pub fn with_loads(self, loads: Option<Loads>) -> Self {
+    pub fn with_loads(self, loads: Option<LoadLimiter>) -> Self {
         Self { loads, ..self }
     }
 
@@ -157,7 +157,7 @@
             &group.model,
             models::wanted(self.node.effective(), &group.model),
         )
-        .with_loads(self.loads.clone());
+        .with_load_limiter(self.loads.clone());
         let stop = CancellationToken::new();
         let status = coordinator.status();
         let mut statuses = self.statuses.lock().unwrap_or_else(PoisonError::into_inner);
@@ -322,7 +322,7 @@
     ranks: LinkRanks,
     desired: watch::Sender<Option<ExpertMap>>,
     status: watch::Receiver<GroupStatus>,
-    record: watch::Receiver<Option<Stored>>,
+    record: watch::Receiver<Option<StoredRecord>>,
     effective: watch::Receiver<Arc<Effective>>,
 }
 
@@ -349,7 +349,7 @@
     }
 
     /// The record, if this process coordinates the group and no switch is under way.
-    fn settled(&self) -> Option<Stored> {
+    fn settled(&self) -> Option<StoredRecord> {
         let running = self.status.borrow().activity == Activity::Running;
         self.record.borrow().clone().filter(|_| running)
     }
--- a/crates/flamingowheeld/src/models.rs
+++ b/crates/flamingowheeld/src/models.rs
@@ -5,8 +5,8 @@
 use flamingowheel_config::served::served;
 use flamingowheel_config::settings::WeightStoreSettings;
 use flamingowheel_group::budget::{Budget, StoreLimits};
-use flamingowheel_group::serve::Wanted;
-use flamingowheel_group::session::{Loads, Sizes};
+use flamingowheel_group::serve::DesiredServing;
+use flamingowheel_group::session::{LoadLimiter, WeightSizes};
 use std::sync::Arc;
 use tokio::sync::watch;
 
@@ -15,7 +15,7 @@
 pub fn wanted(
     mut effective: watch::Receiver<Arc<Effective>>,
     model: &str,
-) -> watch::Receiver<Option<Wanted>> {
+) -> watch::Receiver<Option<DesiredServing>> {
     let model = model.to_owned();
     let (sender, receiver) = watch::channel(None);
     tokio::spawn(async move {
@@ -35,24 +35,24 @@
     receiver
 }
 
-fn wanted_of(effective: &Effective, model: &str) -> Option<Wanted> {
+fn wanted_of(effective: &Effective, model: &str) -> Option<DesiredServing> {
     let served = served(effective, model)?;
-    Some(Wanted { version: served.version, adapters: served.adapters })
+    Some(DesiredServing { version: served.version, adapters: served.adapters })
 }
 
 /// The share of the weight store that this process paces its groups' loads by. `member` is unique to
 /// the process.
-pub fn loads(kv: Arc<dyn KeyValue>, member: &str, settings: &WeightStoreSettings) -> Loads {
+pub fn loads(kv: Arc<dyn KeyValue>, member: &str, settings: &WeightStoreSettings) -> LoadLimiter {
     let limits = StoreLimits {
         rate_bytes_per_s: settings.rate_bytes_per_s as f64,
         max_members: usize::try_from(settings.max_members).unwrap_or(usize::MAX),
     };
-    let sizes = Sizes {
+    let sizes = WeightSizes {
         expert_bytes: settings.expert_bytes,
         rank_bytes: settings.rank_bytes,
         adapter_bytes: settings.adapter_bytes,
     };
-    Loads { budget: Arc::new(Budget::new(kv, member, limits)), sizes }
+    LoadLimiter { budget: Arc::new(Budget::new(kv, member, limits)), sizes }
 }
 
 #[cfg(test)]
@@ -76,9 +76,10 @@
     async fn wanted_follows_the_configuration() {
         let (sender, receiver) = watch::channel(effective(1, "{}"));
         let mut wanted = wanted(receiver, "notes");
-        wanted.wait_for(|wanted| *wanted == Some(Wanted::default())).await.unwrap();
+        wanted.wait_for(|wanted| *wanted == Some(DesiredServing::default())).await.unwrap();
         sender.send_replace(effective(2, "{version: '7', adapters: [a]}"));
-        let expected = Wanted { version: Some("7".to_owned()), adapters: ["a".to_owned()].into() };
+        let expected =
+            DesiredServing { version: Some("7".to_owned()), adapters: ["a".to_owned()].into() };
         wanted.wait_for(|wanted| *wanted == Some(expected.clone())).await.unwrap();
     }
 }
--- a/crates/flamingowheeld/src/orders.rs
+++ b/crates/flamingowheeld/src/orders.rs
@@ -9,7 +9,7 @@
 use flamingowheel_backing::orders::OrderTarget;
 use flamingowheel_config::settings::{AgentSettings, BackendServerKind, Settings};
 use flamingowheel_group::gate::{EngineKind, Gate};
-use flamingowheel_group::intake::{Intake, Work};
+use flamingowheel_group::intake::{Intake, IntakeState};
 use flamingowheel_group::message::{RankError, RankRequest, RankState};
 use flamingowheel_group::record::RecordStore;
 use flamingowheel_observe::event::{Event, Subject};
@@ -135,10 +135,10 @@
         tokio::spawn(async move { commands.send(Command::SetOpen(open)).await });
     }
 
-    fn work(&self) -> Work {
+    fn state(&self) -> IntakeState {
         let status = self.0.status();
         let in_progress = u32::try_from(status.in_progress_count).unwrap_or(u32::MAX);
-        Work { is_open: !status.closed, in_progress }
+        IntakeState { is_open: !status.closed, in_progress }
     }
 }
 
@@ -164,7 +164,7 @@
             incarnation: 1,
             engine: EngineState::default(),
             unresolved: false,
-            work: Work::default(),
+            work: IntakeState::default(),
         }
     }
 
--- a/crates/flamingowheeld/src/placement.rs
+++ b/crates/flamingowheeld/src/placement.rs
@@ -139,7 +139,7 @@
 mod tests {
     use super::*;
     use flamingowheel_backing::orders::EngineState;
-    use flamingowheel_group::intake::Work;
+    use flamingowheel_group::intake::IntakeState;
 
     const SHAPE: ExpertShape = ExpertShape { ranks: 2, layers: 1, experts: 4, slots: 2 };
 
@@ -148,7 +148,7 @@
         for (expert, count) in counts.into_iter().enumerate() {
             engine.counters.insert(expert_counter(0, expert as u16), count);
         }
-        vec![RankState { incarnation: 1, engine, unresolved: false, work: Work::default() }]
+        vec![RankState { incarnation: 1, engine, unresolved: false, work: IntakeState::default() }]
     }
 
     #[test]
--- a/crates/group/benches/lease.rs
+++ b/crates/group/benches/lease.rs
@@ -37,7 +37,7 @@
     let held: Vec<Lease> =
         join_all(leases.iter().enumerate().map(acquire)).await.into_iter().flatten().collect();
     assert_eq!(held.len(), GROUPS, "all groups are free");
-    let keep = join_all(held.iter().map(|lease| timeout(MEASURED, lease.keep())));
+    let keep = join_all(held.iter().map(|lease| timeout(MEASURED, lease.keep_alive())));
     let before = kv.calls().total();
     let lost = keep.await.iter().filter(|kept| kept.is_ok()).count();
     assert_eq!(lost, 0, "leases lost");
--- a/crates/group/src/align.rs
+++ b/crates/group/src/align.rs
@@ -1,9 +1,9 @@
 //! Bringing a group back to the map in force, whatever happened to it.
 
-use crate::intake::Work;
+use crate::intake::IntakeState;
 use crate::message::{RankError, RankState};
 use crate::ranks::Ranks;
-use crate::record::{Phase, Stored};
+use crate::record::{Phase, StoredRecord};
 use crate::serve::{self, Progress};
 use crate::session::{GroupError, RankOrder, RankResult, Session};
 use crate::switch::resume::settle;
@@ -18,7 +18,7 @@
     /// Ranks are to serve another version and have requests in progress.
     Draining {
         /// The ranks that have, and their work.
-        ranks: Vec<(usize, Work)>,
+        ranks: Vec<(usize, IntakeState)>,
         /// All ranks that don't serve it yet.
         behind: Vec<usize>,
     },
@@ -37,8 +37,8 @@
 /// was not committed is dropped. Returns the record as last known beside the outcome.
 pub async fn align<Members>(
     session: &Session<'_, Members>,
-    stored: Stored,
-) -> (Stored, Result<Alignment, GroupError>)
+    stored: StoredRecord,
+) -> (StoredRecord, Result<Alignment, GroupError>)
 where
     Members: Ranks,
 {
@@ -86,7 +86,7 @@
     }
 }
 
-fn fail(error: GroupError, stored: &Stored) -> Box<Failure> {
+fn fail(error: GroupError, stored: &StoredRecord) -> Box<Failure> {
     Box::new(Failure { error, stored: stored.clone() })
 }
 
@@ -94,8 +94,8 @@
 /// dropped: nobody else can commit it, for that needs the service too and a newer number first.
 async fn roll_back<Members>(
     session: &Session<'_, Members>,
-    stored: Stored,
-) -> Result<Stored, Box<Failure>> {
+    stored: StoredRecord,
+) -> Result<StoredRecord, Box<Failure>> {
     if !matches!(stored.record.phase, Phase::Pending { .. }) {
         return Ok(stored);
     }
@@ -104,18 +104,18 @@
 
 async fn bring<Members>(
     session: &Session<'_, Members>,
-    stored: Stored,
-) -> Result<Stored, Box<Failure>>
+    stored: StoredRecord,
+) -> Result<StoredRecord, Box<Failure>>
 where
     Members: Ranks,
 {
-    let held = Switch::take_up(session, stored).await?;
+    let held = Switch::recover(session, stored).await?;
     held.switch().await?.read_back().await?.resume().await
 }
 
 async fn stop_others<Members>(
     session: &Session<'_, Members>,
-    stored: &Stored,
+    stored: &StoredRecord,
     states: &[(usize, RankState)],
 ) -> Result<(), GroupError>
 where
@@ -127,7 +127,7 @@
         RankOrder::new(*rank, OrderTarget::Hold { after_step: state.engine.step })
     };
     let orders = astray.map(order).collect();
-    session.order_all(stored.fence(), orders, session.timing.call_limit).await
+    session.send_orders(stored.fence(), orders, session.timing.call_timeout).await
 }
 
 fn trouble(states: &[RankResult]) -> Vec<(usize, RankError)> {
--- a/crates/group/src/budget/keeper.rs
+++ b/crates/group/src/budget/keeper.rs
@@ -1,6 +1,6 @@
 //! One member's share, kept confirmed against the key-value service.
 
-use super::{Allocation, Pacer, Share, VALID_FOR};
+use super::{Allocation, Pacer, SHARE_TTL, Share};
 use bytes::Bytes;
 use flamingowheel_backing::kv::{
     Compare, KeyValue, KeyValueEntry, KeyValueError, LeaseId, Operation, Transaction,
@@ -67,10 +67,10 @@
     /// A group of 32 ranks takes all its loads at once. Were each booked at the rate of that moment,
     /// the last of them would wait for hours at the minimum although the share has grown long since,
     /// or be read too fast although it has lapsed. So the rate is looked at again all the time.
-    pub async fn take(&self, size_bytes: u64) {
+    pub async fn acquire(&self, size_bytes: u64) {
         let _first = self.next.lock().await;
         loop {
-            let wait = self.try_take(size_bytes);
+            let wait = self.try_acquire(size_bytes);
             if wait.is_zero() {
                 return;
             }
@@ -78,11 +78,11 @@
         }
     }
 
-    fn try_take(&self, size_bytes: u64) -> Duration {
+    fn try_acquire(&self, size_bytes: u64) -> Duration {
         let now = Instant::now();
         let mut state = self.state();
         let rate_bytes_per_s = state.share.rate_bytes_per_s(now);
-        state.pacer.try_take(size_bytes, rate_bytes_per_s, now)
+        state.pacer.try_acquire(size_bytes, rate_bytes_per_s, now)
     }
 
     /// The rate this member may use now.
@@ -133,7 +133,7 @@
 
     fn read(&self, found: &Allocation, revision: u64, read_at: Instant, now: Instant) -> Instant {
         let mut state = self.state();
-        state.share.read(found, revision, read_at, now);
+        state.share.apply(found, revision, read_at, now);
         let seen = state.seen.filter(|(known, _)| *known == revision);
         let seen = seen.unwrap_or((revision, now));
         state.seen = Some(seen);
@@ -149,7 +149,7 @@
                 result => return result,
             }
         }
-        let lease = self.kv.grant_lease(VALID_FOR * 2).await?;
+        let lease = self.kv.grant_lease(SHARE_TTL * 2).await?;
         let key = format!("{MEMBERS_PREFIX}{}", self.member);
         let put = Operation::Put { key, value: Bytes::new(), lease: Some(lease) };
         self.kv.transact(Transaction { on_success: vec![put], ..Transaction::default() }).await?;
--- a/crates/group/src/budget/mod.rs
+++ b/crates/group/src/budget/mod.rs
@@ -17,7 +17,7 @@
 use tokio::time::Instant;
 
 /// How long a share holds after the start of the read that confirmed it.
-pub const VALID_FOR: Duration = Duration::from_secs(60);
+pub const SHARE_TTL: Duration = Duration::from_secs(60);
 
 /// One part in so many of the rate is reserved for the minimum.
 const RESERVED_PART: f64 = 0.1;
@@ -62,7 +62,7 @@
     /// a share that others believe lapsed; the store would then be overrun. After twice the time
     /// that a share holds, everybody has either seen this allocation or lost the one before.
     pub fn may_be_replaced(first_seen: Instant, now: Instant) -> bool {
-        now.duration_since(first_seen) >= VALID_FOR * 2
+        now.duration_since(first_seen) >= SHARE_TTL * 2
     }
 }
 
@@ -88,7 +88,7 @@
 
 impl Confirmed {
     fn rate_bytes_per_s(&self, now: Instant, minimum_bytes_per_s: f64) -> f64 {
-        if now.duration_since(self.read_at) >= VALID_FOR {
+        if now.duration_since(self.read_at) >= SHARE_TTL {
             return minimum_bytes_per_s;
         }
         if now < self.larger_from { self.smaller_bytes_per_s } else { self.allotted_bytes_per_s }
@@ -107,13 +107,19 @@
     /// Each end serves one bound: a share lapses counted from the read's start, for it may have been
     /// replaced right after; a larger one begins counted from the read's end, for it may have been
     /// written just before.
-    pub fn read(&mut self, allocation: &Allocation, revision: u64, read_at: Instant, now: Instant) {
+    pub fn apply(
+        &mut self,
+        allocation: &Allocation,
+        revision: u64,
+        read_at: Instant,
+        now: Instant,
+    ) {
         let minimum_bytes_per_s = self.minimum_bytes_per_s;
         if let Some(known) = &mut self.confirmed {
             if revision < known.revision {
                 return;
             }
-            let lapsed = read_at.duration_since(known.read_at) >= VALID_FOR;
+            let lapsed = read_at.duration_since(known.read_at) >= SHARE_TTL;
             if revision == known.revision && !lapsed {
                 known.read_at = read_at;
                 return;
@@ -123,7 +129,7 @@
         let allotted_bytes_per_s =
             if listed { allocation.share_bytes_per_s() } else { minimum_bytes_per_s };
         let smaller_bytes_per_s = allotted_bytes_per_s.min(self.rate_bytes_per_s(now));
-        let larger_from = now + VALID_FOR;
+        let larger_from = now + SHARE_TTL;
         self.confirmed = Some(Confirmed {
             revision,
             read_at,
@@ -163,7 +169,7 @@
 
     /// Takes a read if all that was taken before has had its time; else tells how long that lasts
     /// at this rate. Since the last call the lower of both rates counts: when it changed is not known.
-    pub fn try_take(&mut self, bytes: u64, rate_bytes_per_s: f64, now: Instant) -> Duration {
+    pub fn try_acquire(&mut self, bytes: u64, rate_bytes_per_s: f64, now: Instant) -> Duration {
         let rate_bytes_per_s = rate_bytes_per_s.max(1.0);
         let since = now.duration_since(self.counted_at).as_secs_f64();
         let held_bytes_per_s = rate_bytes_per_s.min(self.rate_bytes_per_s);
--- a/crates/group/src/coordinator.rs
+++ b/crates/group/src/coordinator.rs
@@ -5,11 +5,11 @@
 use crate::lease::{Lease, Leases};
 use crate::message::RankError;
 use crate::ranks::Ranks;
-use crate::record::{GroupRecord, RecordError, RecordStore, Stored};
+use crate::record::{GroupRecord, RecordError, RecordStore, StoredRecord};
 use crate::retry::{Pauses, Retries};
 use crate::rollout::Rollout;
-use crate::serve::Wanted;
-use crate::session::{GroupError, Loads, Session, Timing};
+use crate::serve::DesiredServing;
+use crate::session::{GroupError, LoadLimiter, Session, Timing};
 use crate::status::{Activity, GroupStatus, OutOfService};
 use crate::switch::{Failure, Switch};
 use flamingowheel_backing::kv::KeyValue;
@@ -30,8 +30,8 @@
     timing: Timing,
     desired: watch::Receiver<Option<ExpertMap>>,
     status: watch::Sender<GroupStatus>,
-    record: watch::Sender<Option<Stored>>,
-    loads: Option<Loads>,
+    record: watch::Sender<Option<StoredRecord>>,
+    loads: Option<LoadLimiter>,
     trouble_since: BTreeMap<usize, Instant>,
     /// Ranks that don't serve what they are to, as last seen.
     behind: Vec<usize>,
@@ -72,7 +72,7 @@
     }
 
     /// Keeps loads of expert weights within the group's share of the weight store's rate.
-    pub fn with_loads(self, loads: Option<Loads>) -> Self {
+    pub fn with_load_limiter(self, loads: Option<LoadLimiter>) -> Self {
         Self { loads, ..self }
     }
 
@@ -81,7 +81,7 @@
         self,
         kv: Arc<dyn KeyValue>,
         model: &str,
-        wanted: watch::Receiver<Option<Wanted>>,
+        wanted: watch::Receiver<Option<DesiredServing>>,
     ) -> Self {
         let rollout = Rollout::new(kv, model, &self.group, wanted);
         Self { rollout: Some(rollout), ..self }
@@ -99,7 +99,7 @@
 
     /// The record as this process holds it while it coordinates. Reading it again from the service
     /// would tell nothing newer.
-    pub fn record(&self) -> watch::Receiver<Option<Stored>> {
+    pub fn record(&self) -> watch::Receiver<Option<StoredRecord>> {
         self.record.subscribe()
     }
 
@@ -114,7 +114,7 @@
             self.record.send_replace(None);
             tokio::select! {
                 () = stop.cancelled() => {}
-                () = sleep(self.timing.poll) => {}
+                () = sleep(self.timing.poll_interval) => {}
             }
         }
     }
@@ -132,7 +132,7 @@
             biased;
             () = stop.cancelled() => {}
             () = confirm => {}
-            () = lease.keep() => tracing::warn!(group = self.group, "lease to coordinate lost"),
+            () = lease.keep_alive() => tracing::warn!(group = self.group, "lease to coordinate lost"),
             error = self.work(lease) => tracing::warn!(group = self.group, %error, "coordination ended"),
         }
     }
@@ -150,15 +150,15 @@
                 // The record is in doubt: it is read and claimed anew before anything else.
                 Err(_) => None,
             };
-            sleep(self.timing.poll).await;
+            sleep(self.timing.poll_interval).await;
         }
     }
 
     fn is_over(&self, lease: &Lease, error: &GroupError) -> bool {
         let deposed = matches!(
             error,
-            GroupError::Deposed
-                | GroupError::LeaseLapsed
+            GroupError::Superseded
+                | GroupError::LeaseExpired
                 | GroupError::Record(RecordError::Conflict)
         );
         deposed || !lease.may_align()
@@ -166,7 +166,7 @@
 
     /// Writes the record anew, so that its revision is above all numbers that earlier coordinators
     /// may still use.
-    async fn claim(&mut self) -> Result<Stored, GroupError> {
+    async fn claim(&mut self) -> Result<StoredRecord, GroupError> {
         let stored = match self.records.read().await {
             Ok(stored) => stored,
             Err(RecordError::Missing) => return self.found().await,
@@ -176,7 +176,7 @@
         Ok(self.records.replace(&stored, record).await?)
     }
 
-    async fn found(&mut self) -> Result<Stored, GroupError> {
+    async fn found(&mut self) -> Result<StoredRecord, GroupError> {
         let Some(map) = self.desired.borrow().clone() else {
             return Err(RecordError::Missing.into());
         };
@@ -189,9 +189,13 @@
     }
 
     /// One look at the group, and a change of map if one is wanted and the group runs.
-    async fn look(&mut self, lease: &Lease, stored: Stored) -> Result<Stored, GroupError> {
+    async fn look(
+        &mut self,
+        lease: &Lease,
+        stored: StoredRecord,
+    ) -> Result<StoredRecord, GroupError> {
         if !lease.may_align() {
-            return Err(GroupError::LeaseLapsed);
+            return Err(GroupError::LeaseExpired);
         }
         let timing = self.timing;
         let mut session = Session {
@@ -199,7 +203,7 @@
             records: &self.records,
             lease,
             timing: &timing,
-            loads: self.loads.as_ref(),
+            load_limiter: self.loads.as_ref(),
             may_load: self.load_pauses.are_over(Instant::now()),
         };
         let revision = stored.revision;
@@ -249,7 +253,7 @@
         }
     }
 
-    fn report(&mut self, stored: &Stored, result: &Result<Alignment, GroupError>) {
+    fn report(&mut self, stored: &StoredRecord, result: &Result<Alignment, GroupError>) {
         let trouble: Vec<(usize, RankError)> = match result {
             Ok(Alignment::Running | Alignment::Draining { .. }) => Vec::new(),
             Ok(Alignment::Waiting { ranks, .. }) => ranks.clone(),
@@ -261,7 +265,7 @@
         let mut out_of_service = Vec::new();
         for (rank, reason) in trouble {
             let since = *self.trouble_since.entry(rank).or_insert(now);
-            if now.duration_since(since) >= self.timing.patience {
+            if now.duration_since(since) >= self.timing.rank_timeout {
                 out_of_service.push(OutOfService { rank, reason });
             }
         }
@@ -283,7 +287,7 @@
 
     fn report_activity(
         &self,
-        stored: &Stored,
+        stored: &StoredRecord,
         activity: Activity,
         out_of_service: Vec<OutOfService>,
     ) {
@@ -308,7 +312,7 @@
 }
 
 /// Goes on with the record unless the error puts it in doubt.
-fn keep(stored: Stored, result: Result<(), GroupError>) -> Result<Stored, GroupError> {
+fn keep(stored: StoredRecord, result: Result<(), GroupError>) -> Result<StoredRecord, GroupError> {
     match result {
         Ok(()) | Err(GroupError::Rank { .. } | GroupError::UnevenSteps) => Ok(stored),
         Err(GroupError::Record(RecordError::NotWritten(_))) => Ok(stored),
@@ -318,9 +322,9 @@
 
 async fn change<Members>(
     session: &Session<'_, Members>,
-    stored: Stored,
+    stored: StoredRecord,
     map: ExpertMap,
-) -> Result<Stored, Box<Failure>>
+) -> Result<StoredRecord, Box<Failure>>
 where
     Members: Ranks,
 {
--- a/crates/group/src/gate.rs
+++ b/crates/group/src/gate.rs
@@ -4,9 +4,9 @@
 //! both safe: one order in flight, numbers checked at receipt and again right before the write, and
 //! no different order while an earlier one may still take effect.
 
-use crate::intake::{Idle, Intake};
+use crate::intake::{IdleIntake, Intake};
 use crate::message::{RankError, RankRequest, RankState};
-use crate::note::{LoadNote, LoadNotes};
+use crate::pending_load::{PendingLoad, PendingLoadStore};
 use crate::record::{Phase, RecordError, RecordStore};
 use crate::serve::is_same_set;
 use flamingowheel_backing::orders::{
@@ -49,9 +49,9 @@
 #[derive(Default)]
 struct Memory {
     /// An order that was sent and whose answer has not come.
-    sent: Option<LoadNote>,
+    sent: Option<PendingLoad>,
     /// What earlier agents noted; one of them was this engine's.
-    inherited: Vec<LoadNote>,
+    inherited: Vec<PendingLoad>,
     loaded: Option<Loaded>,
 }
 
@@ -63,7 +63,7 @@
     lowest: AtomicU64,
     /// Locked while an order is in flight.
     memory: Mutex<Memory>,
-    notes: LoadNotes,
+    notes: PendingLoadStore,
     intake: Arc<dyn Intake>,
     /// When the gate was opened the group was about to change its version.
     is_rolling: bool,
@@ -89,13 +89,13 @@
             Err(RecordError::Missing) => (0, false),
             Err(error) => return Err(error),
         };
-        let notes = records.load_notes();
+        let notes = records.pending_loads();
         let inherited = match kind {
             EngineKind::ChecksFence => Vec::new(),
             EngineKind::IgnoresFence => notes.read().await?,
         };
         let memory = Mutex::new(Memory { inherited, ..Memory::default() });
-        let (lowest, intake) = (AtomicU64::new(lowest), Arc::new(Idle::default()));
+        let (lowest, intake) = (AtomicU64::new(lowest), Arc::new(IdleIntake::default()));
         Ok(Self { engine, kind, incarnation, lowest, memory, notes, intake, is_rolling })
     }
 
@@ -168,13 +168,13 @@
         let inherited = std::mem::take(&mut memory.inherited).into_iter();
         let sent = &mut memory.sent;
         *sent = sent.take().or(inherited.rev().find(|note| note.process_id == engine.process_id));
-        let over = |sent: &LoadNote| {
+        let over = |sent: &PendingLoad| {
             sent.process_id != engine.process_id || is_reached(&sent.target, &engine)
         };
         if let Some(resolved) = sent.take_if(|sent| over(sent)) {
             self.forget(&resolved.target, resolved.process_id).await;
         }
-        let (incarnation, work) = (self.incarnation, self.intake.work());
+        let (incarnation, work) = (self.incarnation, self.intake.state());
         Ok(RankState { incarnation, engine, unresolved: sent.is_some(), work })
     }
 
@@ -185,10 +185,10 @@
         let OrderTarget::Serve { model, version, .. } = target else { return Ok(()) };
         let changes = engine.model != *model || engine.version != *version;
         let is_fresh = engine.held_after_step.is_some() && engine.map_version == 0;
-        if !changes || is_fresh || !self.intake.is_in_use() {
+        if !changes || is_fresh || !self.intake.may_run_requests() {
             return Ok(());
         }
-        Err(RankError::Busy { in_progress: self.intake.work().in_progress })
+        Err(RankError::Busy { in_progress: self.intake.state().in_progress })
     }
 
     /// An order whose answer is lost may sit in the engine's queue and take effect a minute later,
@@ -199,13 +199,13 @@
     /// agent that follows if this one dies meanwhile.
     async fn write(
         &self,
-        sent: &mut Option<LoadNote>,
+        sent: &mut Option<PendingLoad>,
         fence: Fence,
         target: &OrderTarget,
         process_id: u64,
     ) -> Result<(), RankError> {
         if self.is_noted(target) {
-            let note = LoadNote { target: target.clone(), process_id };
+            let note = PendingLoad { target: target.clone(), process_id };
             self.notes.put(&note).await.map_err(|_| RankError::NotNoted)?;
             // That took a while: a newer coordinator may have come.
             if let Err(stale) = self.admit(fence) {
@@ -214,7 +214,7 @@
             }
         }
         if self.kind == EngineKind::IgnoresFence && is_harmful_when_late(target) {
-            *sent = Some(LoadNote { target: target.clone(), process_id });
+            *sent = Some(PendingLoad { target: target.clone(), process_id });
         }
         let order = Order { fence, target: target.clone() };
         let result = self.engine.order(&order).await;
--- a/crates/group/src/lease.rs
+++ b/crates/group/src/lease.rs
@@ -221,7 +221,7 @@
 impl Lease {
     /// Keeps the lease renewed until it is lost. Of all groups' calls one at a time renews, and
     /// none runs on by itself: a process that stops coordinating stops renewing.
-    pub async fn keep(&self) {
+    pub async fn keep_alive(&self) {
         while let Some(renew_at) = self.shared().map(|shared| shared.renew_at) {
             sleep_until(renew_at).await;
             let _turn = self.process.renewal.lock().await;
--- a/crates/group/src/lib.rs
+++ b/crates/group/src/lib.rs
@@ -12,7 +12,7 @@
 pub mod intake;
 pub mod lease;
 pub mod message;
-pub mod note;
+pub mod pending_load;
 pub mod proposal;
 pub mod ranks;
 pub mod record;
--- a/crates/group/src/message.rs
+++ b/crates/group/src/message.rs
@@ -1,6 +1,6 @@
 //! Messages between a group's coordinator and the agents of its ranks.
 
-use crate::intake::Work;
+use crate::intake::IntakeState;
 use flamingowheel_backing::orders::{EngineState, Fence, OrderTarget};
 use serde::{Deserialize, Serialize};
 
@@ -47,7 +47,7 @@
     pub unresolved: bool,
     /// The agent's work.
     #[serde(default)]
-    pub work: Work,
+    pub work: IntakeState,
 }
 
 impl RankState {
--- a/crates/group/src/note.rs
+++ b/crates/group/src/pending_load.rs
@@ -15,7 +15,7 @@
 /// A load that was sent, or was about to be.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct LoadNote {
+pub struct PendingLoad {
     /// What the engine was told to serve.
     pub target: OrderTarget,
     /// The engine's process; a later one knows nothing of the order.
@@ -24,19 +24,19 @@
 
 /// The notes of one group, a key for each process of an engine.
 #[derive(Clone)]
-pub struct LoadNotes {
+pub struct PendingLoadStore {
     kv: Arc<dyn KeyValue>,
     prefix: String,
 }
 
-impl LoadNotes {
+impl PendingLoadStore {
     /// The notes of the named group.
     pub fn new(kv: Arc<dyn KeyValue>, group: &str) -> Self {
         Self { kv, prefix: format!("groups/{group}/loads/") }
     }
 
     /// All notes of the group.
-    pub async fn read(&self) -> Result<Vec<LoadNote>, RecordError> {
+    pub async fn read(&self) -> Result<Vec<PendingLoad>, RecordError> {
         let snapshot = self.kv.range(&self.prefix).await.map_err(RecordError::NotWritten)?;
         let decode = |value: &Bytes| serde_json::from_slice(value).ok();
         let notes = snapshot.entries.iter().map(|entry| decode(&entry.value));
@@ -44,7 +44,7 @@
     }
 
     /// Puts a note in the place of the one before it.
-    pub async fn put(&self, note: &LoadNote) -> Result<(), RecordError> {
+    pub async fn put(&self, note: &PendingLoad) -> Result<(), RecordError> {
         let value = serde_json::to_vec(note).map_err(|_| RecordError::Malformed)?;
         let key = self.key(note.process_id);
         self.run(Operation::Put { key, value: value.into(), lease: None }).await
--- a/crates/group/src/record.rs
+++ b/crates/group/src/record.rs
@@ -1,6 +1,6 @@
 //! The group's record in the key-value service.
 
-use crate::note::LoadNotes;
+use crate::pending_load::PendingLoadStore;
 use bytes::Bytes;
 use flamingowheel_backing::kv::{
     Compare, KeyValue, KeyValueEntry, KeyValueError, Operation, Revision, Transaction,
@@ -116,7 +116,7 @@
 
     /// The record with `serving` in force. Adapters are loaded beside what runs; another version
     /// has to wait until nothing does.
-    pub fn serving(&self, serving: Serving) -> Self {
+    pub fn with_serving(&self, serving: Serving) -> Self {
         let known = self.serving.as_ref();
         let adds_only = known.is_some_and(|known| known.version == serving.version);
         let phase = match adds_only && self.phase != Phase::Rolling {
@@ -146,14 +146,14 @@
 
 /// A record as stored.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Stored {
+pub struct StoredRecord {
     /// The record.
     pub record: GroupRecord,
     /// The revision of its last write.
     pub revision: Revision,
 }
 
-impl Stored {
+impl StoredRecord {
     /// The number that orders resting on this record carry.
     pub fn fence(&self) -> Fence {
         Fence(self.revision.0)
@@ -185,35 +185,39 @@
 pub struct RecordStore {
     kv: Arc<dyn KeyValue>,
     key: String,
-    notes: LoadNotes,
+    notes: PendingLoadStore,
 }
 
 impl RecordStore {
     /// The record of the named group.
     pub fn new(kv: Arc<dyn KeyValue>, group: &str) -> Self {
-        let notes = LoadNotes::new(Arc::clone(&kv), group);
+        let notes = PendingLoadStore::new(Arc::clone(&kv), group);
         Self { kv, key: format!("groups/{group}/record"), notes }
     }
 
     /// What agents noted of loads on the group's engines.
-    pub fn load_notes(&self) -> LoadNotes {
+    pub fn pending_loads(&self) -> PendingLoadStore {
         self.notes.clone()
     }
 
     /// Reads the record.
-    pub async fn read(&self) -> Result<Stored, RecordError> {
+    pub async fn read(&self) -> Result<StoredRecord, RecordError> {
         let snapshot = self.kv.range(&self.key).await.map_err(RecordError::NotWritten)?;
         let entry = snapshot.entries.into_iter().find(|entry| entry.key == self.key);
         decode(&entry.ok_or(RecordError::Missing)?)
     }
 
     /// Writes the group's first record.
-    pub async fn create(&self, record: GroupRecord) -> Result<Stored, RecordError> {
+    pub async fn create(&self, record: GroupRecord) -> Result<StoredRecord, RecordError> {
         self.write(Compare::Absent { key: self.key.clone() }, record).await
     }
 
     /// Replaces the record that was read as `old`.
-    pub async fn replace(&self, old: &Stored, record: GroupRecord) -> Result<Stored, RecordError> {
+    pub async fn replace(
+        &self,
+        old: &StoredRecord,
+        record: GroupRecord,
+    ) -> Result<StoredRecord, RecordError> {
         let compare = Compare::ModRevision { key: self.key.clone(), revision: old.revision };
         self.write(compare, record).await
     }
@@ -225,7 +229,7 @@
         &self,
         compare: Compare,
         mut record: GroupRecord,
-    ) -> Result<Stored, RecordError> {
+    ) -> Result<StoredRecord, RecordError> {
         record.change_id = Uuid::new_v4();
         let value = serde_json::to_vec(&record).map_err(|_| RecordError::Malformed)?;
         let get = Operation::Get { key: self.key.clone() };
@@ -236,7 +240,7 @@
         for attempt in 1.. {
             let error = match self.kv.transact(transaction.clone()).await {
                 Ok(answer) if answer.succeeded => {
-                    return Ok(Stored { record, revision: answer.revision });
+                    return Ok(StoredRecord { record, revision: answer.revision });
                 }
                 Ok(answer) => return own(&record, answer.reads.into_iter().next().flatten()),
                 Err(error) => error,
@@ -254,7 +258,7 @@
     }
 }
 
-fn own(written: &GroupRecord, found: Option<KeyValueEntry>) -> Result<Stored, RecordError> {
+fn own(written: &GroupRecord, found: Option<KeyValueEntry>) -> Result<StoredRecord, RecordError> {
     let stored = decode(&found.ok_or(RecordError::Conflict)?)?;
     if stored.record.change_id != written.change_id {
         return Err(RecordError::Conflict);
@@ -262,7 +266,7 @@
     Ok(stored)
 }
 
-fn decode(entry: &KeyValueEntry) -> Result<Stored, RecordError> {
+fn decode(entry: &KeyValueEntry) -> Result<StoredRecord, RecordError> {
     let record = serde_json::from_slice(&entry.value).map_err(|_| RecordError::Malformed)?;
-    Ok(Stored { record, revision: entry.mod_revision })
+    Ok(StoredRecord { record, revision: entry.mod_revision })
 }
--- a/crates/group/src/rollout.rs
+++ b/crates/group/src/rollout.rs
@@ -1,8 +1,8 @@
 //! From what operators accepted of a model to what a group's record says.
 
 use crate::ranks::Ranks;
-use crate::record::{Phase, RecordError, Serving, Stored};
-use crate::serve::{Wanted, next, reported};
+use crate::record::{Phase, RecordError, Serving, StoredRecord};
+use crate::serve::{DesiredServing, next_serving, reported};
 use crate::session::{GroupError, Session};
 use crate::turn::Turns;
 use flamingowheel_backing::kv::KeyValue;
@@ -12,7 +12,7 @@
 /// One group's changes of version and adapters.
 pub(crate) struct Rollout {
     model: String,
-    wanted: watch::Receiver<Option<Wanted>>,
+    wanted: watch::Receiver<Option<DesiredServing>>,
     turns: Turns,
     /// What is wanted and waits for the group's turn.
     waiting: Option<Serving>,
@@ -23,7 +23,7 @@
         kv: Arc<dyn KeyValue>,
         model: &str,
         group: &str,
-        wanted: watch::Receiver<Option<Wanted>>,
+        wanted: watch::Receiver<Option<DesiredServing>>,
     ) -> Self {
         let turns = Turns::new(kv, model, group);
         Self { model: model.to_owned(), wanted, turns, waiting: None }
@@ -40,8 +40,8 @@
     pub(crate) async fn retarget<Members>(
         &mut self,
         session: &Session<'_, Members>,
-        stored: Stored,
-    ) -> Result<Stored, GroupError>
+        stored: StoredRecord,
+    ) -> Result<StoredRecord, GroupError>
     where
         Members: Ranks,
     {
@@ -60,8 +60,8 @@
     pub(crate) async fn begin<Members>(
         &mut self,
         session: &Session<'_, Members>,
-        stored: &Stored,
-    ) -> Result<Option<Stored>, GroupError>
+        stored: &StoredRecord,
+    ) -> Result<Option<StoredRecord>, GroupError>
     where
         Members: Ranks,
     {
@@ -72,7 +72,7 @@
             }
             return Ok(None);
         };
-        let changes_version = stored.record.serving(next.clone()).phase == Phase::Rolling;
+        let changes_version = stored.record.with_serving(next.clone()).phase == Phase::Rolling;
         if changes_version && !self.turns.take().await {
             self.waiting = Some(next);
             return Ok(None);
@@ -83,7 +83,7 @@
     async fn next<Members>(
         &self,
         session: &Session<'_, Members>,
-        stored: &Stored,
+        stored: &StoredRecord,
     ) -> Option<Serving>
     where
         Members: Ranks,
@@ -92,26 +92,26 @@
         let record = &stored.record;
         let names_none = wanted.version.is_none() && record.serving.is_none();
         if !names_none || wanted.adapters.is_empty() {
-            return next(&self.model, &wanted, record, None);
+            return next_serving(&self.model, &wanted, record, None);
         }
-        let states = session.read_whole(stored.fence()).await.ok()?;
-        next(&self.model, &wanted, record, reported(&states))
+        let states = session.read_all_or_fail(stored.fence()).await.ok()?;
+        next_serving(&self.model, &wanted, record, reported(&states))
     }
 }
 
 /// Writes the next target; `None` if that can't be done now.
 async fn write<Members>(
     session: &Session<'_, Members>,
-    stored: &Stored,
+    stored: &StoredRecord,
     next: Serving,
-) -> Result<Option<Stored>, GroupError>
+) -> Result<Option<StoredRecord>, GroupError>
 where
     Members: Ranks,
 {
     if !session.lease.may_change() {
         return Ok(None);
     }
-    match session.records.replace(stored, stored.record.serving(next)).await {
+    match session.records.replace(stored, stored.record.with_serving(next)).await {
         Ok(stored) => Ok(Some(stored)),
         Err(RecordError::NotWritten(_)) => Ok(None),
         Err(error) => Err(error.into()),
--- a/crates/group/src/serve.rs
+++ b/crates/group/src/serve.rs
@@ -1,9 +1,9 @@
 //! Bringing ranks to the model version and adapters that operators accepted.
 
-use crate::intake::Work;
+use crate::intake::IntakeState;
 use crate::message::{RankError, RankState};
 use crate::ranks::Ranks;
-use crate::record::{GroupRecord, Serving, Stored};
+use crate::record::{GroupRecord, Serving, StoredRecord};
 use crate::session::{GroupError, RankOrder, Session};
 use crate::switch::hold_all;
 use flamingowheel_backing::orders::{EngineState, OrderTarget};
@@ -12,7 +12,7 @@
 
 /// What operators accepted of one model.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Wanted {
+pub struct DesiredServing {
     /// The version; `None` keeps the one that is served.
     pub version: Option<String>,
     /// Adapters that some workspace may name.
@@ -27,20 +27,20 @@
 ///
 /// ```
 /// use flamingowheel_group::record::GroupRecord;
-/// use flamingowheel_group::serve::{Wanted, next};
+/// use flamingowheel_group::serve::{DesiredServing, next_serving};
 /// let record = GroupRecord::without_map(1);
-/// let wanted = Wanted { version: Some("7".to_owned()), ..Wanted::default() };
-/// assert_eq!(next("notes", &wanted, &record, None).unwrap().version, "7");
-/// assert_eq!(next("notes", &Wanted::default(), &record, Some("6")), None);
+/// let wanted = DesiredServing { version: Some("7".to_owned()), ..DesiredServing::default() };
+/// assert_eq!(next_serving("notes", &wanted, &record, None).unwrap().version, "7");
+/// assert_eq!(next_serving("notes", &DesiredServing::default(), &record, Some("6")), None);
 /// ```
-pub fn next(
+pub fn next_serving(
     model: &str,
-    wanted: &Wanted,
+    wanted: &DesiredServing,
     record: &GroupRecord,
     reported: Option<&str>,
 ) -> Option<Serving> {
     let known = record.serving.as_ref();
-    if known.is_none() && *wanted == Wanted::default() {
+    if known.is_none() && *wanted == DesiredServing::default() {
         return None;
     }
     let kept = known.map(|known| known.version.as_str()).or(reported);
@@ -92,7 +92,7 @@
     /// All serve what the record says; their states.
     Served(Vec<(usize, RankState)>),
     /// Requests of another version are in progress.
-    Draining(Vec<(usize, Work)>),
+    Draining(Vec<(usize, IntakeState)>),
 }
 
 /// Ranks that don't serve what the record says.
@@ -109,7 +109,7 @@
 /// until all were read back.
 pub(crate) async fn bring<Members>(
     session: &Session<'_, Members>,
-    stored: &Stored,
+    stored: &StoredRecord,
     states: Vec<(usize, RankState)>,
 ) -> Result<Progress, GroupError>
 where
@@ -142,7 +142,7 @@
         .map(|(rank, state)| load(session, stored, *rank, &state.engine, serving));
     join_all(loads).await.into_iter().collect::<Result<Vec<()>, GroupError>>()?;
     // An order's answer is no proof: the engine may have crashed since.
-    let states = session.read_whole(stored.fence()).await?;
+    let states = session.read_all_or_fail(stored.fence()).await?;
     let states: Vec<(usize, RankState)> = states.into_iter().enumerate().collect();
     match behind(&states, &stored.record).first() {
         None => Ok(Progress::Served(states)),
@@ -157,9 +157,9 @@
 /// have no map have run no step: what waits there can't end before they are let go.
 async fn drain<Members>(
     session: &Session<'_, Members>,
-    stored: &Stored,
+    stored: &StoredRecord,
     changing: &[&(usize, RankState)],
-) -> Vec<(usize, Work)>
+) -> Vec<(usize, IntakeState)>
 where
     Members: Ranks,
 {
@@ -174,7 +174,7 @@
 /// Has a rank load what it lacks, when the weight store's rate allows.
 async fn load<Members>(
     session: &Session<'_, Members>,
-    stored: &Stored,
+    stored: &StoredRecord,
     rank: usize,
     engine: &EngineState,
     serving: &Serving,
@@ -185,17 +185,17 @@
     let is_other_version = !is_version(engine, serving);
     let lacks = |own: &&String| is_other_version || !engine.adapters.contains(own);
     let adapters = serving.adapters.iter().filter(lacks).count();
-    if let Some(loads) = session.loads {
-        loads.take_model(is_other_version, adapters).await;
+    if let Some(loads) = session.load_limiter {
+        loads.acquire_for_model(is_other_version, adapters).await;
     }
     let order = RankOrder::new(rank, target(engine, serving));
-    session.order_all(stored.fence(), vec![order], session.timing.stage_limit).await
+    session.send_orders(stored.fence(), vec![order], session.timing.stage_timeout).await
 }
 
 /// Lets ranks take work again that were closed for a change.
 pub(crate) async fn reopen<Members>(
     session: &Session<'_, Members>,
-    stored: &Stored,
+    stored: &StoredRecord,
     states: &[(usize, RankState)],
 ) where
     Members: Ranks,
--- a/crates/group/src/session.rs
+++ b/crates/group/src/session.rs
@@ -17,23 +17,23 @@
     /// Time to live of the lease to coordinate.
     pub lease_ttl: Duration,
     /// Pause between two looks at the group.
-    pub poll: Duration,
+    pub poll_interval: Duration,
     /// How long one call to a rank may take.
-    pub call_limit: Duration,
+    pub call_timeout: Duration,
     /// How long loading the weights of a map may take.
-    pub stage_limit: Duration,
+    pub stage_timeout: Duration,
     /// How long a rank may fail to answer before it is named as out of service.
-    pub patience: Duration,
+    pub rank_timeout: Duration,
 }
 
 impl Default for Timing {
     fn default() -> Self {
         Self {
             lease_ttl: Duration::from_secs(3),
-            poll: Duration::from_millis(500),
-            call_limit: Duration::from_secs(1),
-            stage_limit: Duration::from_secs(60),
-            patience: Duration::from_secs(3),
+            poll_interval: Duration::from_millis(500),
+            call_timeout: Duration::from_secs(1),
+            stage_timeout: Duration::from_secs(60),
+            rank_timeout: Duration::from_secs(3),
         }
     }
 }
@@ -43,10 +43,10 @@
 pub enum GroupError {
     /// The lease to coordinate ran out, perhaps while this process was paused.
     #[error("lease to coordinate ran out")]
-    LeaseLapsed,
+    LeaseExpired,
     /// A rank has seen a newer coordinator.
     #[error("a newer coordinator is in charge")]
-    Deposed,
+    Superseded,
     /// A rank did not do its part in time.
     #[error("rank {rank}: {error}")]
     Rank {
@@ -74,24 +74,24 @@
     /// How long things may take.
     pub timing: &'a Timing,
     /// Paces loads from the weight store.
-    pub loads: Option<&'a Loads>,
+    pub load_limiter: Option<&'a LoadLimiter>,
     /// Versions and adapters may be loaded; not right after an engine could not.
     pub may_load: bool,
 }
 
 /// How loads of expert weights are kept within the weight store's rate.
 #[derive(Clone)]
-pub struct Loads {
+pub struct LoadLimiter {
     /// This process's share; the coordinator keeps it confirmed while it acts.
     pub budget: Arc<Budget>,
     /// Sizes of what is loaded.
-    pub sizes: Sizes,
+    pub sizes: WeightSizes,
 }
 
 /// Sizes of weights, of the largest model: a load that is counted for too little would overrun the
 /// store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Sizes {
+pub struct WeightSizes {
     /// One expert's weights in one layer.
     pub expert_bytes: u64,
     /// All that one rank loads of a version.
@@ -100,18 +100,18 @@
     pub adapter_bytes: u64,
 }
 
-impl Loads {
+impl LoadLimiter {
     /// Waits until a rank may load what `next` gives it beyond what it holds.
-    pub async fn take(&self, rank: usize, held: Option<&ExpertMap>, next: &ExpertMap) {
+    pub async fn acquire_for_map(&self, rank: usize, held: Option<&ExpertMap>, next: &ExpertMap) {
         let count = experts_to_load(rank, held, next);
-        self.budget.take(self.sizes.expert_bytes * count).await;
+        self.budget.acquire(self.sizes.expert_bytes * count).await;
     }
 
     /// Waits until a rank may load a version, if it is another one, and so many adapters.
-    pub async fn take_model(&self, is_other_version: bool, adapters: usize) {
+    pub async fn acquire_for_model(&self, is_other_version: bool, adapters: usize) {
         let version_bytes = if is_other_version { self.sizes.rank_bytes } else { 0 };
         let adapter_bytes = self.sizes.adapter_bytes * adapters as u64;
-        self.budget.take(version_bytes + adapter_bytes).await;
+        self.budget.acquire(version_bytes + adapter_bytes).await;
     }
 }
 
@@ -135,13 +135,13 @@
         let states = join_all(reads).await;
         let stale = |result: &RankResult| matches!(result, Err(RankError::Stale { .. }));
         if states.iter().any(stale) {
-            return Err(GroupError::Deposed);
+            return Err(GroupError::Superseded);
         }
         Ok(states)
     }
 
     /// Reads every rank and fails if one can't be read.
-    pub async fn read_whole(&self, fence: Fence) -> Result<Vec<RankState>, GroupError> {
+    pub async fn read_all_or_fail(&self, fence: Fence) -> Result<Vec<RankState>, GroupError> {
         let states = self.read_all(fence).await?.into_iter().enumerate();
         states
             .map(|(rank, state)| state.map_err(|error| GroupError::Rank { rank, error }))
@@ -159,14 +159,14 @@
     }
 
     async fn call(&self, rank: usize, request: RankRequest) -> RankResult {
-        let answer = timeout(self.timing.call_limit, self.ranks.call(rank, request)).await;
+        let answer = timeout(self.timing.call_timeout, self.ranks.call(rank, request)).await;
         answer.unwrap_or(Err(RankError::NoAnswer))
     }
 
     /// Sends each order until its rank has carried it out or `limit` has passed. Orders name
     /// targets, so sending one again is harmless; a load that takes longer than a call is asked
     /// after until it is done.
-    pub async fn order_all(
+    pub async fn send_orders(
         &self,
         fence: Fence,
         orders: Vec<RankOrder>,
@@ -188,7 +188,7 @@
         loop {
             let error = match self.try_order(fence, order).await? {
                 Ok(_) => return Ok(()),
-                Err(RankError::Stale { .. }) => return Err(GroupError::Deposed),
+                Err(RankError::Stale { .. }) => return Err(GroupError::Superseded),
                 Err(error) => error,
             };
             let hopeless =
@@ -209,7 +209,7 @@
         };
         // Reading took time, in which this process may have been paused.
         if !self.lease.may_align() {
-            return Err(GroupError::LeaseLapsed);
+            return Err(GroupError::LeaseExpired);
         }
         let request = RankRequest {
             incarnation: Some(state.incarnation),
--- a/crates/group/src/switch/commit.rs
+++ b/crates/group/src/switch/commit.rs
@@ -11,7 +11,7 @@
     /// Writes into the record that the next map is in force. From then on everybody rolls forward.
     pub async fn commit(self) -> Transition<'a, Members, Committed> {
         if !self.session.lease.may_change() {
-            return self.then(Err(GroupError::LeaseLapsed), |_| Committed);
+            return self.then(Err(GroupError::LeaseExpired), |_| Committed);
         }
         let record = self.stored.record.committed(&self.state.next);
         match self.session.records.replace(&self.stored, record).await {
--- a/crates/group/src/switch/hold.rs
+++ b/crates/group/src/switch/hold.rs
@@ -44,13 +44,13 @@
 where
     Members: Ranks,
 {
-    let deadline = Instant::now() + session.timing.patience;
+    let deadline = Instant::now() + session.timing.rank_timeout;
     let mut moving: Option<Vec<bool>> = None;
     let mut last_steps = Vec::new();
     let mut still_looks = 0;
     let mut margin_steps = MARGIN_STEPS;
     loop {
-        let states = session.read_whole(fence).await?;
+        let states = session.read_all_or_fail(fence).await?;
         let moving =
             moving.get_or_insert_with(|| states.iter().map(|state| !state.is_stopped()).collect());
         if states.iter().all(RankState::is_stopped) {
@@ -61,7 +61,7 @@
         last_steps = steps;
         let still = still_looks >= STILL_LOOKS;
         let result = order(session, fence, orders(&states, still, margin_steps)).await;
-        if Instant::now() >= deadline || matches!(result, Err(GroupError::Deposed)) {
+        if Instant::now() >= deadline || matches!(result, Err(GroupError::Superseded)) {
             result?;
             return Err(GroupError::UnevenSteps);
         }
@@ -85,8 +85,8 @@
     // the same time could stop apart.
     let mut orders = orders.into_iter();
     let first = orders.next().into_iter().collect();
-    session.order_all(fence, first, session.timing.call_limit).await?;
-    session.order_all(fence, orders.collect(), session.timing.call_limit).await
+    session.send_orders(fence, first, session.timing.call_timeout).await?;
+    session.send_orders(fence, orders.collect(), session.timing.call_timeout).await
 }
 
 fn orders(states: &[RankState], still: bool, margin_steps: u64) -> Vec<RankOrder> {
--- a/crates/group/src/switch/mod.rs
+++ b/crates/group/src/switch/mod.rs
@@ -12,14 +12,14 @@
 
 use crate::message::RankState;
 use crate::ranks::Ranks;
-use crate::record::{GroupRecord, Phase, RankEntry, RecordError, Stored, VersionedMap};
+use crate::record::{GroupRecord, Phase, RankEntry, RecordError, StoredRecord, VersionedMap};
 use crate::session::{GroupError, Session};
 use flamingowheel_backing::orders::ExpertMap;
 
 /// A switch in the state `State`.
 pub struct Switch<'a, Members, State> {
     session: &'a Session<'a, Members>,
-    stored: Stored,
+    stored: StoredRecord,
     state: State,
 }
 
@@ -53,7 +53,7 @@
     /// What went wrong.
     pub error: GroupError,
     /// The record on which to go on: rolled back if pending, forward if committed.
-    pub stored: Stored,
+    pub stored: StoredRecord,
 }
 
 /// The next state, or why it was not reached.
@@ -66,10 +66,10 @@
     /// Writes into the record that `map` is to come.
     pub async fn begin(
         session: &'a Session<'a, Members>,
-        stored: Stored,
+        stored: StoredRecord,
         map: ExpertMap,
     ) -> Transition<'a, Members, Begun> {
-        let states = match session.read_whole(stored.fence()).await {
+        let states = match session.read_all_or_fail(stored.fence()).await {
             Ok(states) => states,
             Err(error) => return Err(Box::new(Failure { error, stored })),
         };
--- a/crates/group/src/switch/resume.rs
+++ b/crates/group/src/switch/resume.rs
@@ -2,7 +2,7 @@
 
 use super::{Failure, Switch, Verified};
 use crate::ranks::Ranks;
-use crate::record::{Phase, RecordError, Stored};
+use crate::record::{Phase, RecordError, StoredRecord};
 use crate::session::{GroupError, RankOrder, Session};
 use flamingowheel_backing::orders::OrderTarget;
 
@@ -11,21 +11,21 @@
     Members: Ranks,
 {
     /// Goes on with a group all of whose ranks were just read back and use the map in force.
-    pub(crate) fn verified(session: &'a Session<'a, Members>, stored: Stored) -> Self {
+    pub(crate) fn verified(session: &'a Session<'a, Members>, stored: StoredRecord) -> Self {
         Self { session, stored, state: Verified }
     }
 
     /// Tells all ranks to step on, then notes in the record that the switch is over. The note may
     /// wait: while the service is away the group runs, and whoever coordinates next finds all ranks
     /// on the map in force.
-    pub async fn resume(self) -> Result<Stored, Box<Failure>> {
+    pub async fn resume(self) -> Result<StoredRecord, Box<Failure>> {
         let version = Some(self.stored.record.in_force.version);
         let order =
             |rank| RankOrder { rank, target: OrderTarget::Resume, requires_version: version };
         let orders = (0..self.session.ranks.count()).map(order).collect();
-        let limit = self.session.timing.patience;
+        let limit = self.session.timing.rank_timeout;
         let fence = self.stored.fence();
-        if let Err(error) = self.session.order_all(fence, orders, limit).await {
+        if let Err(error) = self.session.send_orders(fence, orders, limit).await {
             return Err(Box::new(Failure { error, stored: self.stored }));
         }
         match settle(self.session, &self.stored).await {
@@ -38,8 +38,8 @@
 /// Notes in the record that no change is under way.
 pub(crate) async fn settle<Members>(
     session: &Session<'_, Members>,
-    stored: &Stored,
-) -> Result<Stored, GroupError> {
+    stored: &StoredRecord,
+) -> Result<StoredRecord, GroupError> {
     if stored.record.phase == Phase::Settled {
         return Ok(stored.clone());
     }
--- a/crates/group/src/switch/stage.rs
+++ b/crates/group/src/switch/stage.rs
@@ -2,7 +2,7 @@
 
 use super::{Begun, Staged, Switch, Transition};
 use crate::ranks::Ranks;
-use crate::record::{Stored, VersionedMap};
+use crate::record::{StoredRecord, VersionedMap};
 use crate::session::{GroupError, RankOrder, Session};
 use flamingowheel_backing::orders::OrderTarget;
 use futures_util::future::join_all;
@@ -22,7 +22,7 @@
 /// Has these ranks load what `map` needs, each when the weight store's rate allows.
 pub(crate) async fn stage<Members>(
     session: &Session<'_, Members>,
-    stored: &Stored,
+    stored: &StoredRecord,
     ranks: Vec<usize>,
     map: &VersionedMap,
 ) -> Result<(), GroupError>
@@ -33,11 +33,11 @@
     let in_force = &stored.record.in_force;
     let held = (in_force.version != map.version).then_some(&in_force.map);
     let load = |rank| async move {
-        if let Some(loads) = session.loads {
-            loads.take(rank, held, &map.map).await;
+        if let Some(loads) = session.load_limiter {
+            loads.acquire_for_map(rank, held, &map.map).await;
         }
         let order = RankOrder::new(rank, OrderTarget::StageMap { map: map.map.clone() });
-        session.order_all(stored.fence(), vec![order], session.timing.stage_limit).await
+        session.send_orders(stored.fence(), vec![order], session.timing.stage_timeout).await
     };
     join_all(ranks.into_iter().map(load)).await.into_iter().collect()
 }
--- a/crates/group/src/switch/verify.rs
+++ b/crates/group/src/switch/verify.rs
@@ -4,7 +4,7 @@
 use super::{Committed, Switch, Switched, Transition, Verified, hold_all};
 use crate::message::{RankError, RankState};
 use crate::ranks::Ranks;
-use crate::record::Stored;
+use crate::record::StoredRecord;
 use crate::session::{GroupError, RankOrder, Session};
 use flamingowheel_backing::orders::OrderTarget;
 
@@ -14,9 +14,9 @@
 {
     /// Takes up a switch whose coordinator is gone, or brings ranks that lost their map back to it:
     /// stops all ranks and has those that need it load the map in force.
-    pub async fn take_up(
+    pub async fn recover(
         session: &'a Session<'a, Members>,
-        stored: Stored,
+        stored: StoredRecord,
     ) -> Transition<'a, Members, Committed> {
         let result = prepare(session, &stored).await;
         Switch { session, stored, state: Committed }.then(result, |state| state)
@@ -30,13 +30,16 @@
         let orders = (0..self.session.ranks.count())
             .map(|rank| RankOrder::new(rank, target.clone()))
             .collect();
-        let limit = self.session.timing.patience;
-        let result = self.session.order_all(self.stored.fence(), orders, limit).await;
+        let limit = self.session.timing.rank_timeout;
+        let result = self.session.send_orders(self.stored.fence(), orders, limit).await;
         self.then(result, |_| Switched)
     }
 }
 
-async fn prepare<Members>(session: &Session<'_, Members>, stored: &Stored) -> Result<(), GroupError>
+async fn prepare<Members>(
+    session: &Session<'_, Members>,
+    stored: &StoredRecord,
+) -> Result<(), GroupError>
 where
     Members: Ranks,
 {
@@ -53,7 +56,7 @@
 {
     /// Reads every rank back. An order's answer is no proof: the engine may have crashed since.
     pub async fn read_back(self) -> Transition<'a, Members, Verified> {
-        let result = match self.session.read_whole(self.stored.fence()).await {
+        let result = match self.session.read_all_or_fail(self.stored.fence()).await {
             Ok(states) => check(&states, self.stored.record.in_force.version),
             Err(error) => Err(error),
         };
--- a/crates/group/tests/budget.rs
+++ b/crates/group/tests/budget.rs
@@ -3,8 +3,8 @@
 use flamingowheel_backing::fake::{FakeKeyValue, FakeWeightStore};
 use flamingowheel_backing::orders::ExpertMap;
 use flamingowheel_backing::weights::WeightStore;
-use flamingowheel_group::budget::{Allocation, Budget, Pacer, Share, StoreLimits, VALID_FOR};
-use flamingowheel_group::session::{Loads, Sizes};
+use flamingowheel_group::budget::{Allocation, Budget, Pacer, SHARE_TTL, Share, StoreLimits};
+use flamingowheel_group::session::{LoadLimiter, WeightSizes};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::{Instant, advance, sleep};
@@ -60,7 +60,7 @@
             for member in 0..MAX_MEMBERS {
                 // A read that began earlier ends now; what it found may be replaced meanwhile.
                 if let Some((read_at, found, allocation)) = reads[member].take() {
-                    shares[member].read(&allocation, found, read_at, now);
+                    shares[member].apply(&allocation, found, read_at, now);
                 }
                 if cut_off_s[member] > 0 {
                     cut_off_s[member] -= 1;
@@ -85,13 +85,13 @@
     let mut share = share(0);
     let allotted = allocation(&[0, 1]);
     let start = Instant::now();
-    share.read(&allotted, 1, start, start);
+    share.apply(&allotted, 1, start, start);
     assert_eq!(share.rate_bytes_per_s(start), allotted.minimum_bytes_per_s());
-    advance(VALID_FOR - SECOND).await;
-    share.read(&allotted, 1, Instant::now(), Instant::now());
+    advance(SHARE_TTL - SECOND).await;
+    share.apply(&allotted, 1, Instant::now(), Instant::now());
     advance(SECOND).await;
     assert_eq!(share.rate_bytes_per_s(Instant::now()), allotted.share_bytes_per_s());
-    advance(VALID_FOR).await;
+    advance(SHARE_TTL).await;
     assert_eq!(share.rate_bytes_per_s(Instant::now()), allotted.minimum_bytes_per_s());
 }
 
@@ -100,9 +100,9 @@
 async fn share_older_revision_ignored() {
     let mut share = share(0);
     let now = Instant::now();
-    share.read(&allocation(&[1]), 2, now, now);
-    share.read(&allocation(&[0]), 1, now, now);
-    advance(VALID_FOR - SECOND).await;
+    share.apply(&allocation(&[1]), 2, now, now);
+    share.apply(&allocation(&[0]), 1, now, now);
+    advance(SHARE_TTL - SECOND).await;
     let minimum = allocation(&[]).minimum_bytes_per_s();
     assert_eq!(share.rate_bytes_per_s(Instant::now()), minimum);
 }
@@ -111,10 +111,10 @@
 async fn try_take_keeps_rate() {
     let start = Instant::now();
     let mut pacer = Pacer::new(start);
-    assert_eq!(pacer.try_take(1000, 500.0, start), Duration::ZERO);
-    assert_eq!(pacer.try_take(1000, 500.0, start), SECOND * 2);
+    assert_eq!(pacer.try_acquire(1000, 500.0, start), Duration::ZERO);
+    assert_eq!(pacer.try_acquire(1000, 500.0, start), SECOND * 2);
     advance(SECOND * 10).await;
-    assert_eq!(pacer.try_take(1, 500.0, Instant::now()), Duration::ZERO);
+    assert_eq!(pacer.try_acquire(1, 500.0, Instant::now()), Duration::ZERO);
 }
 
 /// A group takes its loads while its process has only the minimum, and the share grows afterwards.
@@ -122,13 +122,13 @@
 #[tokio::test(start_paused = true)]
 async fn try_take_rate_changes_while_waiting() {
     let mut pacer = Pacer::new(Instant::now());
-    assert_eq!(pacer.try_take(1000, 10.0, Instant::now()), Duration::ZERO);
-    assert_eq!(pacer.try_take(1, 10.0, Instant::now()), SECOND * 100);
+    assert_eq!(pacer.try_acquire(1000, 10.0, Instant::now()), Duration::ZERO);
+    assert_eq!(pacer.try_acquire(1, 10.0, Instant::now()), SECOND * 100);
     advance(SECOND * 10).await;
     // The first ten seconds count at the old rate.
-    assert_eq!(pacer.try_take(1, 100.0, Instant::now()), SECOND * 9);
+    assert_eq!(pacer.try_acquire(1, 100.0, Instant::now()), SECOND * 9);
     advance(SECOND * 9).await;
-    assert_eq!(pacer.try_take(1, 100.0, Instant::now()), Duration::ZERO);
+    assert_eq!(pacer.try_acquire(1, 100.0, Instant::now()), Duration::ZERO);
 }
 
 /// The members change twice while one group reads the record rarely and another is cut off right
@@ -140,11 +140,11 @@
     let mut shares: Vec<Share> = (0..3).map(share).collect();
     let settled = Instant::now();
     for share in &mut shares {
-        share.read(&two, 1, settled, settled);
+        share.apply(&two, 1, settled, settled);
     }
-    advance(VALID_FOR - SECOND).await;
+    advance(SHARE_TTL - SECOND).await;
     for share in &mut shares {
-        share.read(&two, 1, Instant::now(), Instant::now());
+        share.apply(&two, 1, Instant::now(), Instant::now());
     }
     advance(SECOND).await;
     let written_at = Instant::now();
@@ -155,11 +155,11 @@
             current = (&two, 3);
         }
         if second % 57 == 56 {
-            shares[0].read(current.0, current.1, now, now);
-            shares[1].read(current.0, current.1, now, now);
+            shares[0].apply(current.0, current.1, now, now);
+            shares[1].apply(current.0, current.1, now, now);
         }
         if second < 55 && current.1 == 2 {
-            shares[2].read(current.0, current.1, now, now);
+            shares[2].apply(current.0, current.1, now, now);
         }
         let sum: f64 = shares.iter().map(|share| share.rate_bytes_per_s(now)).sum();
         assert!(sum <= RATE_BYTES_PER_S * 1.000_001, "second {second}: {sum}");
@@ -210,17 +210,20 @@
 async fn take_loads_one_rank_after_another() {
     let budget = Arc::new(Budget::new(Arc::new(FakeKeyValue::new()), "0", LIMITS));
     let minimum = budget.rate_bytes_per_s();
-    let loads = Loads { budget, sizes: Sizes { expert_bytes: minimum as u64, ..Sizes::default() } };
+    let loads = LoadLimiter {
+        budget,
+        sizes: WeightSizes { expert_bytes: minimum as u64, ..WeightSizes::default() },
+    };
     let map = |experts: [u16; 4]| ExpertMap {
         layers: vec![experts.chunks(2).map(<[u16]>::to_vec).collect()],
     };
     let (held, next) = (map([0, 1, 2, 3]), map([0, 2, 1, 3]));
     let start = Instant::now();
-    loads.take(0, Some(&held), &next).await;
+    loads.acquire_for_map(0, Some(&held), &next).await;
     assert_eq!(start.elapsed(), Duration::ZERO);
-    loads.take(1, None, &next).await;
+    loads.acquire_for_map(1, None, &next).await;
     assert_eq!(start.elapsed(), SECOND, "rank 0 loads one expert");
-    loads.take(0, Some(&held), &held).await;
+    loads.acquire_for_map(0, Some(&held), &held).await;
     assert_eq!(start.elapsed(), SECOND * 3, "rank 1 holds nothing and loads two");
 }
 
@@ -241,7 +244,7 @@
         for load in 0..LOADS {
             let (budget, store) = (Arc::clone(budget), store.clone());
             tokio::spawn(async move {
-                budget.take(LOAD_BYTES).await;
+                budget.acquire(LOAD_BYTES).await;
                 assert_eq!(store.read("notes", LOAD_BYTES).await, Ok(()), "load {load}");
             });
         }
--- a/crates/group/tests/lease.rs
+++ b/crates/group/tests/lease.rs
@@ -22,7 +22,7 @@
 
 /// Keeps the leases for a while and tells whether none was lost.
 async fn keeps(leases: &[Lease], time: Duration) -> bool {
-    let all = leases.iter().map(|lease| Box::pin(lease.keep()));
+    let all = leases.iter().map(|lease| Box::pin(lease.keep_alive()));
     timeout(time, select_all(all)).await.is_err()
 }
 
@@ -50,7 +50,7 @@
     sleep(TTL * 2).await;
     let taken = acquire_all(&other).await;
     assert!(held.iter().all(|lease| !lease.may_change() && !lease.may_align()));
-    join_all(held.iter().map(Lease::keep)).await;
+    join_all(held.iter().map(Lease::keep_alive)).await;
     join_all(held.into_iter().map(Lease::release)).await;
     assert!(sleeper.acquire("g1").await.unwrap().is_none());
     assert!(keeps(&taken, TTL * 2).await);
@@ -68,7 +68,7 @@
     assert!(keeps(&held, TTL * 4).await);
     assert!(held.iter().all(|lease| !lease.may_change() && lease.may_align()));
     kv.set_down(false);
-    timeout(TTL, join_all(held.iter().map(Lease::keep))).await.expect("the loss is noticed");
+    timeout(TTL, join_all(held.iter().map(Lease::keep_alive))).await.expect("the loss is noticed");
     drop(held);
     let held = acquire_all(&leases).await;
     assert!(held.iter().all(Lease::may_change));
@@ -82,7 +82,9 @@
     let leases = process(&kv);
     let held = acquire_all(&leases).await;
     (0..9).for_each(|id| kv.expire_lease(LeaseId(id)));
-    timeout(TTL / 2, join_all(held.iter().map(Lease::keep))).await.expect("the loss is noticed");
+    timeout(TTL / 2, join_all(held.iter().map(Lease::keep_alive)))
+        .await
+        .expect("the loss is noticed");
     assert!(held.iter().all(|lease| !lease.may_change() && !lease.may_align()));
     let other = process(&kv);
     assert!(other.acquire("g2").await.unwrap().is_some());
--- a/crates/group/tests/record.rs
+++ b/crates/group/tests/record.rs
@@ -2,11 +2,11 @@
 
 use flamingowheel_backing::fake::{FakeKeyValue, LostAnswer};
 use flamingowheel_backing::orders::ExpertMap;
-use flamingowheel_group::record::{GroupRecord, Phase, RecordError, RecordStore, Stored};
+use flamingowheel_group::record::{GroupRecord, Phase, RecordError, RecordStore, StoredRecord};
 use std::sync::Arc;
 use std::time::Duration;
 
-async fn store(kv: &FakeKeyValue) -> (RecordStore, Stored) {
+async fn store(kv: &FakeKeyValue) -> (RecordStore, StoredRecord) {
     let records = RecordStore::new(Arc::new(kv.clone()), "g1");
     let first = records.create(GroupRecord::first(ExpertMap::default(), 2)).await.unwrap();
     (records, first)
--- a/crates/group/tests/rollout.rs
+++ b/crates/group/tests/rollout.rs
@@ -7,7 +7,7 @@
 use flamingowheel_backing::kv::{KeyValue, Operation, Transaction};
 use flamingowheel_backing::orders::ExpertMap;
 use flamingowheel_group::gate::EngineKind;
-use flamingowheel_group::session::Sizes;
+use flamingowheel_group::session::WeightSizes;
 use flamingowheel_group::status::Activity;
 use std::time::Duration;
 use support::{Fault, GROUP, MODEL, OUTAGE, RANKS, World, map};
@@ -230,7 +230,7 @@
 #[tokio::test(start_paused = true)]
 async fn rollout_loads_paced() {
     // At the minimum of 50 bytes a second each rank's load takes 10 s.
-    let sizes = Sizes { rank_bytes: 500, ..Sizes::default() };
+    let sizes = WeightSizes { rank_bytes: 500, ..WeightSizes::default() };
     let world = World::start_sized(EngineKind::ChecksFence, Some(sizes), map(1)).await;
     world.accept("2", &[]);
     sleep(SECOND * 18).await;
--- a/crates/group/tests/support/mod.rs
+++ b/crates/group/tests/support/mod.rs
@@ -18,8 +18,8 @@
 use flamingowheel_group::message::{RankError, RankRequest, RankState};
 use flamingowheel_group::ranks::Ranks;
 use flamingowheel_group::record::RecordStore;
-use flamingowheel_group::serve::Wanted;
-use flamingowheel_group::session::{Loads, Sizes, Timing};
+use flamingowheel_group::serve::DesiredServing;
+use flamingowheel_group::session::{LoadLimiter, Timing, WeightSizes};
 use flamingowheel_group::status::{Activity, GroupStatus};
 use std::future::Future;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -89,8 +89,8 @@
     pub group: RankGroup,
     name: &'static str,
     kind: EngineKind,
-    sizes: Option<Sizes>,
-    wanted: watch::Sender<Option<Wanted>>,
+    sizes: Option<WeightSizes>,
+    wanted: watch::Sender<Option<DesiredServing>>,
     slots: Vec<Slot>,
     processes: Mutex<Vec<Process>>,
     desired: watch::Sender<Option<ExpertMap>>,
@@ -112,12 +112,17 @@
 
     /// The same with loads paced by the fleet's budget, one expert being of this size.
     pub async fn start_with(kind: EngineKind, expert_bytes: Option<u64>) -> Arc<Self> {
-        let sizes = expert_bytes.map(|expert_bytes| Sizes { expert_bytes, ..Sizes::default() });
+        let sizes =
+            expert_bytes.map(|expert_bytes| WeightSizes { expert_bytes, ..WeightSizes::default() });
         Self::start_sized(kind, sizes, map(1)).await
     }
 
     /// The same with loads of these sizes, and with this map.
-    pub async fn start_sized(kind: EngineKind, sizes: Option<Sizes>, map: ExpertMap) -> Arc<Self> {
+    pub async fn start_sized(
+        kind: EngineKind,
+        sizes: Option<WeightSizes>,
+        map: ExpertMap,
+    ) -> Arc<Self> {
         Self::start_ranks(kind, sizes, map, RANKS).await
     }
 
@@ -129,7 +134,7 @@
     /// The same with this many ranks.
     pub async fn start_ranks(
         kind: EngineKind,
-        sizes: Option<Sizes>,
+        sizes: Option<WeightSizes>,
         map: ExpertMap,
         ranks: usize,
     ) -> Arc<Self> {
@@ -140,7 +145,7 @@
         kv: FakeKeyValue,
         name: &'static str,
         kind: EngineKind,
-        sizes: Option<Sizes>,
+        sizes: Option<WeightSizes>,
         map: ExpertMap,
         ranks: usize,
     ) -> Arc<Self> {
@@ -207,7 +212,7 @@
         if let Some(sizes) = self.sizes {
             let member = format!("p{}", self.processes.lock().unwrap().len());
             let budget = Arc::new(Budget::new(kv, &member, LIMITS));
-            coordinator = coordinator.with_loads(Some(Loads { budget, sizes }));
+            coordinator = coordinator.with_load_limiter(Some(LoadLimiter { budget, sizes }));
         }
         let status = coordinator.status();
         let paused = watch::Sender::new(false);
@@ -411,10 +416,10 @@
 async fn hold_other_group(leases: Leases) {
     loop {
         if let Ok(Some(lease)) = leases.acquire(OTHER_GROUP).await {
-            lease.keep().await;
+            lease.keep_alive().await;
             lease.release().await;
         }
-        sleep(Timing::default().poll).await;
+        sleep(Timing::default().poll_interval).await;
     }
 }
 
--- a/crates/group/tests/support/traffic.rs
+++ b/crates/group/tests/support/traffic.rs
@@ -2,8 +2,8 @@
 
 use super::{Slot, World, is_leading};
 use flamingowheel_backing::fake::FakeEngine;
-use flamingowheel_group::intake::{Intake, Work};
-use flamingowheel_group::serve::Wanted;
+use flamingowheel_group::intake::{Intake, IntakeState};
+use flamingowheel_group::serve::DesiredServing;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
 use std::time::Duration;
@@ -88,8 +88,8 @@
         self.open.store(open, Ordering::SeqCst);
     }
 
-    fn work(&self) -> Work {
-        Work {
+    fn state(&self) -> IntakeState {
+        IntakeState {
             is_open: self.open.load(Ordering::SeqCst),
             in_progress: self.in_progress.load(Ordering::SeqCst),
         }
@@ -101,7 +101,7 @@
     pub fn accept(&self, version: &str, adapters: &[&str]) {
         let version = Some(version.to_owned());
         let adapters = adapters.iter().map(|name| (*name).to_owned()).collect();
-        self.wanted.send_replace(Some(Wanted { version, adapters }));
+        self.wanted.send_replace(Some(DesiredServing { version, adapters }));
     }
 
     /// The requests of a rank.
@@ -148,13 +148,13 @@
 
     /// Whether some rank takes new work.
     pub fn takes_work(&self) -> bool {
-        self.slots.iter().any(|slot| slot.work.work().is_open)
+        self.slots.iter().any(|slot| slot.work.state().is_open)
     }
 
     /// Whether every engine serves this version and its agent takes work.
     pub fn all_serve(&self, version: &str) -> bool {
         let serves =
-            |slot: &Slot| slot.engine.peek_state().version == version && slot.work.work().is_open;
+            |slot: &Slot| slot.engine.peek_state().version == version && slot.work.state().is_open;
         self.slots.iter().all(serves)
     }
 }
--- a/crates/group/tests/verify.rs
+++ b/crates/group/tests/verify.rs
@@ -5,7 +5,7 @@
 use flamingowheel_backing::kv::KeyValue;
 use flamingowheel_backing::orders::{EngineState, ExpertMap, Fence, OrderTarget};
 use flamingowheel_group::align::{Alignment, align};
-use flamingowheel_group::intake::Work;
+use flamingowheel_group::intake::IntakeState;
 use flamingowheel_group::lease::{Lease, Leases};
 use flamingowheel_group::message::{RankError, RankRequest, RankState};
 use flamingowheel_group::ranks::Ranks;
@@ -44,7 +44,12 @@
             ..EngineState::default()
         };
         Box::pin(async move {
-            Ok(RankState { incarnation: 1, engine, unresolved: false, work: Work::default() })
+            Ok(RankState {
+                incarnation: 1,
+                engine,
+                unresolved: false,
+                work: IntakeState::default(),
+            })
         })
     }
 }
@@ -55,7 +60,7 @@
     lease: &'a Lease,
     timing: &'a Timing,
 ) -> Session<'a, Members> {
-    Session { ranks, records, lease, timing, loads: None, may_load: true }
+    Session { ranks, records, lease, timing, load_limiter: None, may_load: true }
 }
 
 async fn read_back(ranks: Forgetful) -> Result<(), GroupError> {
@@ -66,7 +71,7 @@
     let lease =
         Leases::new(Arc::clone(&kv), timing.lease_ttl).acquire("g1").await.unwrap().unwrap();
     let session = session(&ranks, &records, &lease, &timing);
-    let held = Switch::take_up(&session, stored).await.unwrap();
+    let held = Switch::recover(&session, stored).await.unwrap();
     let switched = held.switch().await.unwrap();
     switched.read_back().await.map(drop).map_err(|failure| failure.error)
 }
@@ -121,7 +126,7 @@
         *held |= request.target == Some(OrderTarget::Hold { after_step: 5 });
         let held_after_step = held.then_some(5);
         let engine = EngineState { step: 5, held_after_step, ..EngineState::default() };
-        Ok(RankState { incarnation: 1, engine, unresolved: false, work: Work::default() })
+        Ok(RankState { incarnation: 1, engine, unresolved: false, work: IntakeState::default() })
     });
     let session = session(&ranks, &records, &lease, &timing);
     let (_, result) = align(&session, stored).await;
@@ -148,7 +153,7 @@
             noted.lock().unwrap().push(rank);
         }
         let engine = EngineState { map_version: 1, ..EngineState::default() };
-        let work = Work { is_open: false, in_progress: 0 };
+        let work = IntakeState { is_open: false, in_progress: 0 };
         Ok(RankState { incarnation: 1, engine, unresolved: false, work })
     });
     let (_, result) = align(&session(&ranks, &records, &lease, &timing), stored).await;
--- a/crates/proof/benches/capacity/links.rs
+++ b/crates/proof/benches/capacity/links.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use flamingowheel_agent::config::AgentConfig;
-use flamingowheel_agent::execution::{Ending, Execution, Work};
+use flamingowheel_agent::execution::{Ending, Execution, ExecutionSpec};
 use flamingowheel_agent::records::Records;
 use flamingowheel_agent::stored::StoredBytes;
 use flamingowheel_policy::key::Fingerprint;
@@ -119,7 +119,7 @@
     let mut records = Records::new(&config);
     for number in 0..count {
         let execution = Arc::new(Execution::new(
-            Work {
+            ExecutionSpec {
                 fingerprint: Fingerprint(number as u128),
                 idempotent: false,
                 max_replay_bytes: config.max_replay_bytes,
@@ -128,11 +128,11 @@
             },
             StoredBytes::default(),
         ));
-        execution.begin(200, "application/json".to_owned());
+        execution.set_head(200, "application/json".to_owned());
         if answer_bytes > 0 {
             execution.push(Bytes::from(vec![b'x'; answer_bytes])).await?;
         }
-        execution.finish(Ending::Whole);
+        execution.finish(Ending::Complete);
         let key = ExecutionKey::Ticket { number: Uuid::now_v7(), window: records.window() };
         records.insert(key, execution)?;
     }
--- a/crates/proof/src/group/gate.rs
+++ b/crates/proof/src/group/gate.rs
@@ -3,7 +3,7 @@
 use flamingowheel_backing::fake::FakeEngine;
 use flamingowheel_backing::orders::{EngineOrders, Fence, Order, OrderError};
 use flamingowheel_group::gate::{EngineKind, Gate};
-use flamingowheel_group::intake::Work;
+use flamingowheel_group::intake::IntakeState;
 use flamingowheel_group::message::{RankError, RankRequest, RankState};
 use flamingowheel_group::record::RecordStore;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -99,7 +99,7 @@
             incarnation: self.incarnation,
             engine,
             unresolved: false,
-            work: Work::default(),
+            work: IntakeState::default(),
         })
     }
 }
--- a/crates/proof/src/matrix/load.rs
+++ b/crates/proof/src/matrix/load.rs
@@ -15,7 +15,7 @@
 use flamingowheel_group::gate::EngineKind;
 use flamingowheel_group::message::{RankError, RankRequest, RankState};
 use flamingowheel_group::ranks::Ranks;
-use flamingowheel_group::record::{GroupRecord, RecordStore, Stored};
+use flamingowheel_group::record::{GroupRecord, RecordStore, StoredRecord};
 use std::time::Duration;
 use tokio::sync::oneshot;
 use tokio::task::AbortHandle;
@@ -156,7 +156,7 @@
 }
 
 impl Coordinating {
-    fn start(link: Link, stored: Stored) -> Self {
+    fn start(link: Link, stored: StoredRecord) -> Self {
         let fate = Fate::default();
         let (sender, answer) = oneshot::channel();
         let work = async move {
@@ -174,7 +174,7 @@
 }
 
 /// Writes the record anew, as a process does that takes over.
-async fn claim(records: &RecordStore) -> Stored {
+async fn claim(records: &RecordStore) -> StoredRecord {
     loop {
         if let Ok(stored) = records.read().await
             && let Ok(stored) = records.replace(&stored, stored.record.clone()).await
@@ -200,7 +200,7 @@
 
 /// One order and the read before it, which tells the agent's process. Reads go on while the answer
 /// is awaited, as a coordinator's do.
-async fn order(link: &Link, stored: &Stored, version: &str) -> Answer {
+async fn order(link: &Link, stored: &StoredRecord, version: &str) -> Answer {
     let read = || RankRequest {
         incarnation: None,
         fence: stored.fence(),
--- a/crates/proof/src/network.rs
+++ b/crates/proof/src/network.rs
@@ -5,7 +5,7 @@
 use crate::relay::{Relay, ToAgent, ToEntry};
 use bytes::Bytes;
 use flamingowheel_agent::control::AgentHandle;
-use flamingowheel_agent::serve::attend;
+use flamingowheel_agent::serve::handle_link;
 use flamingowheel_backing::BoxFuture;
 use flamingowheel_entry::connector::{AgentLink, Connector};
 use flamingowheel_protocol::id::ExecutionKey;
@@ -196,7 +196,7 @@
         let outward = ToEntry::new(entry_in.downgrade());
         tokio::spawn(relay.clone().run(to_agent, agent_in, inward));
         tokio::spawn(relay.run(to_entry, entry_in, outward));
-        tokio::spawn(attend(agent_side, endpoint.handle));
+        tokio::spawn(handle_link(agent_side, endpoint.handle));
         Ok(entry_side)
     }
 }
--- a/crates/proof/src/world.rs
+++ b/crates/proof/src/world.rs
@@ -123,8 +123,10 @@
             operators: None,
             role: Role::Agent(config.profile.clone()),
         };
-        let archive =
-            Archive { incarnation: config.incarnation, record_time: config.record_time() };
+        let archive = Archive {
+            incarnation: config.incarnation,
+            ticket_retention: config.ticket_retention(),
+        };
         let recorder = Recorder::for_tests(&config.name);
         let backend = {
             let (backend, sent) = (self.servers.backend(server), self.sent[server].clone());
