--- a/crates/agent/src/archive.rs
+++ b/crates/agent/src/archive.rs
@@ -1,9 +1,10 @@
-//! Leaves the answers of finished tickets in the key-value service before the process ends.
+//! Archives the answers of finished tickets in the key-value service before the process ends.
 //!
-//! The records are in this process's memory and go with it. After a planned stop a resend would be
-//! told "unknown" of work whose answer was known all the time. An archive with no seal proves nothing
-//! of what is absent. A process that takes no more work and has none left seals its archive: what is
-//! absent then never ran, and its callers may have it run elsewhere.
+//! Records are kept in this process's memory and end with it. Without the archive, a resend after a
+//! planned stop would get the outcome "unknown" although the answer had been known. An archive
+//! without a seal proves nothing about absent tickets. A process that admits no requests and has
+//! none left seals its archive: absent tickets then never ran, and their callers may run them
+//! elsewhere.
 
 use crate::control::{AgentHandle, TicketList};
 use crate::execution::Execution;
@@ -18,40 +19,41 @@
 /// Largest body that is archived.
 const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// Largest value, and most bytes of values in one transaction.
+/// Upper bound on the bytes of one value, and of all values in one transaction.
 const MAX_BATCH_BYTES: usize = 512 * 1024;
 
-/// Most writes in one transaction.
+/// Upper bound on the writes in one transaction.
 const MAX_BATCH_WRITES: usize = 120;
 
-/// Bytes of a record beside body and media type, at the most.
+/// Upper bound on the bytes of a record besides body and media type.
 const RECORD_OVERHEAD_BYTES: usize = 96;
 
-/// How long an agent that ends may take for this. A service that is down must not keep it.
+/// Timeout of archiving, so that an agent also ends while the key-value service is down.
 const LIMIT: Duration = Duration::from_secs(3);
 
-/// Whose answers are archived, and for how long.
+/// Archive of one agent process's answers.
 #[derive(Clone, Copy, Debug)]
 pub struct Archive {
-    /// The agent process.
+    /// The agent process whose tickets are archived.
     pub incarnation: Incarnation,
-    /// How long its tickets are remembered.
+    /// How long the agent keeps a ticket's record, and so the archive's time to live.
     pub ticket_retention: Duration,
 }
 
-/// How many answers were there and how many are archived for certain.
+/// Result of archiving.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ArchiveSummary {
-    /// Finished tickets with a whole answer.
+    /// Number of tickets with a complete answer.
     pub finished: usize,
-    /// Those whose write was confirmed.
+    /// Number of answers whose write was confirmed.
     pub written: usize,
-    /// Whether it is certain that what is not archived never ran.
+    /// Whether the seal was written: tickets that it does not cover never ran.
     pub sealed: bool,
 }
 
 impl Archive {
-    /// Writes what is finished. Ends within a few seconds whatever the service does.
+    /// Archives the answers of finished tickets, and the seal if the list of tickets is final. Ends
+    /// within a few seconds even if the key-value service does not answer.
     pub async fn store<K>(&self, agent: &AgentHandle, kv: &K) -> ArchiveSummary
     where
         K: KeyValue + ?Sized,
@@ -64,8 +66,8 @@
         }
         match timeout(LIMIT, self.write(tickets, kv, &mut archived)).await {
             Ok(Ok(())) => {}
-            Ok(Err(error)) => tracing::warn!(%error, "answers of tickets not archived"),
-            Err(_) => tracing::warn!("answers of tickets not archived in time"),
+            Ok(Err(error)) => tracing::warn!(%error, "ticket answers not archived"),
+            Err(_) => tracing::warn!("timeout while archiving ticket answers"),
         }
         archived
     }
@@ -79,8 +81,8 @@
     where
         K: KeyValue + ?Sized,
     {
-        // All keys have one lease: a seal that outlives a bucket would say of work that ran that it
-        // never did.
+        // All keys have one lease: a seal that outlives a bucket would claim that tickets in that
+        // bucket never ran.
         let lease = Some(kv.grant_lease(self.ticket_retention).await?);
         let mut batch = Batch::default();
         let mut seal = Seal {
@@ -114,7 +116,7 @@
     }
 }
 
-/// Writes that go together.
+/// Writes of one transaction.
 #[derive(Default)]
 struct Batch {
     writes: Vec<Operation>,
@@ -141,8 +143,8 @@
     }
 }
 
-/// Spreads the answers over buckets, those without any left out; what is too large for its bucket is
-/// named as unanswered.
+/// Distributes the answers over buckets and leaves out empty ones. Tickets whose answer does not
+/// fit are listed as unanswered.
 fn buckets(
     finished: Vec<(Uuid, Arc<Execution>)>,
     unanswered: &mut Vec<Uuid>,
@@ -164,7 +166,7 @@
     filled.filter(|(_, answers)| !answers.is_empty())
 }
 
-/// What is archived of a ticket, and its bytes at the most.
+/// The archived form of an answer and an upper bound on its bytes; `None` if it is too large.
 fn archived(number: Uuid, execution: &Execution) -> Option<(usize, ArchivedAnswer)> {
     let whole = execution.complete_answer(MAX_BODY_BYTES)?;
     let bytes = whole.body.len() + whole.content_type.len() + RECORD_OVERHEAD_BYTES;
--- a/crates/agent/src/cache.rs
+++ b/crates/agent/src/cache.rs
@@ -1,9 +1,9 @@
-//! What the agent knows of its engine's prefix cache, and what it tells entries of it.
+//! Mirror of the engine's prefix cache, and the events about it that are sent to entries.
 //!
-//! The engine's events are read every now and then and passed on in batches under numbers of the
-//! agent's own, which leave one out where the engine lost events. What was known before a loss may
-//! have been evicted unseen: entries trust it less with time, and after [`UNCERTAIN_BLOCK_TTL`] all but
-//! what was stored since is forgotten here and there.
+//! The engine's events are polled and forwarded in batches under the agent's own numbers, which
+//! skip one where the engine lost events. Blocks stored before a loss may have been evicted
+//! unnoticed: entries trust them less with time, and after [`UNCERTAIN_BLOCK_TTL`] agent and
+//! entries drop all blocks but those stored since.
 
 use flamingowheel_backing::backend;
 use flamingowheel_policy::prefix::{BlockHash, CacheChange, CacheEvent};
@@ -11,24 +11,24 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Blocks remembered, and so the most that a snapshot holds.
+/// Upper bound on the blocks that are kept, and so on the size of a snapshot.
 pub const MAX_BLOCKS: usize = 4_096;
 
-/// Events of the engine taken in at once; the rest is read again by the next poll.
+/// Upper bound on the engine's events applied after one poll; the next poll reads the rest again.
 pub const MAX_EVENTS_PER_POLL: usize = 1_024;
 
-/// How long blocks stored before a loss of events are still passed for probable.
+/// How long blocks stored before a loss of events are kept.
 pub const UNCERTAIN_BLOCK_TTL: Duration = Duration::from_secs(60);
 
-/// The engine's cache as its events tell it.
+/// The engine's cache as its events describe it.
 #[derive(Debug, Default)]
 pub struct CacheView {
     life: u64,
-    /// The engine's last event that was taken in.
+    /// Number of the last engine event that was applied.
     last_read: Option<u64>,
-    /// The agent's last event that was passed on.
+    /// Number of the last event that was sent to entries.
     last_told: u64,
-    /// By the engine's number; the lowest is forgotten first.
+    /// Blocks by the engine's event number; the lowest is dropped first.
     by_number: BTreeMap<u64, BlockHash>,
     numbers: HashMap<BlockHash, u64>,
     loss: Option<Loss>,
@@ -36,27 +36,27 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Loss {
-    /// The first event after the last that was lost.
+    /// Blocks stored by events before this number are uncertain.
     before: u64,
     at: Instant,
 }
 
-/// Which events to ask the engine for.
+/// A query for the engine's events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CachePoll {
-    /// The engine process as counted here; an answer to an older one says nothing.
+    /// Counts resets of the view; answers to queries from before a reset are ignored.
     life: u64,
-    /// Events after this number are asked for.
+    /// The engine's events after this number are requested.
     pub after: u64,
 }
 
 impl CacheView {
-    /// What to ask next.
+    /// The next query to send to the engine.
     pub fn next_poll(&self) -> CachePoll {
         CachePoll { life: self.life, after: self.last_read.unwrap_or(0) }
     }
 
-    /// Takes in the answer to a poll; gives what entries should be told.
+    /// Applies the answer to a query and returns the events to send to entries.
     pub fn apply_events(
         &mut self,
         poll: CachePoll,
@@ -68,7 +68,7 @@
         events.sort_unstable_by_key(|event| event.number);
         let mut told = Vec::new();
         if events.first().is_some_and(|event| event.number <= poll.after) {
-            // Numbers fell: an engine that counts anew answered, whatever was asked for.
+            // Numbers went back: a restarted engine answered and ignored the requested number.
             told.push(self.reset());
         }
         events.truncate(MAX_EVENTS_PER_POLL);
@@ -78,14 +78,16 @@
         told
     }
 
-    /// The engine is another process: its cache is empty and it counts anew.
+    /// Drops all blocks, because a new engine process has an empty cache and restarts its numbers.
+    /// Returns the event to send to entries.
     pub fn reset(&mut self) -> CacheEvent {
         let (life, last_told) = (self.life + 1, self.last_told + 1);
         *self = Self { life, last_told, ..Self::default() };
         self.snapshot()
     }
 
-    /// Forgets what has been in doubt for too long; gives what entries should be told.
+    /// Drops blocks that have been uncertain for [`UNCERTAIN_BLOCK_TTL`] and returns the event to
+    /// send to entries.
     pub fn expire_uncertain(&mut self) -> Option<CacheEvent> {
         if self.loss?.at.elapsed() < UNCERTAIN_BLOCK_TTL {
             return None;
@@ -98,7 +100,7 @@
         Some(snapshot)
     }
 
-    /// All that is known for certain as of the last event told.
+    /// All blocks that are certain to be cached, as of the last event sent.
     pub fn snapshot(&self) -> CacheEvent {
         let from = self.loss.map_or(0, |loss| loss.before);
         let blocks = self.by_number.range(from..).map(|(_, block)| *block).collect();
@@ -108,7 +110,7 @@
     fn take(&mut self, event: &backend::CacheEvent, told: &mut Vec<CacheEvent>) {
         let is_next = self.last_read.is_none_or(|last| event.number == last + 1);
         if !is_next {
-            // Doubt is counted from the first loss, or losses that go on would never let it end.
+            // Counted from the first loss, or repeated losses would keep uncertain blocks for ever.
             let at = self.loss.map_or_else(Instant::now, |loss| loss.at);
             self.loss = Some(Loss { before: event.number, at });
             self.last_told += 1;
@@ -122,7 +124,7 @@
         self.tell(block, event.stored, is_next, told);
     }
 
-    /// Adds to the last change if it is of the same kind, so that a batch has few numbers.
+    /// Appends to the last event if it is of the same kind, so that a batch has few events.
     fn tell(&mut self, block: BlockHash, stored: bool, is_next: bool, told: &mut Vec<CacheEvent>) {
         let last = told.last_mut().filter(|_| is_next).map(|event| &mut event.change);
         match (last, stored) {
--- a/crates/agent/src/config.rs
+++ b/crates/agent/src/config.rs
@@ -1,4 +1,4 @@
-//! What an agent is told at start.
+//! Configuration of an agent.
 
 use flamingowheel_protocol::id::Incarnation;
 use flamingowheel_protocol::message::BackendProfile;
@@ -8,45 +8,44 @@
 /// Limits and identity of an agent.
 #[derive(Clone, Debug)]
 pub struct AgentConfig {
-    /// Unique in the fleet.
+    /// Name of the agent, unique in the fleet.
     pub name: String,
-    /// The VM it runs on.
+    /// VM that the agent runs on.
     pub vm: String,
-    /// The data centre it runs in.
+    /// Data centre that the agent runs in.
     pub data_centre: String,
-    /// Where operators reach it.
+    /// Address of the agent's interface for operators, if it has one.
     pub operators: Option<SocketAddr>,
-    /// Drawn at process start.
+    /// Identifies this agent process; drawn when it starts.
     pub incarnation: Incarnation,
-    /// What the backend server serves.
+    /// What the backend server serves, and its capacity.
     pub profile: BackendProfile,
-    /// Requests that may wait here before new ones are refused.
+    /// Number of requests that may be queued before new ones are refused.
     pub queue_places: usize,
     /// Length of a record window.
     pub window: Duration,
-    /// How many windows attempts are remembered.
+    /// Number of windows for which attempts are kept.
     pub attempt_windows: u32,
-    /// How many windows tickets are remembered.
+    /// Number of windows for which tickets are kept.
     pub ticket_windows: u32,
-    /// Attempts remembered at most; older windows are closed early beyond it.
+    /// Upper bound on records of attempts; at the bound the oldest windows are closed early.
     pub max_attempt_records: usize,
-    /// Tickets remembered at most; new ones are refused beyond it.
+    /// Upper bound on records of tickets; at the bound new tickets are refused.
     pub max_ticket_records: usize,
-    /// Bytes of tickets' answers remembered at most, over all records; new tickets are refused
-    /// beyond it. What runs at that moment may exceed it by one answer each.
+    /// Bytes of tickets' answers, over all records, at which new tickets are refused. Each running
+    /// request may exceed the bound by its answer.
     pub max_record_bytes: usize,
-    /// Bytes of idempotent work's answers kept for replay at the most, over all records; new
-    /// idempotent work is refused beyond it. What runs at that moment may exceed it by one answer
-    /// each.
+    /// Bytes of answers to idempotent requests kept for replay, over all records, at which new
+    /// idempotent requests are refused. Each running request may exceed the bound by its answer.
     pub max_attempt_bytes: usize,
-    /// Bytes of one answer kept for replay.
+    /// Bytes of one answer that are kept for replay.
     pub max_replay_bytes: usize,
-    /// How long idempotent work goes on without anybody attached.
+    /// How long an idempotent request runs without an attached entry before it is stopped.
     pub orphan_timeout: Duration,
 }
 
 impl AgentConfig {
-    /// Limits fit for production, around the given identity.
+    /// The production defaults for an agent with this identity.
     ///
     /// ```
     /// use flamingowheel_agent::config::AgentConfig;
@@ -77,7 +76,7 @@
         }
     }
 
-    /// How long a ticket's record is kept.
+    /// How long the record of a ticket is kept.
     pub fn ticket_retention(&self) -> Duration {
         self.window * self.ticket_windows
     }
--- a/crates/agent/src/control.rs
+++ b/crates/agent/src/control.rs
@@ -1,7 +1,7 @@
-//! The control task: sole owner of admission, records and the view of the backend server.
+//! The control task: sole owner of admission, records and the backend server's observed state.
 //!
-//! It takes commands one at a time and never waits for the network, so every decision sees a
-//! consistent state.
+//! It handles commands one at a time and never waits for the network, so every decision is made on
+//! a consistent state.
 
 mod handle;
 mod health;
@@ -36,19 +36,18 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 
-/// Commands that may wait for the control task.
 const COMMAND_QUEUE: usize = 1024;
 
-/// Requests of this priority or above may start beyond the usual places.
+/// Requests of this priority or above may start in an extra place when all others are taken.
 const URGENT_PRIORITY: u8 = 8;
 
-/// How often the control task looks after deadlines, records and the backend server's health.
+/// Interval at which the control task checks deadlines, records and the backend server's health.
 const TICK: Duration = Duration::from_millis(500);
 
-/// Ticks after which the same load is told again.
+/// Ticks after which an unchanged heartbeat is sent again.
 const REPEAT_TICKS: u32 = 2;
 
-/// Work that was admitted but has not begun.
+/// A request that was admitted but has not begun.
 struct Pending {
     dispatch: Box<Dispatch>,
     execution: Arc<Execution>,
@@ -73,7 +72,7 @@
     suspicion: SuspectTracker,
     load: LoadCell,
     links: HashMap<u64, mpsc::Sender<AgentMessage>>,
-    /// What all links were told last, and how many ticks ago.
+    /// The last heartbeat sent to all links, and how many ticks ago.
     told: (Option<AgentMessage>, u32),
     leaving: bool,
     closed: bool,
@@ -82,7 +81,7 @@
     checking_health: bool,
     cache: CacheView,
     polling_cache: bool,
-    /// Connections that a message about the cache could not be sent over.
+    /// Links whose queue had no room for a message about the cache.
     behind: HashSet<u64>,
     suspects: Vec<Fingerprint>,
     crash_count: u32,
@@ -93,15 +92,16 @@
     orders: Option<Arc<dyn OrderHandler>>,
 }
 
-/// Carries out requests of the group's coordinator.
+/// Handles requests of the group's coordinator.
 pub trait OrderHandler: Send + Sync + 'static {
-    /// Answers one request; both are encoded messages of the group's package.
+    /// Handles one request and returns the answer. Both are encoded messages of the crate
+    /// `flamingowheel-group`.
     fn handle(&self, body: Bytes) -> BoxFuture<'_, Bytes>;
 }
 
 impl Control {
-    /// Prepares a control task; run it with [`Control::run`], on a thread of its own if there is
-    /// one. Tasks that move bytes are spawned on the runtime that this is called on.
+    /// Creates a control task, to be run with [`Control::run`], preferably on a thread of its own.
+    /// Tasks that move the bytes of answers are spawned on the runtime that this is called on.
     pub fn new(
         config: AgentConfig,
         backend: Arc<dyn BackendServer>,
@@ -146,13 +146,13 @@
         (control, AgentHandle { commands, status: status_receiver }, receiver)
     }
 
-    /// Says who carries out orders; without it they are not answered.
+    /// Sets the handler of orders; without one they are not answered.
     pub fn with_order_handler(mut self, orders: Arc<dyn OrderHandler>) -> Self {
         self.orders = Some(orders);
         self
     }
 
-    /// Runs until every handle is gone.
+    /// Handles commands until the command channel is closed.
     pub async fn run(mut self, mut commands: mpsc::Receiver<Command>) {
         let mut tick = tokio::time::interval(TICK);
         tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -177,7 +177,7 @@
                     reply(&sender, AgentMessage::Suspicions(known));
                 }
                 if self.has_prefix_cache() {
-                    // Without it a new entry would know nothing of what has been cached so far.
+                    // Later events don't include the blocks that are cached already.
                     reply(&sender, AgentMessage::CacheEvents(vec![self.cache.snapshot()]));
                 }
                 self.links.insert(link, sender);
@@ -198,7 +198,7 @@
         }
     }
 
-    /// Takes no new work from now on, and tells every entry at once.
+    /// Refuses new requests from now on, and notifies every entry at once.
     fn leave(&mut self, cause: LeaveCause) {
         if std::mem::replace(&mut self.leaving, true) {
             return;
@@ -246,7 +246,7 @@
         let sender = sender.clone();
         self.traffic.spawn(async move {
             let body = orders.handle(body).await;
-            // Whoever asked over a connection that ended asks again.
+            // If the connection has ended, the coordinator sends its request again.
             let _ = sender.send(AgentMessage::OrderAnswer { number, body }).await;
         });
     }
@@ -275,7 +275,7 @@
         self.tell_load();
     }
 
-    /// Says what changed at once, and the same again once a second.
+    /// Broadcasts a changed heartbeat at once, and an unchanged one every [`REPEAT_TICKS`].
     fn tell_load(&mut self) {
         let now = Some(self.heartbeat());
         let (last, age) = &mut self.told;
@@ -291,7 +291,8 @@
         reply(sender, AgentMessage::Accepted { attempt, load: self.load() });
     }
 
-    /// Says "not run", after making sure that a late copy of the dispatch can't run either.
+    /// Refuses an attempt as "not run", after making sure that a late copy of the dispatch can't
+    /// run either.
     fn refuse(
         &mut self,
         sender: &mpsc::Sender<AgentMessage>,
@@ -333,7 +334,7 @@
 
     fn broadcast(&self, message: &AgentMessage) {
         for sender in self.links.values() {
-            // A full queue means the connection is stuck; the next heartbeat says the same.
+            // A full queue means that the connection is stuck; later heartbeats repeat the state.
             let _ = sender.try_send(message.clone());
         }
     }
@@ -362,7 +363,6 @@
     }
 }
 
-/// What a dispatch's events are about.
 fn subject(dispatch: &Dispatch) -> Subject {
     Subject::request(dispatch.attempt.request.0).workspace(dispatch.workspace.as_str())
 }
@@ -378,7 +378,7 @@
     }
 }
 
-/// Which attempt an entry asks about.
+/// The attempt that an attach or cancel message is about.
 #[derive(Clone, Copy)]
 struct Question {
     attempt: AttemptId,
@@ -387,7 +387,7 @@
     window: Window,
 }
 
-/// Sends without waiting; the control task must not wait for one slow connection.
+/// Sends without blocking the control task: if the queue is full, another task waits for room.
 fn reply(sender: &mpsc::Sender<AgentMessage>, message: AgentMessage) {
     if let Err(mpsc::error::TrySendError::Full(message)) = sender.try_send(message) {
         let sender = sender.clone();
--- a/crates/agent/src/control/handle.rs
+++ b/crates/agent/src/control/handle.rs
@@ -1,4 +1,4 @@
-//! How others speak to the control task, and what they see of it.
+//! Commands to the control task, its status, and a handle for both.
 
 use crate::cache::CachePoll;
 use crate::execution::Execution;
@@ -10,76 +10,76 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use uuid::Uuid;
 
-/// What the control task is told.
+/// A command to the control task.
 #[derive(Debug)]
 pub enum Command {
     /// A connection from an entry opened.
     Linked {
-        /// Identifies the connection.
+        /// Number of the connection, unique in this process.
         link: u64,
-        /// Messages to that entry.
+        /// Queue of messages to that entry.
         sender: mpsc::Sender<AgentMessage>,
     },
     /// A connection ended.
     Unlinked {
-        /// Identifies the connection.
+        /// Number that the connection was opened with.
         link: u64,
     },
     /// A message arrived from an entry.
     Received {
-        /// Where answers go.
+        /// Queue of messages to that entry.
         sender: mpsc::Sender<AgentMessage>,
-        /// The message.
+        /// Message as decoded from the connection.
         message: EntryMessage,
     },
     /// An execution ended.
     Ended {
-        /// Which.
+        /// Key that the execution is recorded under.
         key: ExecutionKey,
-        /// How.
+        /// How the run at the backend server ended.
         end: RunEnd,
     },
-    /// The backend server answered a health check, or did not.
+    /// Result of a health check of the backend server.
     Health(Result<LoadReport, BackendError>),
-    /// The engine answered a poll for cache events, or did not.
+    /// Result of a poll of the engine's cache events.
     CacheEvents(CachePoll, Result<Vec<CacheEvent>, BackendError>),
-    /// Take no new work from now on.
+    /// Refuse new requests from now on, because the process is about to end.
     Leave,
-    /// Take new work, or none until told otherwise.
+    /// Admit new requests, or refuse them until admission is opened again.
     SetOpen(bool),
-    /// Somebody wants to know what became of all tickets.
+    /// List all tickets of this process.
     ListTickets(oneshot::Sender<TicketList>),
 }
 
-/// What became of the tickets of this process.
+/// The tickets of this process.
 #[derive(Debug, Default)]
 pub struct TicketList {
-    /// Those with a whole answer.
+    /// Tickets with a complete answer.
     pub finished: Vec<(Uuid, Arc<Execution>)>,
-    /// Those that began, or may have, and have none.
+    /// Tickets that began, or may have begun, and have no complete answer.
     pub unanswered: Vec<Uuid>,
     /// The oldest window whose tickets are all listed.
     pub oldest_window: Window,
-    /// This process takes tickets, and from now on none that is not listed will begin.
+    /// Whether this process serves tickets and none but the listed ones can begin any more.
     pub is_final: bool,
 }
 
-/// What others may see of the agent.
+/// Status of the agent.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AgentStatus {
-    /// No new work is taken.
+    /// Whether new requests are refused because the process is about to end.
     pub leaving: bool,
-    /// No new work is taken until the group has changed its version.
+    /// Whether new requests are refused until the group has changed its model version.
     pub closed: bool,
-    /// Requests that run or wait.
+    /// Number of requests that run or are queued.
     pub in_progress_count: usize,
-    /// Leaving, nothing runs or waits, and every answer has been read.
+    /// Whether the agent is leaving, no request runs or is queued, and every answer has been read.
     pub drained: bool,
-    /// Requests waiting for a place.
+    /// Number of requests queued for a place.
     pub waiting_count: usize,
-    /// Records kept.
+    /// Number of records of attempts and tickets.
     pub record_count: usize,
-    /// Times the backend server died.
+    /// Crashes of the backend server that were observed while requests ran.
     pub crash_count: u32,
     /// Whether the last health check was answered.
     pub backend_up: bool,
@@ -93,17 +93,17 @@
 }
 
 impl AgentHandle {
-    /// Where commands go.
+    /// Sender of commands to the control task.
     pub fn commands(&self) -> &mpsc::Sender<Command> {
         &self.commands
     }
 
-    /// The agent's status as of its last change.
+    /// The agent's present status.
     pub fn status(&self) -> AgentStatus {
         self.status.borrow().clone()
     }
 
-    /// Stops taking new work, and waits until the rest is done and read.
+    /// Refuses new requests, and waits until the others have ended and their answers are read.
     pub async fn drain(&mut self) {
         if self.commands.send(Command::Leave).await.is_err() {
             return;
@@ -111,7 +111,7 @@
         let _ = self.status.wait_for(|status| status.drained).await;
     }
 
-    /// What became of all tickets; nothing, and not final, if the control task is gone.
+    /// Lists all tickets. The list is empty and not final if the control task has ended.
     pub async fn tickets(&self) -> TicketList {
         let (list, tickets) = oneshot::channel();
         let _ = self.commands.send(Command::ListTickets(list)).await;
--- a/crates/agent/src/control/health.rs
+++ b/crates/agent/src/control/health.rs
@@ -1,4 +1,4 @@
-//! The backend server as seen from here: crashes, suspects, its prefix cache.
+//! Health of the backend server, crash suspects, and its prefix cache.
 
 use super::{Command, Control, fingerprint_name};
 use crate::cache::CachePoll;
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 
 impl Control {
-    /// When the backend server dies, whatever ran is what may have killed it.
+    /// Marks all running requests as suspects of the backend server's crash.
     pub(super) fn note_suspects(&mut self) {
         if self.suspects.is_empty() {
             self.suspects = self.running.values().map(|running| running.fingerprint).collect();
@@ -29,7 +29,8 @@
         });
     }
 
-    /// A lost connection alone is no crash: the backend server must be gone or be a new process.
+    /// Handles the answer to a health check. A lost connection alone is no crash: the backend
+    /// server must be down or be a new process.
     pub(super) fn on_health(&mut self, report: Result<LoadReport, BackendError>) {
         self.checking_health = false;
         let was_up = std::mem::replace(&mut self.backend_up, report.is_ok());
@@ -64,7 +65,8 @@
         self.tell_suspicions();
     }
 
-    /// A new engine process has an empty cache; what was known would send prompts there in vain.
+    /// A new engine process has an empty cache. Without this, prompts would still be routed here
+    /// for blocks that are gone.
     pub(super) fn note_process(&mut self, process: Option<u64>) {
         let is_other = process.is_some() && process != self.backend_process;
         if is_other && self.backend_process.is_some() && self.has_prefix_cache() {
@@ -73,7 +75,8 @@
         }
     }
 
-    /// Passes on what changed. Only news counts as a change, so this comes to an end.
+    /// Broadcasts changed suspicions. Only new information counts as a change, so entries and
+    /// agents don't forward the same records for ever.
     pub(super) fn tell_suspicions(&mut self) {
         let changes = self.suspicion.drain_changes(self.started.elapsed());
         if !changes.is_empty() {
@@ -81,7 +84,8 @@
         }
     }
 
-    /// An entry that died can't cancel what it sent; without this the work would go on for nobody.
+    /// Stops idempotent requests that no entry is attached to. An entry that died can't cancel
+    /// them.
     pub(super) fn stop_orphans(&self) {
         for key in self.running.keys() {
             let Some(Record::Execution(execution)) = self.records.get(*key) else { continue };
@@ -109,7 +113,7 @@
         });
     }
 
-    /// After a failed poll the next one asks for the same events again.
+    /// Applies polled events. After a failed poll the next one asks for the same events again.
     pub(super) fn on_cache_events(
         &mut self,
         poll: CachePoll,
@@ -123,7 +127,8 @@
         }
     }
 
-    /// A connection that is stuck misses the message and later gets all that is known instead.
+    /// Sends events to all entries. A link whose queue is full misses them and later gets a
+    /// snapshot.
     pub(super) fn tell_cache(&mut self, events: Vec<flamingowheel_policy::prefix::CacheEvent>) {
         let message = AgentMessage::CacheEvents(events);
         for (link, sender) in &self.links {
--- a/crates/agent/src/control/intake.rs
+++ b/crates/agent/src/control/intake.rs
@@ -1,13 +1,13 @@
-//! Taking no new work while the group changes its version.
+//! Closes admission while the group changes its model version.
 
 use super::Control;
 use flamingowheel_protocol::id::ExecutionKey;
 use flamingowheel_protocol::message::Refusal;
 
 impl Control {
-    /// Closed, it goes on with what runs, and says of what waits that it did not run: another group
-    /// of the model can take that at once. Entries are told like of a backend server that is down,
-    /// so that they send nothing here meanwhile.
+    /// Opens or closes admission. When closed, running requests go on, and queued ones are refused
+    /// as "not run", so that another group of the model can run them at once. Heartbeats then
+    /// report the backend server as down, so that entries send no requests here.
     pub(super) fn set_open(&mut self, open: bool) {
         let closed = !open;
         if std::mem::replace(&mut self.closed, closed) == closed {
--- a/crates/agent/src/control/questions.rs
+++ b/crates/agent/src/control/questions.rs
@@ -1,4 +1,4 @@
-//! Answers about attempts that lost their connection or their caller.
+//! Handling of attach and cancel messages, for attempts that lost their connection or caller.
 
 use super::{Control, Question};
 use crate::execution::{Ending, Execution};
@@ -58,8 +58,8 @@
         }
     }
 
-    /// Says of an attempt, or of its whole ticket, that it did not run and won't. A dispatch may
-    /// still be on its way: without the tombstone it would run after the caller was told so.
+    /// Refuses an attempt, and its ticket if that is voided, as "not run". Tombstones are needed
+    /// because the dispatch may still be on its way, and would run after the caller was told so.
     fn refuse_all(
         &mut self,
         sender: &mpsc::Sender<AgentMessage>,
--- a/crates/agent/src/control/record.rs
+++ b/crates/agent/src/control/record.rs
@@ -1,4 +1,4 @@
-//! What the control task records of executions.
+//! Ticket lists and recorded events of executions.
 
 use super::{Control, Running, TicketList, subject, ticket_name};
 use crate::execution::Ending;
@@ -10,8 +10,8 @@
 use std::sync::Arc;
 
 impl Control {
-    /// What became of the tickets. Once nothing new is taken and nothing is left, the list is final:
-    /// a ticket of its windows that is not in it never began.
+    /// Lists all tickets. Once new requests are refused and none is in progress, the list is final:
+    /// a ticket of its windows that is not listed never began.
     pub(super) fn tickets(&self) -> TicketList {
         let mut list = TicketList {
             oldest_window: self.records.oldest_ticket_window(),
@@ -47,7 +47,7 @@
 
     pub(super) fn record_end(&self, key: ExecutionKey, running: &Running, end: RunEnd) {
         let Some(Record::Execution(execution)) = self.records.get(key) else { return };
-        // A run without a whole answer is told by the attempt's end at the entry.
+        // Entries record the end of attempts without a complete answer.
         if end != RunEnd::Complete {
             return;
         }
--- a/crates/agent/src/control/work.rs
+++ b/crates/agent/src/control/work.rs
@@ -1,4 +1,4 @@
-//! Admission, start and end of work.
+//! Admission, start and end of requests.
 
 use super::{Control, Pending, Running, fingerprint_name, subject, ticket_name};
 use crate::execution::{Ending, Execution, ExecutionSpec};
@@ -23,7 +23,7 @@
     ) {
         let (attempt, key) = (dispatch.attempt, dispatch.key);
         if dispatch.incarnation != self.config.incarnation {
-            // No record is needed: this process never runs what names another.
+            // No tombstone is needed: this process never runs a dispatch for another incarnation.
             return self.refuse_unrecorded(sender, attempt, Refusal::WrongIncarnation);
         }
         if self.records.has_tombstone(attempt) {
@@ -48,7 +48,8 @@
         self.admit(sender, dispatch);
     }
 
-    /// A resend of a ticket joins the one execution; a copy of the same dispatch changes nothing.
+    /// Handles a dispatch whose key has an execution. A resend of a ticket attaches to it; a copy
+    /// of a known dispatch is ignored.
     pub(super) fn on_known(
         &mut self,
         sender: &mpsc::Sender<AgentMessage>,
@@ -148,8 +149,8 @@
         Execution::new(spec, self.records.stored_bytes(dispatch.key).clone())
     }
 
-    /// A request that may kill the backend server runs with nothing beside it, so that it can't
-    /// take others down and so that a crash convicts it alone.
+    /// Whether a request may crash the backend server. It then runs with no other requests, so that
+    /// a crash can neither affect them nor be blamed on them.
     pub(super) fn must_run_alone(&mut self, fingerprint: Fingerprint) -> bool {
         let verdict = self.suspicion.verdict(fingerprint, self.started.elapsed());
         matches!(verdict, Verdict::Alone { .. })
@@ -174,7 +175,7 @@
             self.note_suspects();
         }
         if matches!(end, RunEnd::NotStarted) {
-            // Before the callers hear "not run", no late copy may be able to run.
+            // Tombstones come first: no late copy may run after callers were told "not run".
             self.bury_all(key);
             self.finish(key, Ending::NotRun(Refusal::BackendDown));
             self.records.remove_ticket(key);
@@ -201,7 +202,7 @@
         self.recorder.record(Event::SuspectCleared { fingerprint });
     }
 
-    /// Ends work that has not begun.
+    /// Ends a request that has not begun.
     pub(super) fn give_up(&mut self, key: ExecutionKey, refusal: Refusal) {
         self.bury_all(key);
         self.pending.remove(&key);
@@ -212,7 +213,8 @@
     pub(super) fn bury_all(&mut self, key: ExecutionKey) {
         let Some(Record::Execution(execution)) = self.records.get(key) else { return };
         for attempt in Arc::clone(execution).attempts() {
-            // An attempt of idempotent work has its execution as record already.
+            // The key of an idempotent request is its attempt, which has the execution as its
+            // record.
             if ExecutionKey::Attempt(attempt) != key {
                 self.records.add_attempt_tombstone(attempt);
             }
--- a/crates/agent/src/execution.rs
+++ b/crates/agent/src/execution.rs
@@ -1,8 +1,8 @@
-//! One execution: its answer so far, and the attempts that listen to it.
+//! An execution: its answer so far, and the attempts that are attached to it.
 //!
-//! The task that reads the backend server appends; one task per attached attempt sends. Chunks
-//! are numbered, and a bounded part of them is kept, so that an attempt can move to another
-//! connection and go on from the first chunk it lacks.
+//! The task that reads from the backend server appends chunks; one task per attached attempt sends
+//! them. Chunks are numbered, and a bounded number of bytes is kept, so that an attempt can move to
+//! another connection and continue with the first chunk it lacks.
 
 use crate::load::LoadCell;
 use crate::stored::StoredBytes;
@@ -15,54 +15,53 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-/// Chunks sent beyond the last acknowledged one at the most.
+/// Upper bound on unacknowledged chunks that are sent.
 const SEND_WINDOW_CHUNKS: u64 = 1024;
 
-/// Chunks put into one turn of sending.
+/// Messages collected under one lock of the answer.
 const TURN_CHUNKS: usize = 64;
 
-/// Memory that a chunk takes beside its bytes. Without it an answer of very many tiny chunks would
-/// hardly count.
+/// Memory that a chunk takes besides its bytes. Without it, an answer of many tiny chunks would be
+/// counted far too small.
 const CHUNK_OVERHEAD_BYTES: usize = std::mem::size_of::<Bytes>();
 
-/// Media type of event streams.
 const EVENT_STREAM: &str = "text/event-stream";
 
 /// How an execution ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// The whole answer is there.
+    /// The answer is complete.
     Complete,
-    /// It may have run; there is no whole answer.
+    /// The request may have run; there is no complete answer.
     Failed(Failure),
-    /// It did not run and won't.
+    /// The request did not run and never will.
     NotRun(Refusal),
 }
 
-/// What an execution is, fixed from its start.
+/// Properties of an execution that don't change.
 #[derive(Clone, Debug)]
 pub struct ExecutionSpec {
     /// Hash of workspace, route and body.
     pub fingerprint: Fingerprint,
     /// Whether running it twice is harmless.
     pub idempotent: bool,
-    /// Bytes of the answer kept for replay.
+    /// Bytes of the answer that are kept for replay.
     pub max_replay_bytes: usize,
-    /// The backend server can go on with an event stream from a given event.
+    /// Whether the backend server can resume an event stream after a given event.
     pub can_resume: bool,
-    /// Number of the first chunk that this execution yields; an earlier agent process yielded
-    /// those before it.
+    /// Number of this execution's first chunk. Above zero if an earlier agent process sent the
+    /// chunks before it.
     pub first_chunk: u64,
 }
 
-/// A whole answer, gathered.
+/// A complete answer in one piece.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CompleteAnswer {
-    /// The HTTP status.
+    /// HTTP status from the backend server.
     pub status: u16,
     /// Media type of the body.
     pub content_type: String,
-    /// The body.
+    /// All chunks of the body, joined.
     pub body: Bytes,
 }
 
@@ -102,13 +101,13 @@
     fn keep(&mut self, chunk: Bytes) {
         self.kept_bytes += chunk.len();
         self.stored.add(chunk.len() + CHUNK_OVERHEAD_BYTES);
-        // What came in is a slice of a connection's buffer; kept for minutes it would hold all of that
-        // buffer, which nobody counts.
+        // The chunk is a slice of the connection's buffer. Keeping it would keep that whole buffer
+        // alive for minutes, uncounted.
         let chunk = Bytes::copy_from_slice(&chunk);
         self.chunks.push_back(chunk);
     }
 
-    /// The first chunk that some listener may still need sent again.
+    /// The first chunk that some listener has not acknowledged and may need again.
     fn needed_from(&self) -> Option<u64> {
         self.listeners.iter().map(|listener| listener.next_unacknowledged).min()
     }
@@ -131,7 +130,8 @@
 }
 
 impl Execution {
-    /// An execution that has not begun, whose answer counts as stored for as long as it is kept.
+    /// An execution that has not begun. The bytes of its answer are counted in `stored` until it is
+    /// dropped.
     pub fn new(spec: ExecutionSpec, stored: StoredBytes) -> Self {
         let mut answer = Answer::default();
         answer.no_listeners_since = Some(Instant::now());
@@ -146,22 +146,22 @@
         }
     }
 
-    /// What it is.
+    /// Properties that the execution was created with.
     pub fn spec(&self) -> &ExecutionSpec {
         &self.spec
     }
 
-    /// Fires when the execution should be stopped.
+    /// Token that stops the execution when cancelled.
     pub fn stop_token(&self) -> &CancellationToken {
         &self.stop
     }
 
-    /// Whether it ended.
+    /// Whether the execution has ended.
     pub fn is_over(&self) -> bool {
         self.lock().ending.is_some()
     }
 
-    /// The attempts attached now.
+    /// The attempts that are attached now.
     pub fn attempts(&self) -> Vec<AttemptId> {
         self.lock().listeners.iter().map(|listener| listener.attempt).collect()
     }
@@ -171,12 +171,12 @@
         self.lock().listeners.iter().any(|listener| listener.attempt == attempt)
     }
 
-    /// Since when nobody listens, if nobody does.
+    /// Since when no attempt is attached; `None` if one is.
     pub fn no_listeners_since(&self) -> Option<Instant> {
         self.lock().no_listeners_since
     }
 
-    /// Whether somebody is still being sent the answer.
+    /// Whether an attempt is attached.
     pub fn has_listeners(&self) -> bool {
         !self.lock().listeners.is_empty()
     }
@@ -214,7 +214,7 @@
         generation
     }
 
-    /// Takes an attempt off; tells whether others remain.
+    /// Detaches an attempt; returns whether others remain attached.
     pub fn detach(&self, attempt: AttemptId) -> bool {
         let mut answer = self.lock();
         answer.listeners.retain(|listener| listener.attempt != attempt);
@@ -228,7 +228,7 @@
         others
     }
 
-    /// Takes off the listener whose connection ended, unless the attempt has moved on already.
+    /// Detaches an attempt whose connection ended, unless it has attached again since.
     fn detach_generation(&self, attempt: AttemptId, generation: u64) {
         let current = self
             .lock()
@@ -240,8 +240,8 @@
         }
     }
 
-    /// Keeps no chunk of an answer that nobody can ask for again: it was read to its end, and only
-    /// event streams are gone on with through another entry.
+    /// Drops the chunks of an ended answer that no attempt can request again: only event streams
+    /// can be resumed through another entry.
     pub fn discard_unresumable(&self) {
         let mut answer = self.lock();
         let is_events =
@@ -254,7 +254,7 @@
         }
     }
 
-    /// Notes that all chunks below `next_chunk` arrived.
+    /// Records that an attempt has received all chunks below `next_chunk`.
     pub fn acknowledge(&self, attempt: AttemptId, next_chunk: u64) {
         let mut answer = self.lock();
         for listener in answer.listeners.iter_mut().filter(|l| l.attempt == attempt) {
@@ -265,14 +265,15 @@
         self.room.notify_one();
     }
 
-    /// Notes status and media type.
+    /// Sets status and media type of the answer.
     pub fn set_head(&self, status: u16, content_type: String) {
         self.lock().head = Some((status, content_type));
         self.changed.notify_waiters();
     }
 
-    /// Appends a chunk. Waits while the bound on kept bytes is reached and the listeners still
-    /// need what is kept; answers to non-idempotent work never wait for listeners.
+    /// Appends a chunk. While the bound on kept bytes is reached, drops chunks that all listeners
+    /// have acknowledged, or else waits. Answers to requests that are not idempotent must be kept
+    /// whole, so they fail at the bound instead.
     pub async fn push(&self, data: Bytes) -> Result<(), Failure> {
         let mut data = Some(data);
         loop {
@@ -304,31 +305,32 @@
         Ok(true)
     }
 
-    /// Ends the execution; only the first ending counts.
+    /// Ends the execution. Later calls have no effect.
     pub fn finish(&self, ending: Ending) {
         self.lock().ending.get_or_insert(ending);
         self.changed.notify_waiters();
     }
 
-    /// Number of chunks so far, those of an earlier agent process included.
+    /// Number of chunks so far, including those of an earlier agent process.
     pub fn chunk_count(&self) -> u64 {
         self.lock().next()
     }
 
-    /// Whether the backend server can be asked for the rest of the answer. Engines count events,
-    /// so only of an event stream that has begun.
+    /// Whether the backend server can be asked to resume the answer. Engines count events, so this
+    /// is limited to event streams that have begun.
     pub fn may_resume(&self) -> bool {
         let answer = self.lock();
         let events = answer.head.as_ref().is_some_and(|(_, kind)| kind.starts_with(EVENT_STREAM));
         events && self.spec.can_resume && self.spec.idempotent && answer.ending.is_none()
     }
 
-    /// How it ended.
+    /// How the execution ended; `None` while it is in progress.
     pub fn ending(&self) -> Option<Ending> {
         self.lock().ending
     }
 
-    /// The answer, if all of it is here and its body is not larger than `max_bytes`.
+    /// The answer, if it is complete and kept from its first chunk, and its body is at most
+    /// `max_bytes`.
     pub fn complete_answer(&self, max_bytes: usize) -> Option<CompleteAnswer> {
         let answer = self.lock();
         let is_whole = answer.ending == Some(Ending::Complete) && answer.first == 0;
@@ -347,7 +349,7 @@
     }
 }
 
-/// Sends one attempt what it lacks.
+/// Task that sends the answer to one attempt.
 struct Feeder {
     execution: Arc<Execution>,
     attempt: AttemptId,
@@ -359,15 +361,15 @@
     load: LoadCell,
 }
 
-/// What a feeder does after a turn.
+/// What the task does after it has sent the collected messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Turn {
-    /// Nothing to send now. Also after the end, so that a lost connection is noticed and the
-    /// answer does not count as being read for ever.
+    /// Wait for a change. Also after the end of the answer, so that a lost connection detaches the
+    /// attempt.
     Wait,
-    /// There is more.
+    /// Collect again at once.
     Again,
-    /// The attempt was detached or moved to another connection.
+    /// End, because the attempt was detached or moved to another connection.
     Gone,
 }
 
@@ -400,7 +402,7 @@
         }
     }
 
-    /// Takes what can be sent now.
+    /// Collects the messages that can be sent now.
     fn collect(&mut self, messages: &mut Vec<AgentMessage>) -> Turn {
         let answer = self.execution.lock();
         let listener = answer
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,8 +1,8 @@
-//! The process in the slot of a backend server VM: the only way to its backend server.
+//! The agent: a process beside a backend server, through which all requests to that server pass.
 //!
-//! It admits or refuses work, remembers what ran, cancels, replays streams and tells its load.
-//! All decisions are made by one control task that owns the state ([`control`]); the bytes of
-//! answers are moved by other tasks ([`execution`]).
+//! It admits or refuses requests, records what ran, cancels requests, replays streams and reports
+//! its load. One control task owns the state and makes all decisions ([`control`]); other tasks
+//! move the bytes of answers ([`execution`]).
 
 pub mod archive;
 pub mod cache;
--- a/crates/agent/src/load.rs
+++ b/crates/agent/src/load.rs
@@ -1,21 +1,21 @@
-//! The agent's load, readable without locks by every task that sends a message.
+//! The agent's load, readable without locks by all tasks that report it.
 
 use flamingowheel_protocol::message::Load;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Written by the control task, read by all. Packed into one word, so that a reader never sees
-/// half of an update.
+/// Shared load, written by the control task. It is packed into one word, so that readers never see
+/// a partial update.
 #[derive(Clone, Debug, Default)]
 pub struct LoadCell(Arc<AtomicU64>);
 
 /// Longest mean service time that fits the packed form, about 18 hours.
 const MAX_SERVICE_MS: u32 = (1 << 26) - 1;
-/// Most requests or places that fit.
+/// Largest number of requests or places that fits the packed form.
 const MAX_COUNT: u16 = (1 << 12) - 1;
 
 impl LoadCell {
-    /// Publishes the load.
+    /// Sets the load; values that don't fit are capped.
     pub fn set(&self, load: Load) {
         let count = |value: u16| u64::from(value.min(MAX_COUNT));
         let service = u64::from(load.service_ms.min(MAX_SERVICE_MS));
@@ -26,7 +26,7 @@
         self.0.store(packed, Ordering::Relaxed);
     }
 
-    /// Reads the load.
+    /// Returns the last load set.
     ///
     /// ```
     /// use flamingowheel_agent::load::LoadCell;
--- a/crates/agent/src/records.rs
+++ b/crates/agent/src/records.rs
@@ -1,9 +1,9 @@
-//! What the agent remembers of attempts and tickets, in windows of its own uptime.
+//! Records of attempts and tickets, kept in windows of the agent's uptime.
 //!
-//! "Not run" may only be said of work that can't run later. The network can deliver a dispatch
-//! late or twice, so the agent remembers every attempt it answered, and a message that names a
-//! window older than its memory is never run. So forgetting a window is safe: what is forgotten
-//! is refused.
+//! The outcome "not run" may only be given for a request that can't run later. The network can
+//! deliver a dispatch late or twice, so the agent records every attempt that it answered, and never
+//! runs a dispatch from a window that is older than its records. So dropping a window is safe: its
+//! dispatches are refused from then on.
 
 use crate::config::AgentConfig;
 use crate::execution::Execution;
@@ -13,24 +13,24 @@
 use std::sync::Arc;
 use tokio::time::Instant;
 
-/// The part of the tickets' records, beyond their bound, that tickets given up may take.
+/// Tombstones of tickets may exceed the bound on tickets by one part in this many.
 const TOMBSTONE_SHARE: usize = 4;
 
-/// What is known of a key.
+/// Record of an attempt or a ticket.
 #[derive(Clone, Debug)]
 pub enum Record {
-    /// It did not run and never will.
+    /// The request did not run and must never run.
     Tombstone,
-    /// It is queued, running or finished.
+    /// The request is queued, running or finished.
     Execution(Arc<Execution>),
 }
 
-/// The store is full and nothing in it may be forgotten.
+/// The bound on records or their bytes is reached, and no record may be dropped early.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("record store full")]
 pub struct RecordsFull;
 
-/// Keys of one kind, by the window in which they were filed.
+/// Records of one kind, with their keys by window.
 #[derive(Debug, Default)]
 struct Shelf {
     records: HashMap<ExecutionKey, Record>,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Closes all windows before `oldest`. Work in progress moves on to the window `now`.
+    /// Drops all windows before `oldest`. Requests in progress move to the window `now`.
     fn close_before(&mut self, oldest: Window, now: Window) {
         self.oldest = self.oldest.max(oldest);
         let kept = self.windows.split_off(&self.oldest);
@@ -62,7 +62,7 @@
     }
 }
 
-/// All records of an agent.
+/// All records of an agent process.
 #[derive(Debug)]
 pub struct Records {
     started: Instant,
@@ -80,7 +80,7 @@
 }
 
 impl Records {
-    /// An empty store for a process that starts now.
+    /// An empty store; its first window begins now.
     pub fn new(config: &AgentConfig) -> Self {
         Self {
             started: Instant::now(),
@@ -98,31 +98,31 @@
         }
     }
 
-    /// The present window. Starts at 1, so that 0 is older than anything.
+    /// The present window. Windows begin at 1, so 0 is older than all of them.
     pub fn window(&self) -> Window {
         let uptime_ms = self.started.elapsed().as_millis() as u64;
         Window((uptime_ms / self.window_ms) as u32 + 1)
     }
 
-    /// Forgets what is older than the configured time.
+    /// Drops windows that are older than the configured number of windows.
     pub fn expire(&mut self) {
         let now = self.window();
         self.attempts.close_before(Window(now.0.saturating_sub(self.attempt_windows)), now);
         self.tickets.close_before(Window(now.0.saturating_sub(self.ticket_windows)), now);
     }
 
-    /// What is known of a key.
+    /// The record of a key, if there is one.
     pub fn get(&self, key: ExecutionKey) -> Option<&Record> {
         self.shelf(key).records.get(&key)
     }
 
-    /// Whether this very attempt was told that it does not run.
+    /// Whether this attempt has a tombstone.
     pub fn has_tombstone(&self, attempt: AttemptId) -> bool {
         matches!(self.get(ExecutionKey::Attempt(attempt)), Some(Record::Tombstone))
     }
 
-    /// Whether `window` is older than the records for `key` reach, so that its absence proves
-    /// nothing.
+    /// Whether the key's window, `window` for an attempt, is older than the kept records or later
+    /// than the present. The absence of a record then proves nothing.
     pub fn is_outside_retention(&self, key: ExecutionKey, window: Window) -> bool {
         let window = match key {
             ExecutionKey::Attempt(_) => window,
@@ -131,10 +131,12 @@
         window < self.shelf(key).oldest || window > self.window()
     }
 
-    /// Files an execution. The number of attempts always finds room, since closing old windows is
-    /// safe; that of tickets does not, since closing their windows early would break the promised
-    /// record time. Bytes of answers have a bound of their own for either: work orders must not be
-    /// kept out by what others stream.
+    /// Records an execution.
+    ///
+    /// At the bound on attempts old windows are dropped early, which is safe. At the bound on
+    /// tickets new ones are refused, since tickets must be kept for the promised time. Bytes of
+    /// answers have separate bounds for attempts and tickets, so that streams can't keep tickets
+    /// out.
     pub fn insert(
         &mut self,
         key: ExecutionKey,
@@ -153,7 +155,7 @@
         Ok(())
     }
 
-    /// Makes sure that an attempt can't run from now on.
+    /// Records a tombstone, so that an attempt can't run from now on.
     pub fn add_attempt_tombstone(&mut self, attempt: AttemptId) {
         self.make_room();
         let key = ExecutionKey::Attempt(attempt);
@@ -161,7 +163,7 @@
         self.attempts.insert(window, key, Record::Tombstone);
     }
 
-    /// Makes sure that a key can't run from now on.
+    /// Records a tombstone, so that a key can't run from now on.
     pub fn add_tombstone(&mut self, key: ExecutionKey) -> Result<(), RecordsFull> {
         if let ExecutionKey::Attempt(attempt) = key {
             self.add_attempt_tombstone(attempt);
@@ -176,19 +178,19 @@
         Ok(())
     }
 
-    /// Takes a ticket's record out again, because its work provably did not start.
+    /// Removes the record of a ticket whose request certainly did not start.
     pub fn remove_ticket(&mut self, key: ExecutionKey) {
         if matches!(key, ExecutionKey::Ticket { .. }) {
             self.tickets.records.remove(&key);
         }
     }
 
-    /// The oldest window whose tickets are all on record.
+    /// The oldest window whose tickets are all recorded.
     pub fn oldest_ticket_window(&self) -> Window {
         self.tickets.oldest
     }
 
-    /// Where the answer filed under `key` is counted.
+    /// The counter of answer bytes for keys of this kind.
     pub fn stored_bytes(&self, key: ExecutionKey) -> &StoredBytes {
         match key {
             ExecutionKey::Attempt(_) => &self.stored_of_attempts,
@@ -196,17 +198,17 @@
         }
     }
 
-    /// Number of records kept.
+    /// Number of records, tombstones included.
     pub fn len(&self) -> usize {
         self.attempts.records.len() + self.tickets.records.len()
     }
 
-    /// Whether nothing is kept.
+    /// Whether there are no records.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// All executions that are known.
+    /// All recorded executions.
     pub fn executions(&self) -> impl Iterator<Item = (&ExecutionKey, &Arc<Execution>)> {
         let all = self.attempts.records.iter().chain(&self.tickets.records);
         all.filter_map(|(key, record)| match record {
@@ -215,15 +217,15 @@
         })
     }
 
-    /// How many tickets' records there may be when one more is given up. Work stops at
-    /// `max_tickets`; without room beyond it an agent that is full could prove nothing of a ticket
-    /// that it refuses, and its work could go nowhere else.
+    /// Bound on records of tickets for adding a tombstone. New executions stop at `max_tickets`.
+    /// Without room beyond it, a full agent could not prove that a refused ticket never runs, and
+    /// the ticket could not be run elsewhere.
     fn max_tombstones(&self) -> usize {
         self.max_tickets + self.max_tickets / TOMBSTONE_SHARE + 1
     }
 
-    /// Whether another ticket's answer may be stored. What runs already may exceed the bound by
-    /// its own answers; those are bounded each.
+    /// Whether another ticket may be recorded. Running requests may exceed the bound by their
+    /// answers, each of which is bounded.
     fn has_room(&self) -> bool {
         self.tickets.records.len() < self.max_tickets && self.stored.get() < self.max_bytes
     }
@@ -233,15 +235,15 @@
         while self.attempts.records.len() >= self.max_attempts {
             let Some(first) = self.attempts.windows.keys().next().copied() else { return };
             self.attempts.close_before(Window(first.0 + 1), now);
-            // With the present window closed too, everything is refused until the next one
-            // begins; running work is still on record, so the loop would not end.
+            // The present window is closed now too, so all dispatches are refused until the next
+            // one begins. Running requests keep their records, so the loop would not end.
             if first >= now {
                 return;
             }
         }
     }
 
-    /// A ticket is filed under its own window, so that it is forgotten exactly when resends of it
+    /// A ticket is recorded under its own window, so that it is dropped exactly when resends of it
     /// begin to be refused.
     fn filing_window(&self, key: ExecutionKey) -> Window {
         match key {
--- a/crates/agent/src/runner.rs
+++ b/crates/agent/src/runner.rs
@@ -1,4 +1,4 @@
-//! Carries one execution's answer from the backend server into its buffer.
+//! Runs one execution at the backend server and copies the answer into its buffer.
 
 use crate::control::Command;
 use crate::execution::{Ending, Execution};
@@ -12,25 +12,25 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// How often one execution's stream is gone on with over a fresh connection.
+/// How often the stream of one execution is resumed over a new connection.
 const MAX_RESUMES: usize = 2;
 
-/// How long the backend server may take until a stream goes on.
+/// Timeout for the backend server to accept a call that resumes a stream.
 const RESUME_LIMIT: Duration = Duration::from_secs(3);
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunEnd {
-    /// The whole answer is in the buffer.
+    /// The complete answer is in the buffer.
     Complete,
-    /// It may have run; there is no whole answer.
+    /// The request may have run; there is no complete answer.
     Failed(Failure),
-    /// The backend server refused the connection, so it did not start. The control task ends the
-    /// execution, because it must make sure first that no late copy runs.
+    /// The backend server refused the connection, so the request did not start. The control task
+    /// ends the execution, because it must first make sure that no late copy runs.
     NotStarted,
 }
 
-/// Runs a dispatch to its end and tells the control task.
+/// Runs a dispatch to its end and notifies the control task.
 pub async fn run(
     backend: Arc<dyn BackendServer>,
     dispatch: Box<Dispatch>,
@@ -55,11 +55,11 @@
     let _ = commands.send(Command::Ended { key, end }).await;
 }
 
-/// Carries the answer. A stream that goes silent is gone on with over a fresh connection, from the
-/// first event that is missing, if the backend server can do that.
+/// Calls the backend server and copies the answer. A stream that goes silent is resumed over a new
+/// connection, from the first missing event, if the backend server supports that.
 ///
-/// One that breaks off is not: the backend server may have died of this very request, and sending
-/// it again at once would kill the next process too.
+/// A stream whose connection breaks is not resumed: the backend server may have crashed because of
+/// this request, and sending it again at once could crash the next process too.
 async fn carry(
     backend: &dyn BackendServer,
     id: &str,
@@ -79,7 +79,7 @@
             break;
         }
         let rest = BackendCall { resume_after_events: execution.chunk_count(), ..call.clone() };
-        // A backend server that is frozen as a whole answers no call; the caller must hear of it.
+        // A backend server that is frozen answers no call; the request must fail nonetheless.
         end = match timeout(RESUME_LIMIT, backend.call(rest)).await {
             Ok(Ok(answer)) => pour(answer, execution).await,
             Ok(Err(_)) | Err(_) => break,
@@ -95,7 +95,7 @@
         path: dispatch.path.clone(),
         content_type: dispatch.content_type.clone(),
         body: dispatch.body.clone(),
-        // Engines take the lower number first.
+        // Engines run lower numbers first.
         priority: Priority(u8::MAX - dispatch.priority),
         resume_after_events: dispatch.resume_after_chunks,
     })
@@ -117,8 +117,8 @@
     }
 }
 
-/// The same for all attempts of a request, so that an engine can resume what an earlier agent
-/// process had begun.
+/// The id is the same for all attempts of a request, so that an engine can resume one that an
+/// earlier agent process began.
 fn call_id(dispatch: &Dispatch) -> String {
     match dispatch.key {
         ExecutionKey::Attempt(attempt) => attempt.request.0.to_string(),
--- a/crates/agent/src/serve.rs
+++ b/crates/agent/src/serve.rs
@@ -1,4 +1,4 @@
-//! Takes connections from entries and hands their messages to the control task.
+//! Accepts connections from entries and passes their messages to the control task.
 
 use crate::config::AgentConfig;
 use crate::control::{AgentHandle, Command};
@@ -10,11 +10,11 @@
 use tokio::net::TcpListener;
 use tokio_util::sync::CancellationToken;
 
-/// Numbers connections within the process.
+/// Number of the next connection.
 static LINKS: AtomicU64 = AtomicU64::new(1);
 
-/// How the agent introduces itself.
-pub fn identity(config: &AgentConfig, key: FleetKey, keeping: LinkOptions) -> Identity {
+/// The identity that the agent presents to entries.
+pub fn identity(config: &AgentConfig, key: FleetKey, link_options: LinkOptions) -> Identity {
     let hello = Hello {
         name: config.name.clone(),
         incarnation: config.incarnation,
@@ -23,10 +23,10 @@
         operators: config.operators,
         role: Role::Agent(config.profile.clone()),
     };
-    Identity { hello, key, link_options: keeping }
+    Identity { hello, key, link_options }
 }
 
-/// Accepts and attends connections until `stop` fires; then they close.
+/// Accepts and handles connections until `stop` fires, which also closes them.
 pub async fn serve(
     listener: TcpListener,
     identity: Identity,
@@ -36,7 +36,7 @@
     accept_links(listener, identity, stop, move |link| handle_link(link, agent.clone())).await;
 }
 
-/// Hands the messages of one connection to the control task until it ends.
+/// Passes the messages of one connection to the control task until the connection ends.
 pub async fn handle_link(mut link: Link<AgentMessage, EntryMessage>, agent: AgentHandle) {
     let number = LINKS.fetch_add(1, Ordering::Relaxed);
     let commands = agent.commands();
--- a/crates/agent/src/stored.rs
+++ b/crates/agent/src/stored.rs
@@ -1,9 +1,9 @@
-//! How many bytes of answers the tickets' records hold together.
+//! Count of the answer bytes that records hold.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Shared by all executions that count into it; each takes off what it added when it goes.
+/// Counter shared by all executions of one kind; each subtracts what it added when it is dropped.
 ///
 /// ```
 /// use flamingowheel_agent::stored::StoredBytes;
@@ -16,17 +16,17 @@
 pub struct StoredBytes(Arc<AtomicUsize>);
 
 impl StoredBytes {
-    /// Counts bytes that are kept from now on.
+    /// Adds bytes that are kept from now on.
     pub fn add(&self, bytes: usize) {
         self.0.fetch_add(bytes, Ordering::Relaxed);
     }
 
-    /// Takes off bytes that were added before.
+    /// Subtracts bytes that were added before.
     pub fn remove(&self, bytes: usize) {
         self.0.fetch_sub(bytes, Ordering::Relaxed);
     }
 
-    /// Bytes kept now.
+    /// Returns the bytes kept now.
     pub fn get(&self) -> usize {
         self.0.load(Ordering::Relaxed)
     }
--- a/crates/agent/tests/agent.rs
+++ b/crates/agent/tests/agent.rs
@@ -1,4 +1,4 @@
-//! What an agent promises to entries, with faked backend servers and a paused clock.
+//! Guarantees of an agent to entries, with fake backend servers and a paused clock.
 
 mod session;
 
@@ -21,8 +21,8 @@
     service
 }
 
-// The network delivers a dispatch twice: first it is refused because all places are taken, then
-// places become free and the late copy arrives. Its caller was told "not run", so it must not run.
+// The network delivers a dispatch twice: the first copy is refused because all places are taken,
+// and the second arrives when places are free. The caller was told "not run", so it must not run.
 #[tokio::test(start_paused = true)]
 async fn dispatch_refused_late_copy_does_not_run() {
     let service = slow_service();
@@ -41,8 +41,8 @@
     assert_eq!(service.executions(b"c"), 0);
 }
 
-// An entry gives up before its dispatch has arrived and tells the caller "not run" on the agent's
-// word. The dispatch, delayed on its way, must be refused when it comes.
+// A cancel message arrives before its dispatch, and the caller is told "not run". The late dispatch
+// must be refused.
 #[tokio::test(start_paused = true)]
 async fn cancel_overtakes_dispatch() {
     let service = FakeService::new(1);
@@ -55,8 +55,8 @@
     assert_eq!(service.executions(b"repair box 17"), 0);
 }
 
-// The connection is lost together with the dispatch. The entry asks over a fresh one; the answer
-// is proof, even if the dispatch turns up afterwards.
+// The connection is lost along with the dispatch, and the entry attaches over a new one. The
+// agent's answer "never arrived" must hold even if the dispatch arrives afterwards.
 #[tokio::test(start_paused = true)]
 async fn attach_dispatch_never_arrived() {
     let service = FakeService::new(1);
@@ -69,8 +69,8 @@
     assert_eq!(service.executions(b"a"), 0);
 }
 
-// A dispatch to the process that ran here before comes after a restart. Nobody knows whether that
-// process ran it, so this one must not.
+// A dispatch to an earlier agent process arrives after a restart. That process may have run it
+// already, so this one must not.
 #[tokio::test(start_paused = true)]
 async fn dispatch_to_earlier_incarnation() {
     let service = FakeService::new(1);
@@ -82,8 +82,7 @@
     assert_eq!(service.executions(b"payout 5"), 0);
 }
 
-// A dispatcher clicks twice, and both clicks come through different entries at the same moment.
-// One crew goes out, and both screens show it.
+// A ticket arrives twice at the same time. It must run once, and both attempts must get its answer.
 #[tokio::test(start_paused = true)]
 async fn ticket_twice_at_once_runs_once() {
     let service = slow_service();
@@ -100,8 +99,8 @@
     assert_eq!(service.executions(b"crew"), 1);
 }
 
-// The same ticket comes with another body: a program reuses it by mistake. The second work must
-// not pass for the first.
+// A client reuses a ticket with another body by mistake. The second request must not get the answer
+// of the first.
 #[tokio::test(start_paused = true)]
 async fn ticket_other_body_refused() {
     let service = FakeService::new(1);
@@ -115,8 +114,7 @@
     assert_eq!(service.executions(b"box 18"), 0);
 }
 
-// A ticket is given up while another copy of its work waits for a place. The copy that is told
-// "not run" must not run, nor may any other.
+// A ticket is voided before its dispatch arrives. The dispatch must not run.
 #[tokio::test(start_paused = true)]
 async fn void_ticket_never_runs() {
     let service = FakeService::new(1);
@@ -131,7 +129,8 @@
     assert_eq!(service.executions(b"takedown"), 0);
 }
 
-// A resend comes after the record's time. The agent has forgotten whether it ran, so it refuses.
+// A resend arrives after its ticket's record was dropped. The agent can't know whether it ran, so
+// it must refuse it.
 #[tokio::test(start_paused = true)]
 async fn ticket_after_record_time_refused() {
     let service = FakeService::new(1);
@@ -151,8 +150,8 @@
     assert_eq!(service.executions(b"payout 6"), 1);
 }
 
-// More work orders come within the record time than there is room for records. New ones are
-// refused; none that ran is forgotten.
+// More tickets arrive within the retention time than there may be records. New ones must be
+// refused, and no ticket that ran may be dropped.
 #[tokio::test(start_paused = true)]
 async fn ticket_records_full_refused_not_forgotten() {
     let service = FakeService::new(1);
@@ -174,8 +173,8 @@
     assert_eq!(service.executions(b"crew"), 2);
 }
 
-// The answers of work orders fill the agent's memory before there are many records. New work orders are refused; the answers of old ones are still given, and there is room
-// again once their record time is over.
+// The answers of tickets reach the bound on bytes before the bound on records. New tickets must be
+// refused and old ones answered, until the old records expire.
 #[tokio::test(start_paused = true)]
 async fn ticket_answers_reach_byte_bound_refused_not_forgotten() {
     let one = FakeService::answer(b"crew", 1).len() + size_of::<Bytes>();
@@ -213,7 +212,7 @@
     assert_eq!(service.executions(b"crew"), 3);
 }
 
-// Idempotent answers are no records of tickets: many of them must not keep work orders out.
+// Answers to idempotent requests must not count towards the bound on tickets' answers.
 #[tokio::test(start_paused = true)]
 async fn idempotent_answers_take_no_record_bytes() {
     let mut config = config();
@@ -229,8 +228,8 @@
     session.whole(order.attempt).await;
 }
 
-// The connection to the engine goes silent in the middle of a stream while new ones work. The
-// caller must see the stream go on, without a missing or repeated token.
+// The connection to the engine goes silent in the middle of a stream. The stream must be resumed
+// over a new connection, without missing or repeated tokens.
 #[tokio::test(start_paused = true)]
 async fn stream_silent_engine_connection_replaced() {
     let engine = FakeEngine::new(1, EngineSettings::default());
@@ -247,8 +246,8 @@
     assert!(chunks.into_iter().map(|(_, data)| data).eq(expected));
 }
 
-// The connection to an entry is lost in the middle of a stream; the entry asks from the first
-// chunk that it lacks.
+// The connection to an entry is lost in the middle of a stream. The entry attaches again and must
+// get the stream from the first chunk that it lacks.
 #[tokio::test(start_paused = true)]
 async fn attach_goes_on_from_chunk() {
     let engine = FakeEngine::new(1, EngineSettings::default());
@@ -274,8 +273,8 @@
     assert!(numbers.into_iter().eq(seen..count));
 }
 
-// A request makes the engine crash; its caller sends it again. This backend server refuses it from
-// then on, and the entries hear of it.
+// A request makes the engine crash and is sent again. The agent must refuse it from then on and
+// report the suspicion to entries.
 #[tokio::test(start_paused = true)]
 async fn crash_makes_suspect() {
     let engine = FakeEngine::new(1, EngineSettings::default());
@@ -303,8 +302,8 @@
     assert_eq!(engine.crashes(), 1);
 }
 
-// The VM is about to leave. New work is refused at once, what runs ends whole, and a resend of
-// finished work still gets its answer until the process ends.
+// The VM is about to leave. New requests must be refused at once, running ones must complete, and
+// resends of finished tickets must be answered until the process ends.
 #[tokio::test(start_paused = true)]
 async fn leave_refuses_new_and_finishes_old() {
     let service = slow_service();
@@ -330,8 +329,8 @@
     assert_eq!(service.executions(b"crew"), 1);
 }
 
-// The entry that sent a request died. Nobody will read the answer, so the work is stopped after a
-// while instead of holding a place.
+// The entry that sent a request died. The request must be stopped after a while, or it would hold a
+// place although nobody reads the answer.
 #[tokio::test(start_paused = true)]
 async fn orphan_stopped() {
     let engine = FakeEngine::new(1, EngineSettings::default());
@@ -345,8 +344,8 @@
     assert_eq!(engine.runs_of_body(&request.body).cancelled, 1);
 }
 
-// The group of a backend server changes its version. What runs must end whole, what waits is said not
-// to have run, so that another group takes it, and neither it nor what comes later runs here.
+// The group of a backend server changes its version. Running requests must complete; queued and new
+// ones must be refused as "not run", so that another group can run them.
 #[tokio::test(start_paused = true)]
 async fn set_open_closed_ends_what_runs_and_hands_back_the_rest() {
     let service = slow_service();
@@ -373,9 +372,8 @@
     session.whole(next.attempt).await;
 }
 
-// A ticket's work waits for a place, its entry dies, and somebody gives the ticket up. The first
-// dispatch was sent twice by the network; the copy comes when there is room again. The caller was
-// told "not run", so it must not run.
+// A ticket is queued, its entry dies, and the ticket is voided. A late copy of its dispatch arrives
+// when there is room again. The caller was told "not run", so it must not run.
 #[tokio::test(start_paused = true)]
 async fn void_waiting_ticket_late_copy_does_not_run() {
     let service = slow_service();
@@ -399,8 +397,8 @@
     assert_eq!(service.executions(b"payout 7"), 0);
 }
 
-// The records are full, so the agent refuses a work order for as long as they are kept. Its ticket
-// is given up, so that the work may go elsewhere; a late copy comes when there is room again.
+// The bound on tickets is reached, so a ticket is refused and then voided in order to run
+// elsewhere. A late copy of its dispatch must not run.
 #[tokio::test(start_paused = true)]
 async fn void_ticket_records_full_never_runs() {
     let service = FakeService::new(1);
@@ -420,16 +418,16 @@
     session.dispatch(&late).await;
     assert_eq!(session.refusal(late.attempt).await, Refusal::Cancelled);
 
-    // Tombstones have a bound, too: beyond it nothing is promised.
+    // Tombstones are bounded too. Beyond the bound the agent can't guarantee "not run".
     let more: Vec<_> = (0..4).map(|_| session.order("payout 9", Uuid::now_v7())).collect();
     session.send(cancel(&more[0], true)).await;
     assert!(matches!(session.next(more[0].attempt).await, AgentMessage::Failed { .. }));
     assert_eq!(service.executions(b"payout 8"), 0);
 }
 
-// Long streams that were read stay for a while, since their callers may go on with them through
-// another entry. At the bound on their bytes new requests are refused, to run elsewhere; what is kept
-// is not forgotten early, work orders are taken, and there is room again once the time is over.
+// Streams that were read are kept for a while, since they may be resumed through another entry. At
+// the bound on their bytes new idempotent requests must be refused and tickets admitted, and kept
+// streams must not be dropped early.
 #[tokio::test(start_paused = true)]
 async fn stream_answers_reach_byte_bound_refused_not_forgotten() {
     let engine = FakeEngine::new(1, EngineSettings::default());
@@ -462,7 +460,8 @@
     session.whole(third.attempt).await;
 }
 
-// Answers that are no event streams can't be gone on with, so they take no room once they were read.
+// Answers that are not event streams can't be resumed, so they must not be kept once they were
+// read.
 #[tokio::test(start_paused = true)]
 async fn plain_answers_read_take_no_bytes() {
     let mut config = config();
--- a/crates/agent/tests/cache.rs
+++ b/crates/agent/tests/cache.rs
@@ -1,4 +1,4 @@
-//! What an agent makes of its engine's cache events, with a paused clock.
+//! Handling of the engine's cache events, with a paused clock.
 
 use bytes::Bytes;
 use flamingowheel_agent::cache::{CacheView, MAX_BLOCKS, MAX_EVENTS_PER_POLL, UNCERTAIN_BLOCK_TTL};
@@ -42,8 +42,8 @@
     assert!(read(&mut view, Vec::new()).is_empty());
 }
 
-// The engine loses an event: what the agent knew may have been evicted unseen. Entries see a number
-// left out; a new entry hears only of what is certain, and the doubt ends after a time.
+// The engine loses an event, so earlier blocks may have been evicted unnoticed. Entries must see a
+// gap in the numbers, new entries must get only certain blocks, and uncertain ones must expire.
 #[tokio::test(start_paused = true)]
 async fn on_events_lost_number_left_out_until_doubt_ends() {
     let mut view = CacheView::default();
@@ -52,7 +52,7 @@
     assert_eq!(told, [CacheEvent { number: 3, change: CacheChange::Stored(blocks(5..=6)) }]);
     assert_eq!(view.snapshot().change, CacheChange::Snapshot(blocks(5..=6)));
     advance(UNCERTAIN_BLOCK_TTL - Duration::from_secs(1)).await;
-    // A later loss doesn't make the doubt about the first begin anew.
+    // A later loss must not extend the time of the first.
     read(&mut view, stored(8..=8));
     assert_eq!(view.expire_uncertain(), None);
     advance(Duration::from_secs(1)).await;
@@ -61,8 +61,8 @@
     assert_eq!(view.expire_uncertain(), None);
 }
 
-// An engine comes back with an empty cache and counts anew. An answer of the old one that is still
-// on its way must not bring the old blocks back.
+// An engine restarts with an empty cache. A late answer of the old process must not bring its
+// blocks back.
 #[tokio::test(start_paused = true)]
 async fn start_over_late_answer_ignored() {
     let mut view = CacheView::default();
@@ -111,8 +111,8 @@
     while answer.body.recv().await.is_some() {}
 }
 
-// A connection is stuck while the cache changes, and the message about it is dropped. Once it moves
-// again the entry must hear of the blocks, or it would not send any prompt to them for good.
+// A connection is stuck while the cache changes, and the message about it is dropped. Once it works
+// again, the entry must get a snapshot, or it would never route prompts to these blocks.
 #[tokio::test(start_paused = true)]
 async fn cache_events_connection_stuck_caught_up() {
     let engine = FakeEngine::new(1, EngineSettings::default());
@@ -122,7 +122,7 @@
     let recorder = Recorder::for_tests(&config.name);
     let (control, agent, commands) = Control::new(config, Arc::new(engine.clone()), recorder);
     tokio::spawn(control.run(commands));
-    // Heartbeat and first snapshot fill the connection.
+    // The heartbeat and the first snapshot fill the queue.
     let (sender, mut receiver) = mpsc::channel(2);
     agent.commands().send(Command::Linked { link: 1, sender }).await.unwrap();
     sleep(Duration::from_secs(1)).await;
--- a/crates/agent/tests/session/mod.rs
+++ b/crates/agent/tests/session/mod.rs
@@ -1,4 +1,4 @@
-//! An agent as an entry sees it: messages in, messages out.
+//! An agent and a connection to it, as an entry has one.
 
 use bytes::Bytes;
 use flamingowheel_agent::config::AgentConfig;
@@ -72,7 +72,7 @@
         }
     }
 
-    /// The next message that says something of suspicions.
+    /// Waits for the next message with suspicions; returns their number.
     pub async fn next_suspicions(&mut self) -> usize {
         loop {
             let message = timeout(PATIENCE, self.receiver.recv()).await.unwrap().unwrap();
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Waits for the end of an attempt; gives its chunks.
+    /// Waits for the end of an attempt; returns its chunks.
     pub async fn whole(&mut self, attempt: AttemptId) -> Vec<(u64, Bytes)> {
         let mut chunks = Vec::new();
         loop {
@@ -136,14 +136,14 @@
         }
     }
 
-    /// A request under a ticket.
+    /// A request with a ticket.
     pub fn order(&self, body: &'static str, number: Uuid) -> Dispatch {
         let key = ExecutionKey::Ticket { number, window: Window(1) };
         Dispatch { key, idempotent: false, ..self.request(body) }
     }
 }
 
-/// Asks about an attempt over a fresh connection.
+/// Message to attach to the attempt of a dispatch.
 pub fn attach(dispatch: &Dispatch, from_chunk: u64) -> EntryMessage {
     EntryMessage::Attach {
         attempt: dispatch.attempt,
--- a/crates/group/benches/lease.rs
+++ b/crates/group/benches/lease.rs
@@ -1,4 +1,4 @@
-//! Calls that the leases to coordinate cost the key-value service, counted by its fake.
+//! Calls to the key-value service for coordination leases, counted by its fake.
 #![allow(clippy::print_stdout)]
 
 use flamingowheel_backing::fake::FakeKeyValue;
@@ -15,7 +15,7 @@
 const GROUPS: usize = 228;
 const MEASURED: Duration = Duration::from_secs(60);
 
-/// The entry that ranks first for a group.
+/// The entry that coordinates a group, by rendezvous hashing.
 fn entry_of(group: usize) -> usize {
     let weight = |entry: &usize| {
         let mut hasher = DefaultHasher::new();
--- a/crates/group/benches/rollout.rs
+++ b/crates/group/benches/rollout.rs
@@ -1,5 +1,5 @@
-//! What one change of a model's version costs a group of 32 ranks. Time is the runtime's paused
-//! clock, so the figures don't depend on the machine.
+//! Time and messages of a rollout in a group of 32 ranks. Time is the runtime's paused clock, so
+//! the figures don't depend on the machine.
 #![allow(clippy::print_stdout)]
 
 #[path = "../tests/support/mod.rs"]
@@ -18,7 +18,7 @@
     ExpertMap { layers: vec![(0..RANKS).map(|rank| vec![2 * rank, 2 * rank + 1]).collect()] }
 }
 
-/// Time and messages until every rank serves `version`, and the steps that were left out.
+/// Prints time and messages until every rank serves `version`, and the time without steps.
 async fn change(world: &World, name: &str, version: &str, adapters: &[&str]) {
     let began = Instant::now();
     let (calls, messages) = (world.kv.calls(), world.messages());
@@ -32,7 +32,7 @@
         sleep(LOOK).await;
     }
     let took_ms = began.elapsed().as_millis();
-    // The turn is given back at the next look.
+    // The rollout lock is released at the next poll.
     sleep(Duration::from_secs(1)).await;
     let writes = world.kv.calls().transact - calls.transact;
     let leases = world.kv.calls().grant_lease - calls.grant_lease;
@@ -48,7 +48,7 @@
 
 async fn print(kind_name: &str, kind: EngineKind) {
     let world = World::start_ranks(kind, None, map(), RANKS.into()).await;
-    // Its tries for the lease are not calls of the change.
+    // The standby's attempts to acquire the lease must not be counted.
     world.end_reserve();
     world.accept("1", &[]);
     while !world.all_serve("1") {
--- a/crates/group/benches/switch.rs
+++ b/crates/group/benches/switch.rs
@@ -1,5 +1,5 @@
-//! How long a group stands still for a switch of its map, and for each fault at each message of
-//! one. Time is the runtime's paused clock, so the figures don't depend on the machine.
+//! How long a group is stopped by a map switch, and by each fault at each message of one. Time is
+//! the runtime's paused clock, so the figures don't depend on the machine.
 #![allow(clippy::print_stdout)]
 
 #[path = "../tests/support/mod.rs"]
@@ -15,7 +15,7 @@
 const LOOK: Duration = Duration::from_millis(50);
 const WATCH: Duration = Duration::from_secs(25);
 
-/// A fault's name, the fault, and how long it lasts.
+/// Name, fault and duration.
 const FAULTS: [(&str, Fault, Duration); 17] = [
     ("request_lost", Fault::LoseRequest, Duration::ZERO),
     ("answer_lost", Fault::LoseAnswer, Duration::ZERO),
@@ -36,11 +36,11 @@
     ("lease_expired", Fault::ExpireLease, Duration::ZERO),
 ];
 
-/// What was seen of one run.
+/// Observations of one run.
 #[derive(Default)]
 struct Seen {
     still: Duration,
-    /// From the fault's end to the last look without a step.
+    /// From the fault's end to the last interval without a step.
     recovery: Duration,
     runs: bool,
     splits: usize,
@@ -70,7 +70,7 @@
     }
     seen.splits = world.group.splits().len();
     world.end();
-    // Lets what was ended go before the next world begins.
+    // Lets the stopped tasks end before the next world begins.
     sleep(LOOK).await;
     seen
 }
--- a/crates/group/src/align.rs
+++ b/crates/group/src/align.rs
@@ -1,4 +1,4 @@
-//! Bringing a group back to the map in force, whatever happened to it.
+//! Brings a group from any state to the map in force.
 
 use crate::intake::IntakeState;
 use crate::message::{RankError, RankState};
@@ -10,31 +10,31 @@
 use crate::switch::{Failure, Switch};
 use flamingowheel_backing::orders::OrderTarget;
 
-/// How the group stands after a look at it.
+/// The state of a group after [`align`].
 #[derive(Debug)]
 pub enum Alignment {
     /// All ranks step with the map in force.
     Running,
-    /// Ranks are to serve another version and have requests in progress.
+    /// Ranks that are to change their model version still have requests in progress.
     Draining {
-        /// The ranks that have, and their work.
+        /// The ranks with requests in progress.
         ranks: Vec<(usize, IntakeState)>,
-        /// All ranks that don't serve it yet.
+        /// All ranks that don't serve the new version yet.
         behind: Vec<usize>,
     },
-    /// Ranks can't be verified.
+    /// Some ranks can't be verified.
     Waiting {
-        /// The ranks and why.
+        /// The ranks that can't be verified, and why.
         ranks: Vec<(usize, RankError)>,
-        /// Whether the group stands still until they can be.
+        /// Whether the group is stopped until they can be.
         held: bool,
-        /// Ranks that answer and serve something else than they are to.
+        /// Ranks that answer but don't serve what the record says.
         behind: Vec<usize>,
     },
 }
 
-/// Looks at every rank and does what it takes for all to step with the map in force. A change that
-/// was not committed is dropped. Returns the record as last known beside the outcome.
+/// Reads every rank and brings all of them to step with the map in force. A change that was not
+/// committed is rolled back. Returns the latest record along with the result.
 pub async fn align<Members>(
     session: &Session<'_, Members>,
     stored: StoredRecord,
@@ -54,11 +54,12 @@
     let trouble = trouble(&states);
     let states: Vec<(usize, RankState)> = known(states);
     if !trouble.is_empty() {
-        // A rank that lost its map must not step when the missing one comes back.
+        // A rank that lost its map must not step when the unreachable rank comes back.
         let result = stop_others(session, &stored, &states).await;
         let behind = serve::behind(&states, &stored.record);
         let held = any_held(&states) || !all_use(&states, version);
-        // The change is over and the others step: one agent that is gone keeps none of them closed.
+        // No change is in progress and the group steps: one missing agent must not keep the other
+        // agents from admitting requests.
         if stored.record.phase == Phase::Settled && !held && behind.is_empty() {
             serve::reopen(session, &stored, &states).await;
         }
@@ -90,8 +91,9 @@
     Box::new(Failure { error, stored: stored.clone() })
 }
 
-/// Drops a change that was not committed. While the service is surely unreachable it is as good as
-/// dropped: nobody else can commit it, for that needs the service too and a newer number first.
+/// Rolls back a change that was not committed. If the record can't be written because the key-value
+/// service is unreachable, the change counts as rolled back: to commit it, another coordinator
+/// would also need the service, and would first raise the fencing number.
 async fn roll_back<Members>(
     session: &Session<'_, Members>,
     stored: StoredRecord,
--- a/crates/group/src/budget/keeper.rs
+++ b/crates/group/src/budget/keeper.rs
@@ -1,4 +1,4 @@
-//! One member's share, kept confirmed against the key-value service.
+//! A member's share, kept confirmed through the key-value service.
 
 use super::{Allocation, Pacer, SHARE_TTL, Share};
 use bytes::Bytes;
@@ -16,18 +16,18 @@
 const ALLOCATION_KEY: &str = "budget/allocation";
 const MEMBERS_PREFIX: &str = "budget/members/";
 
-/// Time between two reads of the record; two may fail before a share lapses.
+/// Time between two reads of the allocation; two may fail before the share expires.
 const REFRESH: Duration = Duration::from_secs(20);
 
-/// How often a waiting load looks at the rate.
+/// Longest time that a waiting load sleeps before it checks the rate again.
 const LOOK: Duration = Duration::from_secs(1);
 
-/// What the operator says of the weight store.
+/// Limits of the weight store from the operator's settings.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StoreLimits {
-    /// The store's rate.
+    /// Rate of the weight store, for the whole fleet.
     pub rate_bytes_per_s: f64,
-    /// Most processes that may ever use the store at the same time.
+    /// Upper bound on the number of processes that use the store at the same time.
     pub max_members: usize,
 }
 
@@ -35,11 +35,11 @@
     share: Share,
     pacer: Pacer,
     lease: Option<LeaseId>,
-    /// The allocation's revision and when this process first saw it.
+    /// Latest revision of the allocation, and when this process first read it.
     seen: Option<(u64, Instant)>,
 }
 
-/// One member's use of the weight store.
+/// Limits one member's reads from the weight store to its share of the rate.
 pub struct Budget {
     kv: Arc<dyn KeyValue>,
     member: String,
@@ -47,12 +47,13 @@
     state: Mutex<State>,
     /// Held by the one task that keeps the share confirmed.
     running: Turn<()>,
-    /// Held by the load that is next.
+    /// Held by the load that is served next.
     next: Turn<()>,
 }
 
 impl Budget {
-    /// A member that may use the reserved minimum until [`Budget::run`] has confirmed more.
+    /// A member that uses the reserved minimum until [`Budget::run`] has confirmed a share.
+    /// `member` must be unique to the process.
     pub fn new(kv: Arc<dyn KeyValue>, member: &str, limits: StoreLimits) -> Self {
         let minimum_bytes_per_s = allocation(limits, BTreeSet::new()).minimum_bytes_per_s();
         let share = Share::new(member, minimum_bytes_per_s);
@@ -62,11 +63,13 @@
         Self { kv, member: member.to_owned(), limits, state: Mutex::new(state), running, next }
     }
 
-    /// Waits until so much may be read: until all that was taken before has had its time.
+    /// Waits until all earlier reads are paid off at this member's rate, then admits one of this
+    /// size.
     ///
-    /// A group of 32 ranks takes all its loads at once. Were each booked at the rate of that moment,
-    /// the last of them would wait for hours at the minimum although the share has grown long since,
-    /// or be read too fast although it has lapsed. So the rate is looked at again all the time.
+    /// A group of 32 ranks requests all its loads at once. If each were scheduled at the rate of
+    /// that moment, the last ones would wait for hours at the minimum although the share has grown
+    /// since, or read too fast although it has expired. So the rate is checked again while loads
+    /// wait.
     pub async fn acquire(&self, size_bytes: u64) {
         let _first = self.next.lock().await;
         loop {
@@ -85,14 +88,15 @@
         state.pacer.try_acquire(size_bytes, rate_bytes_per_s, now)
     }
 
-    /// The rate this member may use now.
+    /// The rate that this member may use now.
     pub fn rate_bytes_per_s(&self) -> f64 {
         self.state().share.rate_bytes_per_s(Instant::now())
     }
 
     /// Keeps the share confirmed until `stop`.
     ///
-    /// One process coordinates several groups under one share; one of them is enough to keep it.
+    /// A process that coordinates several groups has one share for all of them, so only one of
+    /// several concurrent calls does the work.
     pub async fn run(&self, stop: CancellationToken) {
         let _only = tokio::select! {
             () = stop.cancelled() => return,
@@ -140,7 +144,8 @@
         seen.1
     }
 
-    /// Keeps a key bound to a lease, so that a member that is gone drops out of the next allocation.
+    /// Keeps this member's key alive through a lease, so that a member that ends drops out of the
+    /// next allocation.
     async fn be_listed(&self) -> Result<(), KeyValueError> {
         let known = self.state().lease;
         if let Some(lease) = known {
@@ -157,7 +162,7 @@
         Ok(())
     }
 
-    /// Whether it took effect shows at the next read, so a lost answer needs no care here.
+    /// A lost answer needs no handling: the next read shows whether the write took effect.
     async fn write(&self, compare: Compare, wanted: &Allocation) -> Result<(), KeyValueError> {
         let encoded = serde_json::to_vec(wanted);
         let value = encoded.map_err(|_| KeyValueError::Malformed { what: "allocation" })?;
--- a/crates/group/src/budget/mod.rs
+++ b/crates/group/src/budget/mod.rs
@@ -1,12 +1,12 @@
-//! Use of the weight store kept within its rate over the whole fleet, also while the key-value
+//! Keeps the whole fleet's reads from the weight store within its rate, even while the key-value
 //! service is down.
 //!
-//! One record allots the rate: a part is split evenly over the members it lists, the rest is
-//! reserved so that every process, listed or not, may use a small minimum at any time. A share
-//! holds only for a while after the record was last read. The rules of [`Share`] and
-//! [`Allocation::may_be_replaced`] together keep the sum of what all members use within the rate at
-//! every moment: a member takes a smaller share at once and a larger one only when everybody who
-//! may still use the former allocation has lost it.
+//! One record allocates the rate: most of it is split evenly between the listed members, and the
+//! rest is reserved so that every process, listed or not, may use a small minimum at any time. A
+//! share expires unless the record is read again in time. [`Share`] and
+//! [`Allocation::may_be_replaced`] together keep the sum of all members' rates within the store's
+//! rate at every moment: a member applies a smaller share at once, and a larger one only when the
+//! shares of the former allocation have expired everywhere.
 
 mod keeper;
 
@@ -16,34 +16,33 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long a share holds after the start of the read that confirmed it.
+/// Time to live of a share, counted from the start of the read that confirmed it.
 pub const SHARE_TTL: Duration = Duration::from_secs(60);
 
-/// One part in so many of the rate is reserved for the minimum.
+/// Fraction of the rate that is reserved for the minimum of all processes.
 const RESERVED_PART: f64 = 0.1;
 
-/// The record that allots the weight store's rate.
+/// The record that allocates the weight store's rate.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Allocation {
-    /// The store's rate.
+    /// Rate of the weight store.
     pub rate_bytes_per_s: f64,
-    /// Most processes that may ever use the store at the same time.
+    /// Upper bound on the number of processes that use the store at the same time.
     pub max_members: usize,
-    /// The members that have a share: one for each process that
-    /// coordinates a group and paces the loads of its ranks. Names are unique to the process: two
-    /// processes under one name would use a share twice.
+    /// Processes that have a share: those that coordinate a group and limit the loads of its ranks.
+    /// Names must be unique to a process, or two processes would both use one share.
     pub members: BTreeSet<String>,
 }
 
 impl Allocation {
-    /// The rate of a listed member.
+    /// The rate allocated to each listed member.
     pub fn share_bytes_per_s(&self) -> f64 {
         let listed = self.members.len().max(1) as f64;
         self.rate_bytes_per_s * (1.0 - RESERVED_PART) / listed
     }
 
-    /// The rate that any process may use at any time.
+    /// The rate that any process may use at any time, listed or not.
     ///
     /// ```
     /// use flamingowheel_group::budget::Allocation;
@@ -56,17 +55,18 @@
         self.rate_bytes_per_s * RESERVED_PART / self.max_members.max(1) as f64
     }
 
-    /// Whether a process that has seen this allocation stand since `first_seen` may replace it.
+    /// Whether a process that first saw this allocation at `first_seen` may replace it.
     ///
-    /// If two changes came in quick succession, a member could miss the one between and go on with
-    /// a share that others believe lapsed; the store would then be overrun. After twice the time
-    /// that a share holds, everybody has either seen this allocation or lost the one before.
+    /// If two changes followed each other quickly, a member could miss the first and go on using a
+    /// share that others consider expired, which would exceed the store's rate. After twice the
+    /// time to live of a share, every member has either read this allocation or lost its earlier
+    /// share.
     pub fn may_be_replaced(first_seen: Instant, now: Instant) -> bool {
         now.duration_since(first_seen) >= SHARE_TTL * 2
     }
 }
 
-/// What one member may use.
+/// The rate that one member may use.
 #[derive(Clone, Debug)]
 pub struct Share {
     member: String,
@@ -79,9 +79,9 @@
     revision: u64,
     /// Start of the last read that found this revision.
     read_at: Instant,
-    /// Used until `larger_from`.
+    /// Rate until `larger_from`.
     smaller_bytes_per_s: f64,
-    /// Used from `larger_from` on.
+    /// Rate from `larger_from` on.
     allotted_bytes_per_s: f64,
     larger_from: Instant,
 }
@@ -96,17 +96,17 @@
 }
 
 impl Share {
-    /// A member that has read nothing yet and may use the minimum its settings name.
+    /// The share of a member that has read no allocation yet and may use the given minimum.
     pub fn new(member: &str, minimum_bytes_per_s: f64) -> Self {
         Self { member: member.to_owned(), minimum_bytes_per_s, confirmed: None }
     }
 
-    /// Takes in an allocation that was found at `revision`, in a read that ran from `read_at` to
+    /// Applies an allocation that was found at `revision`, in a read that ran from `read_at` to
     /// `now`.
     ///
-    /// Each end serves one bound: a share lapses counted from the read's start, for it may have been
-    /// replaced right after; a larger one begins counted from the read's end, for it may have been
-    /// written just before.
+    /// A share's expiry is counted from the start of the read, since the allocation may have been
+    /// replaced right after it. A larger share is delayed from the end of the read, since the
+    /// allocation may have been written right before it.
     pub fn apply(
         &mut self,
         allocation: &Allocation,
@@ -139,7 +139,7 @@
         });
     }
 
-    /// The rate this member may use now.
+    /// The rate that this member may use at `now`.
     pub fn rate_bytes_per_s(&self, now: Instant) -> f64 {
         let minimum_bytes_per_s = self.minimum_bytes_per_s;
         let confirmed = self.confirmed.as_ref();
@@ -148,13 +148,13 @@
     }
 }
 
-/// Waits shorter than this are none.
+/// Shorter waits are rounding errors and count as none.
 const ROUNDING: Duration = Duration::from_micros(1);
 
-/// Spaces one member's reads so that they keep to its rate.
+/// Rate limiter of one member's reads.
 #[derive(Clone, Copy, Debug)]
 pub struct Pacer {
-    /// Bytes that were taken and have not had their time yet.
+    /// Bytes of admitted reads that are not yet paid off at the rate.
     owed_bytes: f64,
     counted_at: Instant,
     /// The rate at the last call.
@@ -162,20 +162,21 @@
 }
 
 impl Pacer {
-    /// A pacer with nothing outstanding.
+    /// A rate limiter with no reads outstanding.
     pub fn new(now: Instant) -> Self {
         Self { owed_bytes: 0.0, counted_at: now, rate_bytes_per_s: 0.0 }
     }
 
-    /// Takes a read if all that was taken before has had its time; else tells how long that lasts
-    /// at this rate. Since the last call the lower of both rates counts: when it changed is not known.
+    /// Admits a read and returns zero if all earlier reads are paid off; else returns how long that
+    /// takes at this rate. For the time since the last call the lower of the old and the new rate
+    /// counts, as it is not known when the rate changed.
     pub fn try_acquire(&mut self, bytes: u64, rate_bytes_per_s: f64, now: Instant) -> Duration {
         let rate_bytes_per_s = rate_bytes_per_s.max(1.0);
         let since = now.duration_since(self.counted_at).as_secs_f64();
         let held_bytes_per_s = rate_bytes_per_s.min(self.rate_bytes_per_s);
         self.owed_bytes = (self.owed_bytes - since * held_bytes_per_s).max(0.0);
         (self.counted_at, self.rate_bytes_per_s) = (now, rate_bytes_per_s);
-        // Times are rounded to nanoseconds; what is left of that is no reason to wait.
+        // Durations are rounded to nanoseconds, so a tiny rest may remain.
         let wait = Duration::from_secs_f64(self.owed_bytes / rate_bytes_per_s);
         if wait > ROUNDING {
             return wait;
--- a/crates/group/src/coordinator.rs
+++ b/crates/group/src/coordinator.rs
@@ -1,5 +1,5 @@
-//! The process that coordinates a group: takes the lease, takes up what it finds, and carries out
-//! changes of map.
+//! Coordinator of a group: acquires the lease, recovers the state it finds, and changes the expert
+//! map and the model version.
 
 use crate::align::{Alignment, align};
 use crate::lease::{Lease, Leases};
@@ -20,8 +20,8 @@
 use tokio::time::{Instant, sleep};
 use tokio_util::sync::CancellationToken;
 
-/// One process's part in coordinating a group. Every agent of a group runs one; the lease picks who
-/// acts.
+/// Coordinates one group while this process holds the group's lease. Several processes may run one
+/// for the same group; the lease decides which of them acts.
 pub struct Coordinator<Members> {
     leases: Leases,
     group: String,
@@ -33,10 +33,10 @@
     record: watch::Sender<Option<StoredRecord>>,
     loads: Option<LoadLimiter>,
     trouble_since: BTreeMap<usize, Instant>,
-    /// Ranks that don't serve what they are to, as last seen.
+    /// Ranks that did not serve what the record says at the last poll.
     behind: Vec<usize>,
     retries: Retries,
-    /// Between loads of a version that an engine could not load.
+    /// Backoff of loads of a version that an engine could not load.
     load_pauses: Pauses,
     rollout: Option<Rollout>,
 }
@@ -45,7 +45,7 @@
 where
     Members: Ranks,
 {
-    /// A coordinator that brings the group to the map in `desired` whenever that changes.
+    /// A coordinator that switches the group to the map in `desired` whenever that changes.
     pub fn new(
         kv: Arc<dyn KeyValue>,
         group: &str,
@@ -71,12 +71,12 @@
         }
     }
 
-    /// Keeps loads of expert weights within the group's share of the weight store's rate.
+    /// Limits loads of weights to this process's share of the weight store's rate.
     pub fn with_load_limiter(self, loads: Option<LoadLimiter>) -> Self {
         Self { loads, ..self }
     }
 
-    /// Keeps the group at what is in `wanted` of its model.
+    /// Keeps the group at the model version and adapters in `desired`.
     pub fn with_rollout(
         self,
         kv: Arc<dyn KeyValue>,
@@ -87,23 +87,23 @@
         Self { rollout: Some(rollout), ..self }
     }
 
-    /// Takes part with the leases of a process that coordinates several groups.
+    /// Uses the shared lease of a process that coordinates several groups.
     pub fn with_leases(self, leases: Leases) -> Self {
         Self { leases, ..self }
     }
 
-    /// What operators are told.
+    /// Status for operators, updated at each poll.
     pub fn status(&self) -> watch::Receiver<GroupStatus> {
         self.status.subscribe()
     }
 
-    /// The record as this process holds it while it coordinates. Reading it again from the service
-    /// would tell nothing newer.
+    /// The group's record while this process coordinates, else `None`. Reading it from the
+    /// key-value service would give nothing newer.
     pub fn record(&self) -> watch::Receiver<Option<StoredRecord>> {
         self.record.subscribe()
     }
 
-    /// Takes part until `stop`.
+    /// Coordinates the group whenever this process can get the lease, until `stop`.
     pub async fn run(mut self, stop: CancellationToken) {
         while !stop.is_cancelled() {
             if let Ok(Some(lease)) = self.leases.acquire(&self.group).await {
@@ -121,7 +121,7 @@
 
     async fn coordinate(&mut self, lease: &Lease, stop: &CancellationToken) {
         let loads = self.loads.clone();
-        // Only the process that acts needs a share; it lapses when this one no longer does.
+        // Only the acting coordinator needs a share; it expires when this process stops acting.
         let confirm = async {
             match &loads {
                 Some(loads) => loads.budget.run(stop.clone()).await,
@@ -147,7 +147,7 @@
             stored = match result {
                 Ok(known) => Some(known),
                 Err(error) if self.is_over(lease, &error) => return error,
-                // The record is in doubt: it is read and claimed anew before anything else.
+                // The record may have changed: read and claim it again before anything else.
                 Err(_) => None,
             };
             sleep(self.timing.poll_interval).await;
@@ -164,8 +164,8 @@
         deposed || !lease.may_align()
     }
 
-    /// Writes the record anew, so that its revision is above all numbers that earlier coordinators
-    /// may still use.
+    /// Rewrites the record unchanged, so that its revision is above all fencing numbers that
+    /// earlier coordinators may still use.
     async fn claim(&mut self) -> Result<StoredRecord, GroupError> {
         let stored = match self.records.read().await {
             Ok(stored) => stored,
@@ -188,7 +188,8 @@
         Ok(self.records.create(record).await?)
     }
 
-    /// One look at the group, and a change of map if one is wanted and the group runs.
+    /// Polls and aligns the group, then starts a rollout or a map switch if one is due and the
+    /// group runs.
     async fn look(
         &mut self,
         lease: &Lease,
@@ -311,7 +312,7 @@
     }
 }
 
-/// Goes on with the record unless the error puts it in doubt.
+/// Keeps the record unless the error means that it may have changed.
 fn keep(stored: StoredRecord, result: Result<(), GroupError>) -> Result<StoredRecord, GroupError> {
     match result {
         Ok(()) | Err(GroupError::Rank { .. } | GroupError::UnevenSteps) => Ok(stored),
--- a/crates/group/src/gate.rs
+++ b/crates/group/src/gate.rs
@@ -1,8 +1,9 @@
-//! What an agent enforces in front of its engine.
+//! Checks that an agent applies to orders for its engine.
 //!
-//! Some engines refuse an order with an old fencing number, others don't look at it. The gate makes
-//! both safe: one order in flight, numbers checked at receipt and again right before the write, and
-//! no different order while an earlier one may still take effect.
+//! Some engines refuse orders with an old fencing number, others ignore the number. The gate makes
+//! both safe: one order is in flight at a time, numbers are checked on receipt and again right
+//! before the order is sent, and no different order is sent while an earlier one may still take
+//! effect.
 
 use crate::intake::{IdleIntake, Intake};
 use crate::message::{RankError, RankRequest, RankState};
@@ -18,19 +19,19 @@
 use tokio::sync::Mutex;
 use tokio::time::timeout;
 
-/// How long a request waits for the one before it.
+/// How long a request waits for an earlier one before it fails.
 const QUEUE_LIMIT: Duration = Duration::from_secs(1);
 
-/// Whether an engine looks at fencing numbers; the operator says which.
+/// Whether an engine checks fencing numbers, as the operator's settings say.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EngineKind {
-    /// Refuses an order with a lower number than it has seen.
+    /// Refuses orders with a number below the highest it has seen.
     ChecksFence,
-    /// Takes any order.
+    /// Accepts orders with any number.
     IgnoresFence,
 }
 
-/// A map whose weights the engine was seen to have loaded.
+/// A map whose weights the engine has confirmed as loaded.
 #[derive(Clone, Debug)]
 struct Loaded {
     map: ExpertMap,
@@ -48,14 +49,14 @@
 
 #[derive(Default)]
 struct Memory {
-    /// An order that was sent and whose answer has not come.
+    /// An order that was sent and not answered.
     sent: Option<PendingLoad>,
-    /// What earlier agents noted; one of them was this engine's.
+    /// Pending loads stored by earlier agents of the group, until matched with this engine.
     inherited: Vec<PendingLoad>,
     loaded: Option<Loaded>,
 }
 
-/// The only way from an agent to its engine's orders.
+/// Sends a coordinator's orders to the agent's engine; the agent has no other way to do so.
 pub struct Gate<Engine> {
     engine: Engine,
     kind: EngineKind,
@@ -65,7 +66,7 @@
     memory: Mutex<Memory>,
     notes: PendingLoadStore,
     intake: Arc<dyn Intake>,
-    /// When the gate was opened the group was about to change its version.
+    /// Whether the group was changing its model version when the gate was opened.
     is_rolling: bool,
 }
 
@@ -73,11 +74,11 @@
 where
     Engine: EngineOrders,
 {
-    /// Opens the gate of a fresh agent.
+    /// Opens the gate of a new agent process.
     ///
-    /// A coordinator that lost its place may still send orders. An agent that remembers nothing
-    /// would take them, and one rank would step with another map. So the agent first takes the
-    /// lowest acceptable number from the record, and stays shut while that can't be read.
+    /// A coordinator that was replaced may still send orders. A new agent that knows no fencing
+    /// number would accept them, and its rank would step with another map. So the lowest acceptable
+    /// number is read from the group's record, and the gate can't be opened while that fails.
     pub async fn open(
         engine: Engine,
         kind: EngineKind,
@@ -99,10 +100,10 @@
         Ok(Self { engine, kind, incarnation, lowest, memory, notes, intake, is_rolling })
     }
 
-    /// Says what work the agent has.
+    /// Sets the agent's intake.
     ///
-    /// A fresh agent of a group that is about to change its version takes no work: its requests
-    /// would begin with a version that goes away, while the group may stand still already.
+    /// If the group is changing its model version, the intake is closed: requests would begin with
+    /// the old version while the group may already be held.
     pub fn with_intake(self, intake: Arc<dyn Intake>) -> Self {
         if self.is_rolling {
             intake.set_open(false);
@@ -116,12 +117,13 @@
             return Err(RankError::WrongIncarnation { incarnation: self.incarnation });
         }
         self.admit(request.fence)?;
-        // A silent engine must not let requests pile up; whoever asks will ask again.
+        // Requests must not queue up behind a silent engine; the coordinator sends them again.
         let locked = timeout(QUEUE_LIMIT, self.memory.lock()).await;
         let mut memory = locked.map_err(|_| RankError::EngineSilent)?;
         let state = self.read(&mut memory).await?;
-        // While this order waited, a newer coordinator may have come; its number decides. This is
-        // the last point before the write: nothing is awaited in between.
+        // A newer coordinator may have sent a higher number while this request waited. Nothing is
+        // awaited between this check and the write, except to store a load; the number is then
+        // checked again.
         self.admit(request.fence)?;
         if let Some(open) = request.open {
             self.intake.set_open(open);
@@ -138,7 +140,7 @@
             return Ok(state);
         }
         self.check_streams(target, &state.engine)?;
-        // A load takes long and its answer may be lost; the same load is not asked for twice.
+        // Loads take long and the answer may be lost on its way; a completed load is not repeated.
         if let OrderTarget::StageMap { map } = target
             && memory.loaded.as_ref().is_some_and(|loaded| loaded.is_still(map, &state.engine))
         {
@@ -153,7 +155,7 @@
         Ok(state)
     }
 
-    /// Refuses numbers below the highest seen, and remembers the highest.
+    /// Refuses numbers below the highest seen, and raises the highest seen.
     fn admit(&self, given: Fence) -> Result<(), RankError> {
         let lowest = self.lowest.fetch_max(given.0, Ordering::SeqCst);
         if given.0 < lowest {
@@ -162,7 +164,7 @@
         Ok(())
     }
 
-    /// Reads the engine; called with the lock held, so that no order is in flight meanwhile.
+    /// Reads the engine's state. Called with the lock held, so that no order is in flight.
     async fn read(&self, memory: &mut Memory) -> Result<RankState, RankError> {
         let engine = self.engine.state().await.map_err(|_| RankError::EngineSilent)?;
         let inherited = std::mem::take(&mut memory.inherited).into_iter();
@@ -178,9 +180,9 @@
         Ok(RankState { incarnation, engine, unresolved: sent.is_some(), work })
     }
 
-    /// An answer that began with one version would go on with another: its caller gets the two
-    /// halves of two answers and nothing tells. So while anything runs no other version is loaded,
-    /// whoever asks. A process that was started held and has no map has run no step yet.
+    /// Refuses to load another model version while requests may run: an answer would begin with one
+    /// version and continue with another, which its caller could not detect. An engine that was
+    /// started held and has no map has run no step yet, so it may load any version.
     fn check_streams(&self, target: &OrderTarget, engine: &EngineState) -> Result<(), RankError> {
         let OrderTarget::Serve { model, version, .. } = target else { return Ok(()) };
         let changes = engine.model != *model || engine.version != *version;
@@ -191,12 +193,14 @@
         Err(RankError::Busy { in_progress: self.intake.state().in_progress })
     }
 
-    /// An order whose answer is lost may sit in the engine's queue and take effect a minute later,
-    /// when the group long uses another map. An engine that checks numbers will refuse it then. For
-    /// one that does not, it is remembered, and nothing different is sent until its effect is seen
-    /// or the engine's process is another. It is noted before the write, so that it is also there
-    /// if this call is given up half-way. A load is noted in the key-value service as well, for the
-    /// agent that follows if this one dies meanwhile.
+    /// Sends an order to the engine.
+    ///
+    /// If its answer is lost, the order may wait in the engine's queue and take effect a minute
+    /// later, when the group uses another map. An engine that checks fencing numbers then refuses
+    /// it. For one that does not, the order is remembered, and no different order is sent until its
+    /// effect is seen or the engine process is replaced. It is remembered before it is sent, so
+    /// that this also holds if this call is cancelled. Loads are stored in the key-value service as
+    /// well, for the next agent if this one dies.
     async fn write(
         &self,
         sent: &mut Option<PendingLoad>,
@@ -207,7 +211,7 @@
         if self.is_noted(target) {
             let note = PendingLoad { target: target.clone(), process_id };
             self.notes.put(&note).await.map_err(|_| RankError::NotNoted)?;
-            // That took a while: a newer coordinator may have come.
+            // A newer coordinator may have sent a higher number meanwhile.
             if let Err(stale) = self.admit(fence) {
                 self.forget(target, process_id).await;
                 return Err(stale);
@@ -238,25 +242,26 @@
         Err(error)
     }
 
-    /// Whether orders of this kind are noted for a successor.
+    /// Whether orders of this kind are stored for the next agent.
     fn is_noted(&self, target: &OrderTarget) -> bool {
         self.kind == EngineKind::IgnoresFence && is_load(target)
     }
 
-    /// Takes the note of an order back that can't take effect any more. Left there, it would keep a later
-    /// agent from ordering anything, and notes of engines' processes that are gone would pile up.
+    /// Removes the stored copy of an order that can't take effect any more. Left in place, it would
+    /// keep the next agent from sending orders, and entries of ended engine processes would pile
+    /// up.
     async fn forget(&self, target: &OrderTarget, process_id: u64) {
         if !self.is_noted(target) {
             return;
         }
         if let Err(error) = self.notes.remove(process_id).await {
-            tracing::warn!(%error, process_id, "note of a load not taken back");
+            tracing::warn!(%error, process_id, "pending load not removed");
         }
     }
 }
 
-/// Whether the engine is already where the order wants it. Orders name targets, so nothing is then
-/// written, and every order that is written has an effect by which it can be recognised.
+/// Whether the engine has already reached the target. No order is sent then, so every order that is
+/// sent has an effect by which it can be recognised.
 fn is_reached(target: &OrderTarget, engine: &EngineState) -> bool {
     match target {
         OrderTarget::Serve { model, version, adapters, role } => {
@@ -265,7 +270,7 @@
                 && is_same_set(&engine.adapters, adapters)
                 && engine.role == *role
         }
-        // The way an engine computes the digest is its own; see `Loaded`.
+        // The digest is computed by the engine and can't be predicted here; see `Loaded`.
         OrderTarget::StageMap { .. } => false,
         OrderTarget::Hold { after_step } => engine.held_after_step == Some(*after_step),
         OrderTarget::SwitchMap { map_version, .. } => engine.map_version == *map_version,
@@ -277,8 +282,9 @@
     matches!(target, OrderTarget::Serve { .. })
 }
 
-/// A late hold or load stops or delays a rank, which is noticed and undone. The others could let a
-/// rank step with another map, or serve another version.
+/// Whether an order would do harm if it took effect late. A late hold or map load only stops or
+/// delays a rank, which is noticed and undone. The others could make a rank step with another map
+/// or serve another model version.
 fn is_harmful_when_late(target: &OrderTarget) -> bool {
     !matches!(target, OrderTarget::StageMap { .. } | OrderTarget::Hold { .. })
 }
--- a/crates/group/src/intake.rs
+++ b/crates/group/src/intake.rs
@@ -1,14 +1,14 @@
-//! Whether a rank's agent takes new work, and how much it has.
+//! Admission of requests at a rank's agent, as the group's coordination sees and controls it.
 
 use serde::{Deserialize, Serialize};
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// Work of one rank's agent.
+/// Whether a rank's agent admits requests, and how many it has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct IntakeState {
-    /// New requests are taken.
+    /// Whether new requests are admitted.
     pub is_open: bool,
-    /// Requests that were taken and have not ended.
+    /// Number of admitted requests that have not ended, queued ones included.
     pub in_progress: u32,
 }
 
@@ -19,7 +19,7 @@
 }
 
 impl IntakeState {
-    /// Nothing runs, and nothing will.
+    /// Whether no request is in progress and none can begin.
     ///
     /// ```
     /// use flamingowheel_group::intake::IntakeState;
@@ -31,21 +31,21 @@
     }
 }
 
-/// An agent's admission as its gate sees it.
+/// Admission of an agent, controlled by its gate.
 pub trait Intake: Send + Sync + 'static {
-    /// Takes new work, or refuses it as "not run".
+    /// Sets whether new requests are admitted or refused as "not run".
     fn set_open(&self, open: bool);
 
-    /// The work as of now. It is told to be closed only when nothing new can begin any more.
+    /// The present state. It is reported as closed only once no new request can begin.
     fn state(&self) -> IntakeState;
 
-    /// Whether a request runs or may begin to.
+    /// Whether a request runs or may still begin.
     fn may_run_requests(&self) -> bool {
         !self.state().is_drained()
     }
 }
 
-/// The intake of an agent that has no work of its own.
+/// The intake of an agent that runs no requests.
 #[derive(Debug)]
 pub struct IdleIntake(AtomicBool);
 
--- a/crates/group/src/lease.rs
+++ b/crates/group/src/lease.rs
@@ -1,7 +1,7 @@
-//! The lease that lets one process coordinate its groups.
+//! The lease under which a process coordinates its groups.
 //!
-//! A process holds one lease for all of them: each group is a key bound to it, so that the service
-//! is asked for one renewal however many groups there are.
+//! A process holds one lease for all its groups, with one key per group bound to it. So the number
+//! of renewals does not grow with the number of groups.
 
 use bytes::Bytes;
 use flamingowheel_backing::kv::{
@@ -13,13 +13,13 @@
 use tokio::time::{Instant, sleep_until};
 use uuid::Uuid;
 
-/// Part of a lease's time after which it is renewed.
+/// A lease is renewed after this fraction of its time to live.
 const RENEWAL_PART: u32 = 2;
 
-/// Part of a lease's time after which a renewal that failed is tried again.
+/// A failed renewal is retried after this fraction of the time to live.
 const RETRY_PART: u32 = 6;
 
-/// One lease of the service, and what its holder may still do.
+/// The process's lease in the key-value service.
 #[derive(Clone, Copy, Debug)]
 struct Shared {
     id: LeaseId,
@@ -32,7 +32,7 @@
 struct State {
     shared: Option<Shared>,
     held: BTreeSet<String>,
-    /// Groups whose key may still be there although nobody here holds them any more.
+    /// Groups that this process no longer holds but whose key may still exist.
     leftover: BTreeSet<String>,
 }
 
@@ -42,11 +42,11 @@
     token: Bytes,
     ttl: Duration,
     state: Mutex<State>,
-    /// Taken to grant the lease and to write or delete keys, one at a time: a deletion that
-    /// overtakes a new acquisition of its group would leave two coordinators that each believe to
-    /// hold it, taking the group from each other in turn.
+    /// Serialises granting the lease and writing and deleting keys. If a deletion overtook a new
+    /// acquisition of the same group, two coordinators would both believe that they hold it, and
+    /// would keep taking it from each other.
     keys: tokio::sync::Mutex<()>,
-    /// Taken by the group that renews for all.
+    /// Held by the group that renews the lease for all groups.
     renewal: tokio::sync::Mutex<()>,
 }
 
@@ -57,7 +57,8 @@
 }
 
 impl Leases {
-    /// None held yet; a process whose renewals stop loses its groups after `ttl`.
+    /// Leases of a process that holds no group yet. If renewals stop, the process loses its groups
+    /// after `ttl`.
     pub fn new(kv: Arc<dyn KeyValue>, ttl: Duration) -> Self {
         let process = Process {
             kv,
@@ -70,7 +71,8 @@
         Self { process: Arc::new(process) }
     }
 
-    /// Tries to become coordinator of the group; `None` if another is, in this process or not.
+    /// Tries to become the coordinator of the group; `None` if it has another one, in this process
+    /// or elsewhere.
     pub async fn acquire(&self, group: &str) -> Result<Option<Lease>, KeyValueError> {
         let process = &self.process;
         let _keys = process.keys.lock().await;
@@ -79,7 +81,7 @@
         }
         let id = process.ensure().await?;
         process.state().held.insert(group.to_owned());
-        // If this call is given up midway, dropping the lease sees to the key it may have written.
+        // If this call is cancelled, dropping the lease marks the key for deletion.
         let mut lease =
             Lease { process: Arc::clone(process), group: group.to_owned(), id, may_have_key: true };
         match process.put_key(group, id).await {
@@ -104,7 +106,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The lease that is held, or a new one. One that no group kept renewed is renewed first.
+    /// Returns the held lease, renewed if that is due, or a new one.
     async fn ensure(&self) -> Result<LeaseId, KeyValueError> {
         let asked_at = Instant::now();
         let shared = self.state().shared;
@@ -123,8 +125,8 @@
         Ok(id)
     }
 
-    /// Counted from before the call, so that this process never trusts the lease longer than the
-    /// service does.
+    /// Times are counted from before the call, so that this process never considers the lease valid
+    /// for longer than the service does.
     fn shared(&self, id: LeaseId, asked_at: Instant) -> Shared {
         let renew_at = asked_at + self.ttl / RENEWAL_PART;
         Shared { id, until: asked_at + self.ttl, renew_at, service_down: false }
@@ -142,20 +144,20 @@
             Err(error) if error.may_have_taken_effect() => self.kv.transact(transaction).await?,
             answer => answer?,
         };
-        // A key of an earlier lease of this process is not ours to trust: it runs out soon.
+        // A key bound to an earlier lease of this process does not count: it expires soon.
         let ours = |entry: &KeyValueEntry| entry.value == self.token && entry.lease == Some(id);
         Ok(answer.succeeded || answer.reads.iter().flatten().any(ours))
     }
 
-    /// Deletes the key of a group that is given up, so that another process need not wait until
-    /// this one's lease runs out, which it does not while other groups are held.
+    /// Deletes the key of a released group. Another process could otherwise acquire the group only
+    /// after this process's lease expires, which it does not while it holds other groups.
     async fn delete_key(&self, group: &str) -> Result<(), KeyValueError> {
         let key = key_of(group);
         let get = vec![Operation::Get { key: key.clone() }];
         let read = self.kv.transact(Transaction { on_success: get, ..Transaction::default() });
         let entry = read.await?.reads.into_iter().flatten().next();
         let Some(entry) = entry.filter(|entry| entry.value == self.token) else { return Ok(()) };
-        // Only while it is the key that was read: it may have run out and be another's by now.
+        // Compares the revision: the key may have expired and been taken by another process.
         let unchanged = Compare::ModRevision { key: key.clone(), revision: entry.mod_revision };
         let delete = Transaction {
             compares: vec![unchanged],
@@ -191,7 +193,7 @@
         }
     }
 
-    /// Deletes what groups given up have left, unless an acquisition goes on just now.
+    /// Deletes the keys of released groups, unless an acquisition is in progress.
     async fn clear(&self) {
         let Ok(_keys) = self.keys.try_lock() else { return };
         let leftover = self.state().leftover.clone();
@@ -207,10 +209,10 @@
     format!("groups/{group}/coordinator")
 }
 
-/// One group that this process coordinated when it last heard of its lease.
+/// One group that this process holds under its lease, as far as it knows.
 ///
-/// Safety rests on fencing numbers alone. The lease only keeps two coordinators from taking the
-/// group from each other in turn.
+/// Safety depends on fencing numbers alone. The lease only keeps coordinators from constantly
+/// superseding each other.
 pub struct Lease {
     process: Arc<Process>,
     group: String,
@@ -219,47 +221,50 @@
 }
 
 impl Lease {
-    /// Keeps the lease renewed until it is lost. Of all groups' calls one at a time renews, and
-    /// none runs on by itself: a process that stops coordinating stops renewing.
+    /// Keeps the lease renewed until it is lost. Of the calls for several groups one at a time
+    /// renews. Renewal runs only inside these calls, so a process that stops coordinating stops
+    /// renewing.
     pub async fn keep_alive(&self) {
         while let Some(renew_at) = self.shared().map(|shared| shared.renew_at) {
             sleep_until(renew_at).await;
             let _turn = self.process.renewal.lock().await;
             let due = |shared: &Shared| shared.renew_at <= Instant::now();
             if self.shared().as_ref().is_some_and(due) {
-                // A failure is noted in what the process may still do.
+                // A failure is recorded in the shared state, which `may_change` and `may_align`
+                // read.
                 let _ = self.process.renew(self.id).await;
                 self.process.clear().await;
             }
         }
     }
 
-    /// Whether a change of map may be begun or committed.
+    /// Whether a change may be begun or committed: only until the lease expires by this process's
+    /// clock.
     ///
-    /// A process that was paused may wake after its lease went to another. It would notice only
-    /// when its orders are refused; asking the clock first spares the group the detour.
+    /// A process that was paused may resume after another has taken the group over. Fencing would
+    /// refuse its orders; checking the clock first avoids the failed change.
     pub fn may_change(&self) -> bool {
         self.shared().is_some_and(|shared| Instant::now() < shared.until)
     }
 
-    /// Whether ranks may be brought back to the map in force: also after the lease ran out while
-    /// the service is down, for then nobody else can take over, and a rank that crashed would
-    /// otherwise stop its group for as long as the service is away.
+    /// Whether ranks may be brought back to the map in force. This is also allowed after the lease
+    /// has expired while the key-value service is down: no other process can take over then, and a
+    /// crashed rank would otherwise stop its group for the whole outage.
     pub fn may_align(&self) -> bool {
         let may = |shared: Shared| Instant::now() < shared.until || shared.service_down;
         self.shared().is_some_and(may)
     }
 
-    /// Gives the group back; the others of this process are kept.
+    /// Releases the group; the process keeps its other groups.
     pub async fn release(self) {
         let process = Arc::clone(&self.process);
-        // If the call is lost, a group that is kept tries again when it renews; if none is, the
-        // key runs out with the lease.
+        // If the deletion fails, it is retried when the lease is renewed for another group; if
+        // there is none, the key expires with the lease.
         drop(self);
         process.clear().await;
     }
 
-    /// The lease under which the group was taken, unless it was lost since.
+    /// The lease under which the group was acquired, unless it has been lost.
     fn shared(&self) -> Option<Shared> {
         self.process.state().shared.filter(|shared| shared.id == self.id)
     }
--- a/crates/group/src/lib.rs
+++ b/crates/group/src/lib.rs
@@ -1,9 +1,9 @@
-//! One expert map per step: how a group of ranks changes its map, and how orders to engines and
-//! reads from the weight store are kept in bounds.
+//! Coordination of a rank group: all its ranks run each step with the same expert map.
 //!
-//! The group's record in the key-value service says which map is in force. One agent of the group
-//! holds a lease to coordinate; its orders carry the record's revision as fencing number, and the
-//! [`gate`] in front of each engine refuses lower ones.
+//! The group's record in the key-value service names the map in force. One process holds the lease
+//! to coordinate the group; its orders carry the record's revision as fencing number, and the
+//! [`gate`] in front of each engine refuses lower ones. Reads from the weight store are kept within
+//! its rate by the [`budget`].
 
 pub mod align;
 pub mod budget;
--- a/crates/group/src/message.rs
+++ b/crates/group/src/message.rs
@@ -4,27 +4,28 @@
 use flamingowheel_backing::orders::{EngineState, Fence, OrderTarget};
 use serde::{Deserialize, Serialize};
 
-/// What the coordinator asks of a rank's agent.
+/// A request from the coordinator to a rank's agent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RankRequest {
-    /// The agent process it is meant for; `None` for a read, which any may answer.
+    /// The agent process that the request is meant for; `None` for a read, which any process may
+    /// answer.
     pub incarnation: Option<u64>,
-    /// The revision of the record on which the request rests. Also a read raises the lowest number
-    /// that the agent accepts.
+    /// The revision of the group's record that the request is based on. Reads also raise the lowest
+    /// number that the agent accepts.
     pub fence: Fence,
-    /// The state asked for; `None` only reads.
+    /// The state that the engine is to reach; `None` for a read.
     pub target: Option<OrderTarget>,
-    /// The order is void unless the rank uses this version of the map. An engine may crash and come
-    /// back with no map between the coordinator's read and its order to resume; it would step with
-    /// another map than the rest.
+    /// Map version that the rank must use, or the order is refused. An engine may crash and restart
+    /// without a map between the coordinator's read and its order to resume; it would then step
+    /// with a different map from the other ranks.
     pub requires_version: Option<u64>,
-    /// Whether the agent is to take new work from now on; `None` leaves it as it is.
+    /// Whether the agent admits new requests from now on; `None` changes nothing.
     #[serde(default)]
     pub open: Option<bool>,
 }
 
 impl RankRequest {
-    /// A question that changes nothing but the lowest number.
+    /// A read of the rank's state. Its only effect is to raise the lowest accepted fencing number.
     ///
     /// ```
     /// use flamingowheel_group::message::RankRequest;
@@ -36,92 +37,93 @@
     }
 }
 
-/// What an agent says of its rank.
+/// The state of a rank as its agent reports it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RankState {
     /// The agent process that answers.
     pub incarnation: u64,
-    /// The engine's state, read after every earlier order had ended.
+    /// The engine's state, read while no order was in flight.
     pub engine: EngineState,
-    /// An order was sent whose answer was lost and which may still take effect at any time.
+    /// Whether the answer to an order was lost, so that the order may still take effect.
     pub unresolved: bool,
-    /// The agent's work.
+    /// Whether the agent admits requests, and how many are in progress.
     #[serde(default)]
     pub work: IntakeState,
 }
 
 impl RankState {
-    /// Whether the rank has come to a stop and runs no step until it is told to.
+    /// Whether the rank has reached its hold boundary and runs no step until it is resumed.
     pub fn is_stopped(&self) -> bool {
         self.engine.held_after_step.is_some_and(|boundary| boundary <= self.engine.step)
     }
 
-    /// Whether the engine was started held and has run no step since.
+    /// Whether the engine process was started held and has not received a map yet.
     pub fn is_fresh(&self) -> bool {
         self.engine.held_after_step.is_some() && self.engine.map_version == 0
     }
 
-    /// Whether the rank surely uses this version from its next step on.
+    /// Whether the rank is certain to use this map version from its next step on.
     pub fn uses(&self, map_version: u64) -> bool {
         !self.unresolved && self.engine.map_version == map_version
     }
 }
 
-/// Why a rank did not do what was asked.
+/// Why a rank did not carry out a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[serde(rename_all = "snake_case", tag = "error")]
 pub enum RankError {
-    /// A newer number was seen: whoever asks is no longer in charge.
+    /// A higher fencing number was seen: the sender no longer coordinates the group.
     #[error("fencing number {given} refused: the lowest accepted is {lowest}", given = given.0, lowest = lowest.0)]
     Stale {
-        /// The request's number.
+        /// The request's fencing number.
         given: Fence,
-        /// The lowest number accepted.
+        /// The lowest number that the agent accepts.
         lowest: Fence,
     },
-    /// The request is for an earlier agent process.
-    #[error("meant for another agent process than {incarnation}")]
+    /// The request is for another agent process, usually an earlier one.
+    #[error("request is for another agent process than {incarnation}")]
     WrongIncarnation {
         /// The process that answers.
         incarnation: u64,
     },
-    /// An earlier order may still take effect, so that a different one would not be safe.
+    /// An earlier order may still take effect, so a different one would not be safe.
     #[error("an earlier order may still take effect")]
     Unresolved,
-    /// The order could not be noted for the agent's successor, and was not sent.
-    #[error("the order could not be noted in the key-value service")]
+    /// The order was not sent, because it could not be stored in the key-value service for the
+    /// agent's successor.
+    #[error("the order could not be stored in the key-value service")]
     NotNoted,
-    /// The engine can't do it in its present state.
+    /// The engine can't carry out the order in its present state.
     #[error("engine: {reason}")]
     NotPossible {
-        /// The engine's reason.
+        /// Reason given by the engine.
         reason: String,
     },
-    /// The rank uses another version of the map than the order requires.
-    #[error("the rank uses version {version} of the map")]
+    /// The rank uses another map version than the order requires.
+    #[error("the rank uses map version {version}")]
     WrongVersion {
-        /// The version in use.
+        /// The map version in use; 0 if there is none.
         version: u64,
     },
-    /// Requests are in progress that began with another version of the model.
+    /// Another model version can't be loaded while requests that began with the old one run.
     #[error("{in_progress} requests in progress began with another version")]
     Busy {
-        /// How many.
+        /// Number of requests in progress.
         in_progress: u32,
     },
-    /// The rank serves something else than it was told to.
-    #[error("the rank serves version `{version}`")]
+    /// The rank does not serve the model version and adapters of the group's record.
+    #[error("the rank serves model version `{version}`")]
     WrongModel {
-        /// The version it reports.
+        /// The model version that the rank reports.
         version: String,
     },
-    /// The engine did not answer its agent.
+    /// The engine did not answer its agent in time.
     #[error("the engine does not answer")]
     EngineSilent,
-    /// The agent does not answer.
+    /// The agent did not answer the coordinator in time.
     #[error("the agent does not answer")]
     NoAnswer,
-    /// The agent does not yet know the lowest acceptable number.
+    /// The agent has not read the lowest acceptable fencing number from the group's record.
     #[error("the agent has not read the group's record yet")]
     NotReady,
 }
--- a/crates/group/src/pending_load.rs
+++ b/crates/group/src/pending_load.rs
@@ -1,9 +1,9 @@
-//! Notes of loads that may still take effect, kept in the key-value service.
+//! Loads that may still take effect, stored in the key-value service.
 //!
-//! An agent that dies with a load in its engine's queue takes the knowledge of it along. An engine
-//! that checks no fencing numbers carries the load out all the same, perhaps after a newer one of
-//! the agent's successor, and then serves a version that was replaced. So a load for such an engine
-//! is noted before it is sent, and a fresh agent begins with what its predecessor noted.
+//! If an agent dies with a load in its engine's queue, an engine that checks no fencing numbers
+//! still carries it out, perhaps after a newer load of the agent's successor, and then serves a
+//! version that was replaced. So a load for such an engine is stored before it is sent, and a new
+//! agent begins by reading the pending loads of its predecessors.
 
 use crate::record::RecordError;
 use bytes::Bytes;
@@ -12,17 +12,17 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// A load that was sent, or was about to be.
+/// A load that was sent to an engine, or was about to be.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PendingLoad {
-    /// What the engine was told to serve.
+    /// The [`OrderTarget::Serve`] that was ordered.
     pub target: OrderTarget,
-    /// The engine's process; a later one knows nothing of the order.
+    /// The engine process that the order was sent to. The order is lost when that process ends.
     pub process_id: u64,
 }
 
-/// The notes of one group, a key for each process of an engine.
+/// The pending loads of one group, stored under one key for each engine process.
 #[derive(Clone)]
 pub struct PendingLoadStore {
     kv: Arc<dyn KeyValue>,
@@ -30,12 +30,12 @@
 }
 
 impl PendingLoadStore {
-    /// The notes of the named group.
+    /// The store of the named group.
     pub fn new(kv: Arc<dyn KeyValue>, group: &str) -> Self {
         Self { kv, prefix: format!("groups/{group}/loads/") }
     }
 
-    /// All notes of the group.
+    /// Reads all pending loads of the group.
     pub async fn read(&self) -> Result<Vec<PendingLoad>, RecordError> {
         let snapshot = self.kv.range(&self.prefix).await.map_err(RecordError::NotWritten)?;
         let decode = |value: &Bytes| serde_json::from_slice(value).ok();
@@ -43,14 +43,14 @@
         notes.collect::<Option<_>>().ok_or(RecordError::Malformed)
     }
 
-    /// Puts a note in the place of the one before it.
+    /// Stores a pending load, replacing the one of the same engine process.
     pub async fn put(&self, note: &PendingLoad) -> Result<(), RecordError> {
         let value = serde_json::to_vec(note).map_err(|_| RecordError::Malformed)?;
         let key = self.key(note.process_id);
         self.run(Operation::Put { key, value: value.into(), lease: None }).await
     }
 
-    /// Takes back the note of a load that was surely not carried out.
+    /// Removes the load of an engine process, once it has taken effect or certainly won't.
     pub async fn remove(&self, process_id: u64) -> Result<(), RecordError> {
         self.run(Operation::Delete { key: self.key(process_id) }).await
     }
--- a/crates/group/src/proposal.rs
+++ b/crates/group/src/proposal.rs
@@ -1,11 +1,12 @@
-//! From the rebalancer's plan to the group's next map.
+//! Turns the rebalancer's plan into the group's next map.
 
 use flamingowheel_backing::orders::ExpertMap;
 use flamingowheel_policy::rebalance::{
     DecayedLoads, Params, Placement, Request, RequestError, plan,
 };
 
-/// The map that is worth switching to, if any.
+/// The map that the rebalancer finds worth switching to, if any. `loads` has one entry per layer,
+/// `speeds` one per rank.
 ///
 /// ```
 /// use flamingowheel_group::proposal::propose;
--- a/crates/group/src/record.rs
+++ b/crates/group/src/record.rs
@@ -12,79 +12,78 @@
 use std::time::Duration;
 use uuid::Uuid;
 
-/// How often a write whose answer was lost is tried again before its outcome is called unknown.
+/// Attempts at a write whose answers are lost, before its outcome is reported as unknown.
 const MAX_ATTEMPTS: u32 = 5;
-/// Pause between two attempts.
 const ATTEMPT_PAUSE: Duration = Duration::from_millis(100);
 
-/// A map and its version. Versions are never used twice, also not after a change was rolled back,
-/// so that a rank's version alone tells its map.
+/// A map and its version. A version is never reused, even after a rollback, so a rank's version
+/// identifies its map.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionedMap {
-    /// The version, above zero; engines report zero before their first map.
+    /// Version, 1 or above; 0 means no map, as engines report before their first one.
     pub version: u64,
-    /// The map.
+    /// Assignment of experts to ranks, by layer.
     pub map: ExpertMap,
 }
 
-/// How far a change has come.
+/// Progress of a change of the map or the model version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "phase")]
 pub enum Phase {
-    /// No change is under way.
+    /// No change is in progress.
     Settled,
-    /// Ranks load `next`; the map in force is still the old one.
+    /// Ranks load `next`; the old map is still in force.
     Pending {
-        /// The map to come.
+        /// The map that is put in force once all ranks have loaded it and are held.
         next: VersionedMap,
     },
-    /// The map in force is new, and ranks are being brought to it.
+    /// The map or the adapters in force are new, and ranks are being brought to them.
     Committed,
-    /// Another version of the model is in force. Ranks take no new work, and when nothing is in
-    /// progress any more they are brought to it.
+    /// Another model version is in force. Ranks admit no requests, and load it once none is in
+    /// progress.
     Rolling,
 }
 
-/// What all ranks of a group serve.
+/// Model version and adapters that all ranks of a group serve.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Serving {
-    /// The model.
+    /// Model name.
     pub model: String,
-    /// Its version.
+    /// Model version.
     pub version: String,
-    /// Adapters that each rank holds at least.
+    /// Adapters that every rank must hold; ranks may hold more.
     pub adapters: BTreeSet<String>,
 }
 
-/// A rank as the record knows it.
+/// A rank in the group's record.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RankEntry {
-    /// Its agent process when the record was written.
+    /// The rank's agent process at the last switch; 0 before the first.
     pub incarnation: u64,
 }
 
-/// The group's record.
+/// The state of a group in the key-value service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GroupRecord {
-    /// Drawn anew for each write, so that its writer can tell whether it took effect.
+    /// Drawn for each write, so that the writer can recognise its own record after a lost answer.
     pub change_id: Uuid,
-    /// The map in force.
+    /// The map that ranks may step with.
     pub in_force: VersionedMap,
-    /// The highest version given out.
+    /// The highest map version given out so far, versions rolled back included.
     pub last_version: u64,
-    /// How far a change has come.
+    /// Progress of the change in progress, if there is one.
     pub phase: Phase,
-    /// The group's ranks.
+    /// The group's ranks, by index.
     pub ranks: Vec<RankEntry>,
-    /// What they serve; `None` until operators have named a version or an adapter.
+    /// What the ranks serve; `None` until operators have named a version or an adapter.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub serving: Option<Serving>,
 }
 
 impl GroupRecord {
-    /// The first record of a group.
+    /// The first record of a group, with `map` in force as version 1.
     ///
     /// ```
     /// use flamingowheel_group::record::GroupRecord;
@@ -102,7 +101,7 @@
         }
     }
 
-    /// The first record of a group whose ranks share no map: engines report version zero.
+    /// The first record of a group whose ranks share no map: its version is 0, as engines report.
     ///
     /// ```
     /// use flamingowheel_group::record::GroupRecord;
@@ -114,8 +113,8 @@
         Self { in_force, last_version: 0, phase: Phase::Settled, ..first }
     }
 
-    /// The record with `serving` in force. Adapters are loaded beside what runs; another version
-    /// has to wait until nothing does.
+    /// The record with `serving` in force. Adapters can be loaded while requests run; another
+    /// version has to wait until none does.
     pub fn with_serving(&self, serving: Serving) -> Self {
         let known = self.serving.as_ref();
         let adds_only = known.is_some_and(|known| known.version == serving.version);
@@ -126,35 +125,35 @@
         Self { phase, serving: Some(serving), ..self.clone() }
     }
 
-    /// The record while ranks load `map`.
+    /// The record while ranks load `map` under a new version.
     pub fn pending(&self, map: ExpertMap) -> Self {
         let last_version = self.last_version + 1;
         let next = VersionedMap { version: last_version, map };
         Self { last_version, phase: Phase::Pending { next }, ..self.clone() }
     }
 
-    /// The record with `next` in force.
+    /// The record with `next` in force, while ranks are brought to it.
     pub fn committed(&self, next: &VersionedMap) -> Self {
         Self { in_force: next.clone(), phase: Phase::Committed, ..self.clone() }
     }
 
-    /// The record once no change is under way; a pending one is dropped.
+    /// The record with no change in progress; a pending one is rolled back.
     pub fn settled(&self) -> Self {
         Self { phase: Phase::Settled, ..self.clone() }
     }
 }
 
-/// A record as stored.
+/// A group's record with its revision in the key-value service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredRecord {
-    /// The record.
+    /// The stored record.
     pub record: GroupRecord,
-    /// The revision of its last write.
+    /// Revision of the record's last write.
     pub revision: Revision,
 }
 
 impl StoredRecord {
-    /// The number that orders resting on this record carry.
+    /// The fencing number of orders that are based on this record.
     pub fn fence(&self) -> Fence {
         Fence(self.revision.0)
     }
@@ -163,19 +162,19 @@
 /// Why the record could not be read or written.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RecordError {
-    /// The write surely did not take effect.
+    /// The read failed, or the write certainly did not take effect.
     #[error("record not written: {0}")]
     NotWritten(KeyValueError),
     /// The write may have taken effect.
     #[error("record may have been written: {0}")]
     Unknown(KeyValueError),
-    /// Someone else wrote the record first.
+    /// Another process changed the record since it was read.
     #[error("record was changed by another process")]
     Conflict,
-    /// The stored value is not a group record.
+    /// The stored value can't be decoded as a group record.
     #[error("stored record can't be read")]
     Malformed,
-    /// The group has no record.
+    /// The group has no record yet.
     #[error("group has no record")]
     Missing,
 }
@@ -189,13 +188,13 @@
 }
 
 impl RecordStore {
-    /// The record of the named group.
+    /// The store of the named group's record.
     pub fn new(kv: Arc<dyn KeyValue>, group: &str) -> Self {
         let notes = PendingLoadStore::new(Arc::clone(&kv), group);
         Self { kv, key: format!("groups/{group}/record"), notes }
     }
 
-    /// What agents noted of loads on the group's engines.
+    /// The store of loads that may still take effect on the group's engines.
     pub fn pending_loads(&self) -> PendingLoadStore {
         self.notes.clone()
     }
@@ -212,7 +211,7 @@
         self.write(Compare::Absent { key: self.key.clone() }, record).await
     }
 
-    /// Replaces the record that was read as `old`.
+    /// Replaces `old`; fails with [`RecordError::Conflict`] if the record was changed since.
     pub async fn replace(
         &self,
         old: &StoredRecord,
@@ -222,9 +221,10 @@
         self.write(compare, record).await
     }
 
-    /// An answer can be lost after the write took effect, and a write can even take effect after
-    /// its answer was given up. A mere read can't tell the latter. So the same write is tried
-    /// again: if it fails, whatever stands there now is final, and its change id tells whose it is.
+    /// The answer can be lost after the write took effect, and the write can even take effect after
+    /// the client has stopped waiting, which a read could not rule out. So the same write is
+    /// retried: if its comparison fails, the stored record is final, and its change id tells
+    /// whether this writer wrote it.
     async fn write(
         &self,
         compare: Compare,
--- a/crates/group/src/retry.rs
+++ b/crates/group/src/retry.rs
@@ -1,16 +1,16 @@
-//! When a change or a load that failed is tried again.
+//! Backoff of failed map switches and model loads.
 
 use flamingowheel_backing::orders::ExpertMap;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Pause after the first failure; it doubles with each further one.
+/// Delay after the first failure; it doubles with each further one.
 const FIRST_PAUSE: Duration = Duration::from_secs(1);
 
-/// The longest pause: what was in the way may be gone, and nobody has to tell.
+/// Longest delay. It is bounded because nothing signals that the cause of the failures is gone.
 const LONGEST_PAUSE: Duration = Duration::from_secs(60);
 
-/// Pauses that grow with each failure.
+/// Exponential backoff.
 #[derive(Debug, Default)]
 pub(crate) struct Pauses {
     failures: u32,
@@ -18,12 +18,12 @@
 }
 
 impl Pauses {
-    /// Whether the next try may begin.
+    /// Whether the next attempt may begin.
     pub(crate) fn are_over(&self, now: Instant) -> bool {
         self.not_before.is_none_or(|begin| begin <= now)
     }
 
-    /// A try has failed.
+    /// Records a failed attempt.
     pub(crate) fn failed(&mut self, now: Instant) {
         let pause = FIRST_PAUSE.saturating_mul(1 << self.failures.min(16)).min(LONGEST_PAUSE);
         self.failures += 1;
@@ -31,10 +31,10 @@
     }
 }
 
-/// The wanted map and how its switch has fared.
+/// The desired map and the backoff of attempts to switch to it.
 ///
-/// A rank that can't load a map would otherwise be told to twice a second, and each try takes from
-/// the weight store's rate what the rest of the fleet could use.
+/// Without backoff, a rank that can't load a map would be ordered to load it twice a second, and
+/// each attempt would use up some of the fleet's weight store rate.
 #[derive(Debug, Default)]
 pub(crate) struct Retries {
     wanted: Option<ExpertMap>,
@@ -42,7 +42,7 @@
 }
 
 impl Retries {
-    /// Takes note of the wanted map; another one than before is due at once.
+    /// Sets the desired map. A different map from before is due at once.
     pub(crate) fn want(&mut self, map: &ExpertMap) {
         if self.wanted.as_ref() != Some(map) {
             *self = Self { wanted: Some(map.clone()), ..Self::default() };
@@ -55,7 +55,7 @@
         self.wanted.as_ref().filter(|map| is_due && *map != in_force)
     }
 
-    /// A switch to the wanted map did not get through.
+    /// Records a failed switch to the desired map.
     pub(crate) fn failed(&mut self, now: Instant) {
         self.pauses.failed(now);
     }
--- a/crates/group/src/rollout.rs
+++ b/crates/group/src/rollout.rs
@@ -1,4 +1,4 @@
-//! From what operators accepted of a model to what a group's record says.
+//! Updates a group's record to the model version and adapters that operators accepted.
 
 use crate::ranks::Ranks;
 use crate::record::{Phase, RecordError, Serving, StoredRecord};
@@ -9,12 +9,12 @@
 use std::sync::Arc;
 use tokio::sync::watch;
 
-/// One group's changes of version and adapters.
+/// Rollout of model versions and adapters to one group.
 pub(crate) struct Rollout {
     model: String,
     wanted: watch::Receiver<Option<DesiredServing>>,
     turns: Turns,
-    /// What is wanted and waits for the group's turn.
+    /// The change that waits for the rollout lock.
     waiting: Option<Serving>,
 }
 
@@ -29,14 +29,13 @@
         Self { model: model.to_owned(), wanted, turns, waiting: None }
     }
 
-    /// What waits, and the group it waits for.
+    /// The waiting change and the group that holds the rollout lock.
     pub(crate) fn waiting(&self) -> Option<(Serving, String)> {
         Some((self.waiting.clone()?, self.turns.waits_for()?))
     }
 
-    /// While ranks still have requests of the former version, another target may take the place of
-    /// the one that the record names. An operator who takes a bad version back would otherwise have
-    /// to wait for it to be loaded.
+    /// Replaces the target of a rollout in progress if the desired version has changed. An operator
+    /// who reverts a bad version would otherwise have to wait until it is loaded.
     pub(crate) async fn retarget<Members>(
         &mut self,
         session: &Session<'_, Members>,
@@ -48,7 +47,8 @@
         if stored.record.phase != Phase::Rolling {
             return Ok(stored);
         }
-        // The turn of a coordinator that is gone is taken over; the change goes on in any case.
+        // Takes over the lock of this group's earlier coordinator. The rollout goes on even if that
+        // fails.
         self.turns.take().await;
         match self.next(session, &stored).await {
             Some(next) => Ok(write(session, &stored, next).await?.unwrap_or(stored)),
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Begins a change if one is wanted and it is the group's turn.
+    /// Begins a rollout if one is due. Changes of the model version need the rollout lock.
     pub(crate) async fn begin<Members>(
         &mut self,
         session: &Session<'_, Members>,
@@ -99,7 +99,7 @@
     }
 }
 
-/// Writes the next target; `None` if that can't be done now.
+/// Writes the next target into the record; `None` if that is not possible now.
 async fn write<Members>(
     session: &Session<'_, Members>,
     stored: &StoredRecord,
--- a/crates/group/src/serve.rs
+++ b/crates/group/src/serve.rs
@@ -1,4 +1,4 @@
-//! Bringing ranks to the model version and adapters that operators accepted.
+//! Brings ranks to the model version and adapters of the group's record.
 
 use crate::intake::IntakeState;
 use crate::message::{RankError, RankState};
@@ -10,20 +10,20 @@
 use futures_util::future::join_all;
 use std::collections::BTreeSet;
 
-/// What operators accepted of one model.
+/// Version and adapters of one model that operators accepted.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DesiredServing {
-    /// The version; `None` keeps the one that is served.
+    /// Model version; `None` keeps the version that is served.
     pub version: Option<String>,
-    /// Adapters that some workspace may name.
+    /// Adapters that requests of some workspace may name.
     pub adapters: BTreeSet<String>,
 }
 
-/// What the group's record should say next; `None` if it says so already. `reported` is the version
-/// that all ranks report, used while nobody has named one.
+/// What the group's record should say next; `None` if it needs no change. `reported` is the version
+/// that all ranks report; it is used until operators have named one.
 ///
-/// An adapter that nobody names any more stays until the next version: unloading it would mean to
-/// wait for the requests that use it.
+/// An adapter that is no longer listed stays loaded until the next version: unloading it would
+/// require waiting for the requests that use it.
 ///
 /// ```
 /// use flamingowheel_group::record::GroupRecord;
@@ -72,8 +72,8 @@
     is_version(engine, serving) && serving.adapters.iter().all(|own| engine.adapters.contains(own))
 }
 
-/// The order that brings an engine there. Its role is its own, and adapters that it holds beyond
-/// those named stay while the version does.
+/// The target that makes an engine serve `serving`. The engine keeps its role and, while the
+/// version stays the same, adapters that it holds in addition.
 fn target(engine: &EngineState, serving: &Serving) -> OrderTarget {
     let mut adapters = serving.adapters.clone();
     if is_version(engine, serving) {
@@ -87,11 +87,11 @@
     }
 }
 
-/// How far the ranks are.
+/// Progress of the ranks towards what the record says.
 pub(crate) enum Progress {
-    /// All serve what the record says; their states.
+    /// All ranks serve it; holds their states.
     Served(Vec<(usize, RankState)>),
-    /// Requests of another version are in progress.
+    /// Ranks that have to change their version still have requests in progress.
     Draining(Vec<(usize, IntakeState)>),
 }
 
@@ -102,11 +102,11 @@
     states.iter().filter(is_behind).map(|(rank, _)| *rank).collect()
 }
 
-/// Takes the next step towards what the record says.
+/// Takes the next step to make the ranks serve what the record says.
 ///
-/// Ranks that have to change their version first take no new work, and the group goes on until
-/// theirs has ended. Then all stop, so that no step is run with two versions; they stay stopped
-/// until all were read back.
+/// Ranks that have to change their version first stop admitting requests, and the group steps on
+/// until their requests have ended. Then all ranks are held, so that no step runs with two
+/// versions, and stay held until all have been read back.
 pub(crate) async fn bring<Members>(
     session: &Session<'_, Members>,
     stored: &StoredRecord,
@@ -141,7 +141,7 @@
         .filter(|(rank, _)| ranks.contains(rank))
         .map(|(rank, state)| load(session, stored, *rank, &state.engine, serving));
     join_all(loads).await.into_iter().collect::<Result<Vec<()>, GroupError>>()?;
-    // An order's answer is no proof: the engine may have crashed since.
+    // An order's answer proves nothing: the engine may have crashed since.
     let states = session.read_all_or_fail(stored.fence()).await?;
     let states: Vec<(usize, RankState)> = states.into_iter().enumerate().collect();
     match behind(&states, &stored.record).first() {
@@ -153,8 +153,9 @@
     }
 }
 
-/// Closes the ranks' intakes; gives those that have work left. Ranks that were started held and
-/// have no map have run no step: what waits there can't end before they are let go.
+/// Closes the ranks' intakes and returns the ranks that still have requests. Ranks that were
+/// started held and have no map don't count: they have run no step, and their requests can't end
+/// before the group is resumed.
 async fn drain<Members>(
     session: &Session<'_, Members>,
     stored: &StoredRecord,
@@ -171,7 +172,7 @@
     busy.map(|(rank, state)| (*rank, state.work)).collect()
 }
 
-/// Has a rank load what it lacks, when the weight store's rate allows.
+/// Makes a rank load what it lacks, once the weight store's rate allows it.
 async fn load<Members>(
     session: &Session<'_, Members>,
     stored: &StoredRecord,
@@ -192,7 +193,7 @@
     session.send_orders(stored.fence(), vec![order], session.timing.stage_timeout).await
 }
 
-/// Lets ranks take work again that were closed for a change.
+/// Reopens the intakes of ranks that were closed for a change.
 pub(crate) async fn reopen<Members>(
     session: &Session<'_, Members>,
     stored: &StoredRecord,
--- a/crates/group/src/session.rs
+++ b/crates/group/src/session.rs
@@ -1,4 +1,4 @@
-//! A coordinator's dealings with its ranks, bounded in time and within its lease.
+//! Requests of a coordinator to its ranks, bounded by timeouts and by its lease.
 
 use crate::budget::Budget;
 use crate::lease::Lease;
@@ -11,18 +11,19 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, timeout};
 
-/// How long things may take.
+/// Intervals and timeouts of coordination.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
     /// Time to live of the lease to coordinate.
     pub lease_ttl: Duration,
-    /// Pause between two looks at the group.
+    /// Pause between two polls of the group, and between two attempts to acquire the lease.
     pub poll_interval: Duration,
-    /// How long one call to a rank may take.
+    /// Timeout of one call to a rank's agent, and of orders to hold ranks.
     pub call_timeout: Duration,
-    /// How long loading the weights of a map may take.
+    /// Timeout for a rank to load the weights of a map or a model version.
     pub stage_timeout: Duration,
-    /// How long a rank may fail to answer before it is named as out of service.
+    /// How long a rank may stay unverified before it is reported as out of service. Also the
+    /// timeout for holding, switching and resuming all ranks.
     pub rank_timeout: Duration,
 }
 
@@ -38,24 +39,24 @@
     }
 }
 
-/// Why a coordinator's work on its group stopped.
+/// Why a coordinator's operation on its group failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum GroupError {
-    /// The lease to coordinate ran out, perhaps while this process was paused.
-    #[error("lease to coordinate ran out")]
+    /// The lease to coordinate expired, for example while this process was paused.
+    #[error("lease to coordinate expired")]
     LeaseExpired,
-    /// A rank has seen a newer coordinator.
-    #[error("a newer coordinator is in charge")]
+    /// A rank has seen the higher fencing number of a newer coordinator.
+    #[error("superseded by a newer coordinator")]
     Superseded,
-    /// A rank did not do its part in time.
+    /// A rank could not be read or did not carry out an order in time.
     #[error("rank {rank}: {error}")]
     Rank {
-        /// The rank.
+        /// Index of the rank in the group.
         rank: usize,
-        /// What it said.
+        /// Error of the last attempt.
         error: RankError,
     },
-    /// Ranks stopped at different steps.
+    /// Ranks stopped at different steps, or not all of them stopped in time.
     #[error("ranks stopped at different steps")]
     UnevenSteps,
     /// The record could not be read or written.
@@ -63,51 +64,52 @@
     Record(#[from] RecordError),
 }
 
-/// What the work on a group needs.
+/// Context of one coordinator's operations on its group.
 pub struct Session<'a, Members> {
-    /// The group's ranks.
+    /// Transport to the group's ranks.
     pub ranks: &'a Members,
-    /// The group's record.
+    /// Store of the group's record.
     pub records: &'a RecordStore,
-    /// The lease under which this process coordinates.
+    /// The lease under which this process coordinates the group.
     pub lease: &'a Lease,
-    /// How long things may take.
+    /// Intervals and timeouts.
     pub timing: &'a Timing,
-    /// Paces loads from the weight store.
+    /// Limits loads from the weight store; `None` if they are not limited.
     pub load_limiter: Option<&'a LoadLimiter>,
-    /// Versions and adapters may be loaded; not right after an engine could not.
+    /// Whether versions and adapters may be loaded now; `false` during the backoff after an engine
+    /// could not load them.
     pub may_load: bool,
 }
 
-/// How loads of expert weights are kept within the weight store's rate.
+/// Keeps loads of weights within this process's share of the weight store's rate.
 #[derive(Clone)]
 pub struct LoadLimiter {
-    /// This process's share; the coordinator keeps it confirmed while it acts.
+    /// This process's share; the coordinator keeps it confirmed while it holds the lease.
     pub budget: Arc<Budget>,
-    /// Sizes of what is loaded.
+    /// Sizes that loads are counted with.
     pub sizes: WeightSizes,
 }
 
-/// Sizes of weights, of the largest model: a load that is counted for too little would overrun the
-/// store.
+/// Sizes of the largest model's weights. Loads that are counted too small would exceed the store's
+/// rate.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WeightSizes {
-    /// One expert's weights in one layer.
+    /// Weights of one expert in one layer.
     pub expert_bytes: u64,
-    /// All that one rank loads of a version.
+    /// All weights of a model version on one rank.
     pub rank_bytes: u64,
-    /// One adapter on one rank.
+    /// Weights of one adapter on one rank.
     pub adapter_bytes: u64,
 }
 
 impl LoadLimiter {
-    /// Waits until a rank may load what `next` gives it beyond what it holds.
+    /// Waits until a rank may load the experts of `next` that `held` does not give it.
     pub async fn acquire_for_map(&self, rank: usize, held: Option<&ExpertMap>, next: &ExpertMap) {
         let count = experts_to_load(rank, held, next);
         self.budget.acquire(self.sizes.expert_bytes * count).await;
     }
 
-    /// Waits until a rank may load a version, if it is another one, and so many adapters.
+    /// Waits until a rank may load this many adapters, and the model version if it is another one.
     pub async fn acquire_for_model(&self, is_other_version: bool, adapters: usize) {
         let version_bytes = if is_other_version { self.sizes.rank_bytes } else { 0 };
         let adapter_bytes = self.sizes.adapter_bytes * adapters as u64;
@@ -129,7 +131,7 @@
 where
     Members: Ranks,
 {
-    /// Reads every rank, and with that makes every agent refuse lower numbers from here on.
+    /// Reads every rank. Agents that are reached refuse lower fencing numbers from then on.
     pub async fn read_all(&self, fence: Fence) -> Result<Vec<RankResult>, GroupError> {
         let reads = (0..self.ranks.count()).map(|rank| self.read(rank, fence));
         let states = join_all(reads).await;
@@ -140,7 +142,7 @@
         Ok(states)
     }
 
-    /// Reads every rank and fails if one can't be read.
+    /// Reads every rank; fails if one can't be read.
     pub async fn read_all_or_fail(&self, fence: Fence) -> Result<Vec<RankState>, GroupError> {
         let states = self.read_all(fence).await?.into_iter().enumerate();
         states
@@ -152,7 +154,8 @@
         self.call(rank, RankRequest::read(fence)).await
     }
 
-    /// Has these ranks' agents take new work or not. Whether they do shows at the next read.
+    /// Opens or closes the intakes of these ranks. Errors are ignored: the next read shows whether
+    /// it took effect.
     pub async fn set_open(&self, fence: Fence, ranks: &[usize], open: bool) {
         let request = RankRequest { open: Some(open), ..RankRequest::read(fence) };
         join_all(ranks.iter().map(|rank| self.call(*rank, request.clone()))).await;
@@ -163,9 +166,9 @@
         answer.unwrap_or(Err(RankError::NoAnswer))
     }
 
-    /// Sends each order until its rank has carried it out or `limit` has passed. Orders name
-    /// targets, so sending one again is harmless; a load that takes longer than a call is asked
-    /// after until it is done.
+    /// Sends each order, with retries, until its rank has carried it out or `limit` has passed.
+    /// Orders name target states, so repeating one is harmless; a load that takes longer than one
+    /// call is repeated until it is done.
     pub async fn send_orders(
         &self,
         fence: Fence,
@@ -200,14 +203,14 @@
         }
     }
 
-    /// Addresses the agent process that answers now: an order that was on its way to an earlier one
-    /// is then refused however late it comes.
+    /// Reads the rank's incarnation first and addresses the order to it, so that a later agent
+    /// process refuses the order however late it arrives.
     async fn try_order(&self, fence: Fence, order: &RankOrder) -> Result<RankResult, GroupError> {
         let state = match self.read(order.rank, fence).await {
             Ok(state) => state,
             Err(error) => return Ok(Err(error)),
         };
-        // Reading took time, in which this process may have been paused.
+        // This process may have been paused during the read.
         if !self.lease.may_align() {
             return Err(GroupError::LeaseExpired);
         }
@@ -225,22 +228,22 @@
 /// Pause before an order is sent again.
 const ORDER_PAUSE: Duration = Duration::from_millis(50);
 
-/// A rank's answer.
+/// A rank's answer to one request.
 pub type RankResult = Result<RankState, RankError>;
 
 /// An order for one rank.
 #[derive(Clone, Debug)]
 pub struct RankOrder {
-    /// The rank.
+    /// Index of the rank in the group.
     pub rank: usize,
-    /// The state asked for.
+    /// The state that the engine is to reach.
     pub target: OrderTarget,
     /// See [`RankRequest::requires_version`].
     pub requires_version: Option<u64>,
 }
 
 impl RankOrder {
-    /// An order whatever map the rank uses.
+    /// An order that applies whatever map the rank uses.
     pub fn new(rank: usize, target: OrderTarget) -> Self {
         Self { rank, target, requires_version: None }
     }
--- a/crates/group/src/status.rs
+++ b/crates/group/src/status.rs
@@ -1,10 +1,10 @@
-//! What operators are told of a group.
+//! The status of a group as operators see it.
 
 use crate::message::RankError;
 use crate::record::Serving;
 use serde::{Deserialize, Serialize};
 
-/// Where a group stands.
+/// What a group is doing.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Activity {
@@ -13,9 +13,9 @@
     Following,
     /// All ranks step with the map in force.
     Running,
-    /// Weights of a new map are being loaded; the group steps on.
+    /// Ranks load the weights of a new map while the group goes on stepping.
     Staging,
-    /// Another version of the model is in force, and requests of the former one run to their end.
+    /// Another model version is in force, and requests that began with the old one are finishing.
     Draining,
     /// The group is stopped while ranks are brought to the map in force.
     Aligning,
@@ -23,31 +23,32 @@
     Held,
 }
 
-/// A rank that can't be verified and therefore doesn't step.
+/// A rank that can't be verified.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OutOfService {
-    /// The rank.
+    /// Index of the rank in the group.
     pub rank: usize,
-    /// Why.
+    /// Error of the latest attempt to read or order the rank.
     pub reason: RankError,
 }
 
-/// The state of a group as its coordinator knows it.
+/// The state of a group as its coordinator last saw it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupStatus {
-    /// What is going on.
+    /// What the group is doing; `Following` if this process does not coordinate it.
     pub activity: Activity,
-    /// Version of the map in force.
+    /// Version of the expert map in force; 0 if the ranks share no map.
     pub map_version: u64,
-    /// Ranks out of service.
+    /// Ranks that could not be verified for longer than the rank timeout.
     pub out_of_service: Vec<OutOfService>,
-    /// What the ranks are to serve, if operators said so.
+    /// Model version and adapters that the ranks are to serve; `None` until operators have named
+    /// some.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub serving: Option<Serving>,
-    /// Ranks that don't serve it yet.
+    /// Ranks that don't serve `serving` yet.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub behind: Vec<usize>,
-    /// The group waits for another group of the model before it changes its version.
+    /// Another group of the model that is changing its version; this group changes after it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub waits_for: Option<String>,
 }
--- a/crates/group/src/switch/commit.rs
+++ b/crates/group/src/switch/commit.rs
@@ -1,4 +1,4 @@
-//! Putting the next map in force.
+//! Puts the next map in force.
 
 use super::{Committed, Failure, Held, Switch, Transition};
 use crate::ranks::Ranks;
@@ -8,7 +8,8 @@
 where
     Members: Ranks,
 {
-    /// Writes into the record that the next map is in force. From then on everybody rolls forward.
+    /// Writes into the record that the next map is in force. From then on every coordinator
+    /// completes the switch instead of rolling it back.
     pub async fn commit(self) -> Transition<'a, Members, Committed> {
         if !self.session.lease.may_change() {
             return self.then(Err(GroupError::LeaseExpired), |_| Committed);
--- a/crates/group/src/switch/hold.rs
+++ b/crates/group/src/switch/hold.rs
@@ -1,4 +1,4 @@
-//! Stopping a group at one step boundary.
+//! Holds all ranks of a group at the same step boundary.
 
 use super::{Held, Staged, Switch, Transition};
 use crate::message::RankState;
@@ -8,35 +8,36 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// Steps between the one seen and the boundary, so that the order arrives before the boundary.
+/// Steps between the latest step read and the boundary, so that orders arrive before the boundary.
 const MARGIN_STEPS: u64 = 2;
 
-/// The margin doubles with each boundary that was passed before the order came, up to this. With a
-/// fixed one, a group whose ranks step faster than messages travel would never stop.
+/// Upper bound on the margin. The margin doubles each time an order fails, mostly because a rank
+/// had passed the boundary; with a fixed one, a group whose ranks step faster than messages travel
+/// would never stop.
 const MAX_MARGIN_STEPS: u64 = 256;
 
-/// Pause between two looks at ranks that are to stop.
+/// Pause between two reads of ranks that are to be held.
 const LOOK_PAUSE: Duration = Duration::from_millis(20);
 
-/// Looks without any step after which a group counts as standing still.
+/// Consecutive reads without a step after which a group counts as standing still.
 const STILL_LOOKS: u32 = 10;
 
 impl<'a, Members> Switch<'a, Members, Staged>
 where
     Members: Ranks,
 {
-    /// Stops all ranks at the same step.
+    /// Holds all ranks after the same step.
     pub async fn hold(self) -> Transition<'a, Members, Held> {
         let result = hold_all(self.session, self.stored.fence()).await.map(drop);
         self.then(result, |state| Held { next: state.next })
     }
 }
 
-/// Stops all ranks and confirms it.
+/// Holds all ranks and confirms that they have stopped. Returns their states.
 ///
-/// Ranks step together, so the first to stop stops the rest: a boundary that one rank has accepted
-/// is passed by none. Where a rank stands still already (it crashed and came back, or an earlier
-/// switch was cut short), the others can't reach a later boundary and are held where they are.
+/// Ranks step together, so once one rank has accepted a boundary, none can pass it. If a rank is
+/// already stopped (it has restarted, or an earlier switch was interrupted), the others can't reach
+/// a later boundary and are held at their present step.
 pub async fn hold_all<Members>(
     session: &Session<'_, Members>,
     fence: Fence,
@@ -65,7 +66,7 @@
             result?;
             return Err(GroupError::UnevenSteps);
         }
-        // A boundary that a rank has passed meanwhile is refused; the next look sets a later one.
+        // A rank refuses a boundary that it has already passed; the next round sets a later one.
         if result.is_err() {
             margin_steps = (margin_steps * 2).min(MAX_MARGIN_STEPS);
         }
@@ -81,8 +82,8 @@
 where
     Members: Ranks,
 {
-    // The first rank alone decides whether the boundary holds: two ranks given different ones at
-    // the same time could stop apart.
+    // The boundary is ordered from the first rank alone, and from the others once that one has
+    // accepted it: ranks given different boundaries at the same time could stop at different steps.
     let mut orders = orders.into_iter();
     let first = orders.next().into_iter().collect();
     session.send_orders(fence, first, session.timing.call_timeout).await?;
@@ -93,7 +94,7 @@
     let blocked = still || states.iter().any(RankState::is_stopped);
     let given = states.iter().filter_map(|state| state.engine.held_after_step).max();
     let latest = states.iter().map(|state| state.engine.step).max().unwrap_or(0);
-    // A boundary once given stays, or the group would never reach it.
+    // A boundary that a rank has accepted is kept, or the group would never reach it.
     let boundary = given.unwrap_or(latest + margin_steps);
     let target = |state: &RankState| if blocked { state.engine.step } else { boundary };
     let open = states.iter().enumerate().filter(|(_, state)| {
@@ -103,8 +104,8 @@
         .collect()
 }
 
-/// Ranks that went to the boundary together must have stopped at the same step. Those that stood
-/// still before may be engines that started since and count their steps anew.
+/// Checks that ranks that were stepping have stopped at the same step. Ranks that were stopped
+/// before may be restarted engines, whose step counter began again.
 fn confirm(states: Vec<RankState>, moving: &[bool]) -> Result<Vec<RankState>, GroupError> {
     let together = states.iter().zip(moving).filter(|(_, moving)| **moving);
     let mut steps = together.map(|(state, _)| state.engine.step);
--- a/crates/group/src/switch/mod.rs
+++ b/crates/group/src/switch/mod.rs
@@ -1,6 +1,6 @@
-//! The switch of a group to another map, as a typestate: begin → stage → hold → commit → switch →
-//! read back → resume. Each state is entered only through the one before, so that no rank can be
-//! told to step with a map that the others are not known to use.
+//! Switch of a group to another expert map, as a typestate: begin → stage → hold → commit → switch
+//! → read back → resume. Each state can be entered only from the one before it, so that no rank is
+//! ordered to step with a map before all ranks have been read back as using it.
 
 mod commit;
 mod hold;
@@ -16,54 +16,55 @@
 use crate::session::{GroupError, Session};
 use flamingowheel_backing::orders::ExpertMap;
 
-/// A switch in the state `State`.
+/// A map switch in the state `State`.
 pub struct Switch<'a, Members, State> {
     session: &'a Session<'a, Members>,
     stored: StoredRecord,
     state: State,
 }
 
-/// The record says that ranks load the next map.
+/// The record names the next map as pending; ranks are still to load it.
 pub struct Begun {
     next: VersionedMap,
 }
 
-/// All ranks hold the weights of the next map.
+/// All ranks have loaded the weights of the next map.
 pub struct Staged {
     next: VersionedMap,
 }
 
-/// All ranks have stopped at the same step.
+/// All ranks are held after the same step.
 pub struct Held {
     next: VersionedMap,
 }
 
-/// The new map is in force, all ranks stand still, and from here the switch only goes forward.
+/// The new map is in force and all ranks are held. From here the switch can only be completed, not
+/// rolled back.
 pub struct Committed;
 
-/// All ranks were told to use the map in force.
+/// All ranks have confirmed the order to use the map in force.
 pub struct Switched;
 
-/// All ranks were read back: they use the map in force.
+/// All ranks have been read back and use the map in force.
 pub struct Verified;
 
-/// A switch that did not get through, with the record as last known.
+/// A failed switch.
 #[derive(Debug)]
 pub struct Failure {
-    /// What went wrong.
+    /// Error that ended the switch.
     pub error: GroupError,
-    /// The record on which to go on: rolled back if pending, forward if committed.
+    /// The latest record: a pending change is to be rolled back, a committed one completed.
     pub stored: StoredRecord,
 }
 
-/// The next state, or why it was not reached.
+/// The switch in its next state, or the failure that ended it.
 pub type Transition<'a, Members, State> = Result<Switch<'a, Members, State>, Box<Failure>>;
 
 impl<'a, Members> Switch<'a, Members, Begun>
 where
     Members: Ranks,
 {
-    /// Writes into the record that `map` is to come.
+    /// Writes `map` into the record as pending.
     pub async fn begin(
         session: &'a Session<'a, Members>,
         stored: StoredRecord,
@@ -88,7 +89,7 @@
 }
 
 impl<'a, Members, State> Switch<'a, Members, State> {
-    /// Goes on to `state` if `result` is good.
+    /// Enters the next state if `result` is `Ok`.
     fn then<Next, Enter>(
         self,
         result: Result<(), GroupError>,
--- a/crates/group/src/switch/resume.rs
+++ b/crates/group/src/switch/resume.rs
@@ -1,4 +1,4 @@
-//! Letting a verified group step on.
+//! Resumes a verified group.
 
 use super::{Failure, Switch, Verified};
 use crate::ranks::Ranks;
@@ -10,14 +10,14 @@
 where
     Members: Ranks,
 {
-    /// Goes on with a group all of whose ranks were just read back and use the map in force.
+    /// For a group all of whose ranks were just read back and use the map in force.
     pub(crate) fn verified(session: &'a Session<'a, Members>, stored: StoredRecord) -> Self {
         Self { session, stored, state: Verified }
     }
 
-    /// Tells all ranks to step on, then notes in the record that the switch is over. The note may
-    /// wait: while the service is away the group runs, and whoever coordinates next finds all ranks
-    /// on the map in force.
+    /// Resumes all ranks, then writes into the record that no change is in progress. If the
+    /// key-value service is down, that write is left for later: the group runs, and the next
+    /// coordinator finds all ranks on the map in force.
     pub async fn resume(self) -> Result<StoredRecord, Box<Failure>> {
         let version = Some(self.stored.record.in_force.version);
         let order =
@@ -35,7 +35,7 @@
     }
 }
 
-/// Notes in the record that no change is under way.
+/// Writes into the record that no change is in progress; a pending change is rolled back.
 pub(crate) async fn settle<Members>(
     session: &Session<'_, Members>,
     stored: &StoredRecord,
--- a/crates/group/src/switch/stage.rs
+++ b/crates/group/src/switch/stage.rs
@@ -1,4 +1,4 @@
-//! Loading the weights of the next map while the group steps on.
+//! Loads the weights of the next map while the group goes on stepping.
 
 use super::{Begun, Staged, Switch, Transition};
 use crate::ranks::Ranks;
@@ -11,7 +11,7 @@
 where
     Members: Ranks,
 {
-    /// Has every rank load what the next map needs.
+    /// Makes every rank load the weights that the next map needs.
     pub async fn stage(self) -> Transition<'a, Members, Staged> {
         let ranks = (0..self.session.ranks.count()).collect();
         let result = stage(self.session, &self.stored, ranks, &self.state.next).await;
@@ -19,7 +19,8 @@
     }
 }
 
-/// Has these ranks load what `map` needs, each when the weight store's rate allows.
+/// Makes these ranks load the weights that `map` needs, each once the weight store's rate allows
+/// it.
 pub(crate) async fn stage<Members>(
     session: &Session<'_, Members>,
     stored: &StoredRecord,
@@ -29,7 +30,7 @@
 where
     Members: Ranks,
 {
-    // Ranks hold what is in force, but for one that lost it and loads all anew.
+    // Ranks hold the weights of the map in force, unless that is the map they lost and load again.
     let in_force = &stored.record.in_force;
     let held = (in_force.version != map.version).then_some(&in_force.map);
     let load = |rank| async move {
--- a/crates/group/src/switch/verify.rs
+++ b/crates/group/src/switch/verify.rs
@@ -1,4 +1,4 @@
-//! Bringing held ranks to the map in force, and reading each one back.
+//! Switches held ranks to the map in force and reads each one back.
 
 use super::stage::stage;
 use super::{Committed, Switch, Switched, Transition, Verified, hold_all};
@@ -12,8 +12,8 @@
 where
     Members: Ranks,
 {
-    /// Takes up a switch whose coordinator is gone, or brings ranks that lost their map back to it:
-    /// stops all ranks and has those that need it load the map in force.
+    /// Continues a committed switch of an earlier coordinator, or restores ranks that lost their
+    /// map: holds all ranks, and makes those that don't use the map in force load it.
     pub async fn recover(
         session: &'a Session<'a, Members>,
         stored: StoredRecord,
@@ -22,7 +22,7 @@
         Switch { session, stored, state: Committed }.then(result, |state| state)
     }
 
-    /// Tells every rank to use the map in force from its next step on.
+    /// Orders every rank to use the map in force from its next step on.
     pub async fn switch(self) -> Transition<'a, Members, Switched> {
         let in_force = &self.stored.record.in_force;
         let target =
@@ -54,7 +54,7 @@
 where
     Members: Ranks,
 {
-    /// Reads every rank back. An order's answer is no proof: the engine may have crashed since.
+    /// Reads every rank back. An order's answer proves nothing: the engine may have crashed since.
     pub async fn read_back(self) -> Transition<'a, Members, Verified> {
         let result = match self.session.read_all_or_fail(self.stored.fence()).await {
             Ok(states) => check(&states, self.stored.record.in_force.version),
--- a/crates/group/src/turn.rs
+++ b/crates/group/src/turn.rs
@@ -1,5 +1,5 @@
-//! Whose turn it is to change the version of a model: one group after the other, so that the rest
-//! of the model's groups serve meanwhile.
+//! Lock that lets one group of a model at a time change its model version, so that the others go on
+//! serving.
 
 use bytes::Bytes;
 use flamingowheel_backing::kv::{
@@ -9,21 +9,22 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long a turn outlasts the coordinator that took it. Its successor takes the turn over well
-/// within this time, so that the group ends what it began before another one begins.
+/// Time to live of the lock after its last confirmation. A new coordinator of the same group takes
+/// the lock over well within this time, so that the group finishes its change before another
+/// begins.
 const TTL: Duration = Duration::from_secs(60);
 
-/// Time between two calls of one group about its turn.
+/// Shortest time between two attempts of one group to acquire or confirm the lock.
 const INTERVAL: Duration = Duration::from_secs(5);
 
-/// One group's part in taking turns.
+/// One group's view of the rollout lock of its model.
 pub(crate) struct Turns {
     kv: Arc<dyn KeyValue>,
     key: String,
     group: String,
     lease: Option<LeaseId>,
     asked_at: Option<Instant>,
-    /// The group that had the turn when it was last asked for.
+    /// The other group that held the lock at the last attempt.
     taken_by: Option<String>,
 }
 
@@ -33,24 +34,24 @@
         Self { kv, key, group: group.to_owned(), lease: None, asked_at: None, taken_by: None }
     }
 
-    /// The group that this one waits for.
+    /// The other group that holds the lock.
     pub(crate) fn waits_for(&self) -> Option<String> {
         self.taken_by.clone()
     }
 
-    /// Whether it is this group's turn; asks for it, or confirms it, at most every few seconds.
+    /// Whether this group holds the lock. Acquires or confirms it at most once per [`INTERVAL`].
     pub(crate) async fn take(&mut self) -> bool {
         let is_due = self.asked_at.is_none_or(|asked_at| asked_at.elapsed() >= INTERVAL);
         if is_due {
             self.asked_at = Some(Instant::now());
             if let Err(error) = self.ask().await {
-                tracing::warn!(group = self.group, %error, "turn not asked for");
+                tracing::warn!(group = self.group, %error, "rollout lock not acquired");
             }
         }
         self.lease.is_some()
     }
 
-    /// Lets the next group begin. If this is lost the turn runs out by itself.
+    /// Releases the lock. If the call fails, the lock expires with its lease.
     pub(crate) async fn release(&mut self) {
         self.taken_by = None;
         if let Some(lease) = self.lease.take() {
@@ -70,7 +71,7 @@
         let found = snapshot.entries.into_iter().find(|entry| entry.key == self.key);
         let compare = match &found {
             None => Compare::Absent { key: self.key.clone() },
-            // It was taken by an earlier coordinator of this group.
+            // Held by an earlier coordinator of this group.
             Some(entry) if entry.value == self.group => {
                 Compare::ModRevision { key: self.key.clone(), revision: entry.mod_revision }
             }
@@ -87,7 +88,7 @@
             on_success: vec![put],
             ..Transaction::default()
         };
-        // If the answer is lost, the group finds its own name at the next try.
+        // If the answer is lost, the next attempt finds this group as holder and takes it over.
         if self.kv.transact(transaction).await?.succeeded {
             (self.lease, self.taken_by) = (Some(lease), None);
         }
