--- a/crates/group/tests/budget.rs
+++ b/crates/group/tests/budget.rs
@@ -1,4 +1,4 @@
-//! The weight store's rate is kept by the whole fleet at every moment.
+//! The sum of all members' rates stays within the weight store's rate at every moment.
 
 use flamingowheel_backing::fake::{FakeKeyValue, FakeWeightStore};
 use flamingowheel_backing::orders::ExpertMap;
@@ -26,7 +26,7 @@
     Share::new(&member.to_string(), allocation(&[]).minimum_bytes_per_s())
 }
 
-/// A small generator, so that every run is the same.
+/// A small pseudorandom generator, so that every run is the same.
 struct Random(u64);
 
 impl Random {
@@ -36,9 +36,9 @@
     }
 }
 
-/// Groups come and go, each reads the record when it can, some are cut off from the service for
-/// minutes, and reads are slow. If the sum of what all believe to be theirs were above the rate, the
-/// store would refuse loads and a map switch would hang.
+/// Members come and go, are cut off from the key-value service for minutes, and read slowly. If the
+/// sum of their rates exceeded the store's rate, the store would refuse loads and map switches
+/// would hang.
 #[tokio::test(start_paused = true)]
 async fn share_sum_within_rate() {
     let mut highest: f64 = 0.0;
@@ -58,7 +58,8 @@
                 (current, revision, written_at) = (allocation(&members), revision + 1, now);
             }
             for member in 0..MAX_MEMBERS {
-                // A read that began earlier ends now; what it found may be replaced meanwhile.
+                // A read that began earlier ends now; the allocation may have been replaced
+                // meanwhile.
                 if let Some((read_at, found, allocation)) = reads[member].take() {
                     shares[member].apply(&allocation, found, read_at, now);
                 }
@@ -78,8 +79,8 @@
     assert!(highest > RATE_BYTES_PER_S * 0.8, "the rate is hardly used: {highest}");
 }
 
-/// The key-value service goes away for long. A group that can't confirm its share falls back to the
-/// minimum, which is reserved for it, and can still load what it must.
+/// During a long outage of the key-value service a member can't confirm its share, and must fall
+/// back to the reserved minimum.
 #[tokio::test(start_paused = true)]
 async fn share_service_down() {
     let mut share = share(0);
@@ -95,7 +96,7 @@
     assert_eq!(share.rate_bytes_per_s(Instant::now()), allotted.minimum_bytes_per_s());
 }
 
-/// An answer of the service comes late, after a newer one.
+/// An answer of the key-value service arrives after a newer one and must be ignored.
 #[tokio::test(start_paused = true)]
 async fn share_older_revision_ignored() {
     let mut share = share(0);
@@ -117,8 +118,8 @@
     assert_eq!(pacer.try_acquire(1, 500.0, Instant::now()), Duration::ZERO);
 }
 
-/// A group takes its loads while its process has only the minimum, and the share grows afterwards.
-/// Were the loads booked at the rate of that moment, the last would wait for as long as before.
+/// The rate grows while loads wait. If they were scheduled at the rate of their request, the last
+/// one would wait as long as before.
 #[tokio::test(start_paused = true)]
 async fn try_take_rate_changes_while_waiting() {
     let mut pacer = Pacer::new(Instant::now());
@@ -131,9 +132,9 @@
     assert_eq!(pacer.try_acquire(1, 100.0, Instant::now()), Duration::ZERO);
 }
 
-/// The members change twice while one group reads the record rarely and another is cut off right
-/// after it was added. If the second change came too soon, the first group would never see the one
-/// between, and both would take what only one may have.
+/// The members change twice while some read the record rarely and another is cut off right after it
+/// was added. If the second change came too soon, the rare readers would miss the first one, and
+/// the sum of the rates would exceed the store's rate.
 #[tokio::test(start_paused = true)]
 async fn may_be_replaced_change_between_missed() {
     let (two, three) = (allocation(&[0, 1]), allocation(&[0, 1, 2]));
@@ -170,7 +171,7 @@
 const LIMITS: StoreLimits =
     StoreLimits { rate_bytes_per_s: RATE_BYTES_PER_S, max_members: MAX_MEMBERS };
 
-/// Starts a member; the token ends it as a crash would.
+/// Starts a member; cancelling the token ends it like a crash.
 fn start(kv: &FakeKeyValue, member: usize) -> (Arc<Budget>, CancellationToken) {
     let budget = Arc::new(Budget::new(Arc::new(kv.clone()), &member.to_string(), LIMITS));
     let (running, stop) = (Arc::clone(&budget), CancellationToken::new());
@@ -179,8 +180,9 @@
     (budget, stop)
 }
 
-/// Groups start, one dies, the service goes away for minutes and comes back. The members find their
-/// shares by themselves, never use more than the store gives, and fall back to the minimum.
+/// Members start, one dies, and the key-value service goes down for minutes. The members must
+/// arrive at equal shares, never exceed the store's rate, and fall back to the minimum during the
+/// outage.
 #[tokio::test(start_paused = true)]
 async fn run_members_share_the_rate() {
     let kv = FakeKeyValue::new();
@@ -204,8 +206,9 @@
     assert_eq!(rates, [0.3, 0.45, 0.005, 0.45]);
 }
 
-/// A switch of a map loads weights on all ranks of a group; at once they would take the rate of all
-/// groups. Each rank waits for its turn, and what a rank holds already is not counted.
+/// A map switch loads weights on all ranks of a group; loads at the same time would exceed the
+/// rate. They must run one after another, and experts that a rank holds already must not be
+/// counted.
 #[tokio::test(start_paused = true)]
 async fn take_loads_one_rank_after_another() {
     let budget = Arc::new(Budget::new(Arc::new(FakeKeyValue::new()), "0", LIMITS));
@@ -227,15 +230,15 @@
     assert_eq!(start.elapsed(), SECOND * 3, "rank 1 holds nothing and loads two");
 }
 
-/// Operators accept another version, and three processes have their groups load it at once; the
-/// key-value service goes away in the middle. If they read faster than the store gives, it refuses
-/// reads, and the groups stand still for longer.
+/// Three processes have their groups load a version at once, and the key-value service goes down in
+/// the middle. If they read faster than the store's rate, it would refuse reads and the groups
+/// would be stopped for longer.
 #[tokio::test(start_paused = true)]
 async fn take_stand_in_store_refuses_nothing() {
     const LOAD_BYTES: u64 = 1_000_000_000;
     const LOADS: u64 = 640;
     let kv = FakeKeyValue::new();
-    // Each process may have one read just begun.
+    // The burst allows one read in progress per process.
     let store = FakeWeightStore::new(RATE_BYTES_PER_S as u64, 3 * LOAD_BYTES);
     let members: Vec<_> = (0..3).map(|member| start(&kv, member)).collect();
     sleep(SECOND * 300).await;
@@ -263,6 +266,6 @@
     kv.set_down(false);
     sleep(SECOND * 2400).await;
     assert_eq!((store.refused(), store.read_bytes()), (0, 3 * LOADS * LOAD_BYTES));
-    // Nine tenths are shared out; the minimum of each is a two-hundredth.
+    // Nine tenths of the rate are allocated; the minimum of each member is 1/200.
     assert_eq!(format!("{in_service:.3} {while_down:.4}"), "0.900 0.0150");
 }
--- a/crates/group/tests/gate.rs
+++ b/crates/group/tests/gate.rs
@@ -1,4 +1,4 @@
-//! What an agent's gate lets through to its engine.
+//! Orders that an agent's gate passes to its engine or refuses.
 
 use flamingowheel_backing::BoxFuture;
 use flamingowheel_backing::backend::BackendError;
@@ -55,8 +55,8 @@
     result.map(|state| state.engine.version)
 }
 
-/// A coordinator that was replaced still sends an order. An engine that checks no numbers would
-/// carry it out, and its callers would get answers of another model version.
+/// A coordinator that was replaced still sends an order. An engine that checks no fencing numbers
+/// would carry it out, and its callers would get answers of another model version.
 #[tokio::test(start_paused = true)]
 async fn handle_old_number_refused() {
     for kind in [EngineKind::ChecksFence, EngineKind::IgnoresFence] {
@@ -69,8 +69,8 @@
     }
 }
 
-/// An old order was received in time but waits behind another while a newer coordinator comes. It
-/// was good at receipt, and must not be written after all.
+/// An order passes the check on receipt, but a newer coordinator sends a higher number while the
+/// order waits behind another. It must not be sent to the engine.
 #[tokio::test(start_paused = true)]
 async fn handle_number_outdated_while_waiting() {
     let kind = EngineKind::IgnoresFence;
@@ -92,8 +92,8 @@
     assert_eq!(engine.peek_state().version, "");
 }
 
-/// An agent dies between two orders and a new one, which remembers nothing, gets a late order of a
-/// coordinator that was replaced long ago.
+/// An agent dies between two orders, and the new process gets a late order of a coordinator that
+/// was replaced long ago.
 #[tokio::test(start_paused = true)]
 async fn open_takes_lowest_number_from_record() {
     let kind = EngineKind::IgnoresFence;
@@ -107,7 +107,8 @@
     assert!(gate.handle(&order(second.revision.0, serve("2"))).await.is_ok());
 }
 
-/// The service is away when an agent starts. It can't know which numbers are old, so it stays shut.
+/// The key-value service is down when an agent starts, so it can't know the lowest acceptable
+/// number. The gate must not open.
 #[tokio::test(start_paused = true)]
 async fn open_service_down() {
     let (engine, kv) = (engine(EngineKind::ChecksFence), FakeKeyValue::new());
@@ -117,8 +118,8 @@
     assert!(matches!(opened, Err(RecordError::NotWritten(_))));
 }
 
-/// An order was on its way to an agent that has died since. Its successor must not take it: whoever
-/// sent it knew the rank as it was before.
+/// An order was on its way to an agent process that has died since. The next process must refuse
+/// it, since the order is based on the rank's earlier state.
 #[tokio::test(start_paused = true)]
 async fn handle_order_for_earlier_agent() {
     let kind = EngineKind::ChecksFence;
@@ -130,7 +131,7 @@
     assert_eq!(engine.peek_state().version, "");
 }
 
-/// An engine crashes and comes back with no map just before it is told to step on.
+/// An engine crashes and restarts with no map just before an order to resume. It must not step.
 #[tokio::test(start_paused = true)]
 async fn handle_resume_requires_version() {
     let kind = EngineKind::ChecksFence;
@@ -142,8 +143,8 @@
     assert_eq!(engine.peek_state().held_after_step, Some(0));
 }
 
-/// An order lies in the engine for a minute. If a different one were sent meanwhile, the late one
-/// would undo it. The rank says so until the late order has come about, and then goes on.
+/// An order is delayed by a minute in the engine. A different order sent meanwhile would be undone
+/// by the late one, so it must be refused until the late order has taken effect.
 #[tokio::test(start_paused = true)]
 async fn handle_order_late_in_engine_that_ignores_numbers() {
     let kind = EngineKind::IgnoresFence;
@@ -158,8 +159,8 @@
     assert_eq!(engine.peek_state().version, "2");
 }
 
-/// The caller of an order hangs up while the order is with the engine. The agent must still know
-/// that it may take effect.
+/// The call is cancelled while the order is with the engine. The gate must still remember that the
+/// order may take effect.
 #[tokio::test(start_paused = true)]
 async fn handle_given_up_half_way() {
     let kind = EngineKind::IgnoresFence;
@@ -171,8 +172,8 @@
     assert_eq!(gate.handle(&order(6, serve("2"))).await, Err(RankError::Unresolved));
 }
 
-/// A load's answer is lost on the way to the coordinator, which asks again. The weight store must
-/// not be asked twice.
+/// A load's answer is lost on the way to the coordinator, which repeats the order. The engine must
+/// not load the weights twice.
 #[tokio::test(start_paused = true)]
 async fn handle_same_load_twice() {
     let kind = EngineKind::ChecksFence;
@@ -188,9 +189,9 @@
     assert_eq!(engine.peek_state().counters["orders"], 1, "a new process has loaded nothing");
 }
 
-/// An agent dies with a load in its engine's queue, and the engine checks no numbers. If its
-/// successor sent the next load at once, the old one would take effect after it, and callers would
-/// get answers of a version that was replaced.
+/// An agent dies with a load in the queue of an engine that checks no fencing numbers. If the next
+/// agent sent another load at once, the old one would take effect after it, and callers would get
+/// answers of a version that was replaced.
 #[tokio::test(start_paused = true)]
 async fn handle_load_of_dead_agent_under_way() {
     let kind = EngineKind::IgnoresFence;
@@ -207,8 +208,8 @@
     assert_eq!(version(successor.handle(&order(6, serve("2"))).await), Ok("2".to_owned()));
 }
 
-/// The key-value service is away as a load is ordered. If it was sent without a note, nobody would
-/// know of it after the agent's death.
+/// The key-value service is down when a load is ordered. If the load were sent without being
+/// stored, the next agent would not know of it.
 #[tokio::test(start_paused = true)]
 async fn handle_load_not_noted() {
     let kind = EngineKind::IgnoresFence;
@@ -220,7 +221,7 @@
     assert_eq!(version(gate.handle(&order(5, serve("1"))).await), Ok("1".to_owned()));
 }
 
-/// An engine that can't load anything now.
+/// An engine that refuses every order.
 struct Refusing(FakeEngine);
 
 impl EngineOrders for Refusing {
@@ -234,8 +235,7 @@
     }
 }
 
-/// An engine refuses a load and the agent dies later. Its successor must not wait for a load that
-/// never was.
+/// An engine refuses a load and the agent dies later. The next agent must not wait for that load.
 #[tokio::test(start_paused = true)]
 async fn open_note_of_refused_load_taken_back() {
     let kind = EngineKind::IgnoresFence;
@@ -249,8 +249,8 @@
     assert_eq!(version(successor.handle(&order(6, serve("2"))).await), Ok("2".to_owned()));
 }
 
-/// Engines restart a few thousand times a day, each with a load. If their notes stayed, every fresh
-/// agent would read ever more of them.
+/// Engines of a fleet restart a few thousand times a day, each time with a load. If stored loads
+/// were not removed, every new agent would read more and more of them.
 #[tokio::test(start_paused = true)]
 async fn handle_notes_do_not_pile_up() {
     let kind = EngineKind::IgnoresFence;
--- a/crates/group/tests/lease.rs
+++ b/crates/group/tests/lease.rs
@@ -1,4 +1,4 @@
-//! One lease for all groups of a process, under pauses, outages and losses.
+//! One lease for all groups of a process, under pauses, outages and lost messages.
 
 use flamingowheel_backing::fake::{FakeKeyValue, LostAnswer};
 use flamingowheel_backing::kv::LeaseId;
@@ -20,14 +20,14 @@
     acquired.into_iter().map(|lease| lease.unwrap().expect("free")).collect()
 }
 
-/// Keeps the leases for a while and tells whether none was lost.
+/// Keeps the leases alive for this time and returns whether none was lost.
 async fn keeps(leases: &[Lease], time: Duration) -> bool {
     let all = leases.iter().map(|lease| Box::pin(lease.keep_alive()));
     timeout(time, select_all(all)).await.is_err()
 }
 
-/// An entry coordinates several groups. If each cost a renewal a second, the fleet's groups would
-/// take up what the service has for configuration and requests.
+/// Guards against one renewal per group: with several groups per entry, the renewals of a large
+/// fleet would use up the capacity that the key-value service needs for configuration and requests.
 #[tokio::test(start_paused = true)]
 async fn keep_renews_once_for_all_groups() {
     let kv = FakeKeyValue::new();
@@ -39,8 +39,8 @@
     assert_eq!(kv.peek("groups/").entries.len(), GROUPS.len());
 }
 
-/// An entry sleeps past its lease and another takes its groups over. When it wakes, it must begin
-/// nothing in any of them, and what it gives up must not be what the other holds by then.
+/// An entry is paused until its lease expires and another takes its groups over. When it resumes,
+/// it must not change any of them, and releasing them must not delete the other entry's keys.
 #[tokio::test(start_paused = true)]
 async fn keep_paused_past_lease() {
     let kv = FakeKeyValue::new();
@@ -57,8 +57,8 @@
     assert_eq!(kv.peek("groups/").entries.len(), GROUPS.len());
 }
 
-/// The service is away for longer than the lease. No map may be changed, but a rank that crashes
-/// must be brought back; once the service is there, all groups are taken anew.
+/// The key-value service is down for longer than the lease. Maps may not be changed, but crashed
+/// ranks may be aligned; once the service is back, all groups are acquired again.
 #[tokio::test(start_paused = true)]
 async fn keep_service_down_and_back() {
     let kv = FakeKeyValue::new();
@@ -75,7 +75,7 @@
     assert!(keeps(&held, TTL * 4).await);
 }
 
-/// The lease is revoked by an operator's mistake. All groups bound to it must stop at once.
+/// The lease is revoked by mistake. Coordination of all groups bound to it must end at once.
 #[tokio::test(start_paused = true)]
 async fn keep_lease_lost() {
     let kv = FakeKeyValue::new();
@@ -90,8 +90,8 @@
     assert!(other.acquire("g2").await.unwrap().is_some());
 }
 
-/// One group becomes another entry's duty. If its key stayed until the lease ran out, which the
-/// other groups prevent, nobody could coordinate it ever again.
+/// One group moves to another entry. If its key stayed until the lease expires, which the other
+/// groups prevent, no process could ever coordinate the group again.
 #[tokio::test(start_paused = true)]
 async fn release_one_group_without_the_others() {
     for lost in [None, Some(LostAnswer::BeforeEffect), Some(LostAnswer::AfterEffect)] {
@@ -111,7 +111,8 @@
     }
 }
 
-/// The coordinator's task ends without giving its group back, or while it still asks for it.
+/// The coordinator's task is dropped while it acquires its group. The key must not keep the group
+/// from other processes.
 #[tokio::test(start_paused = true)]
 async fn acquire_dropped_midway() {
     let kv = FakeKeyValue::new();
@@ -123,8 +124,8 @@
     assert!(other.acquire("g1").await.unwrap().is_some());
 }
 
-/// Two tasks of one process want the same group. Both hold the process's token, which must not
-/// let the second in.
+/// Two tasks of one process acquire the same group. They share the process's token, which must not
+/// let the second one succeed.
 #[tokio::test(start_paused = true)]
 async fn acquire_twice_in_one_process() {
     let kv = FakeKeyValue::new();
--- a/crates/group/tests/record.rs
+++ b/crates/group/tests/record.rs
@@ -1,4 +1,4 @@
-//! Writes of the group's record whose answers are lost or late.
+//! Writes of the group's record with lost or late answers.
 
 use flamingowheel_backing::fake::{FakeKeyValue, LostAnswer};
 use flamingowheel_backing::orders::ExpertMap;
@@ -12,8 +12,8 @@
     (records, first)
 }
 
-/// The write took effect and the answer was lost. Taken for a failure, the group would be rolled
-/// back while everybody else reads that it went forward.
+/// The answer to a write is lost. If a write that took effect counted as failed, this coordinator
+/// would roll a change back that all others read as committed.
 #[tokio::test(start_paused = true)]
 async fn replace_answer_lost() {
     for lost in [LostAnswer::AfterEffect, LostAnswer::BeforeEffect] {
@@ -26,7 +26,7 @@
     }
 }
 
-/// Two coordinators write at the same time: the later one is told, and its numbers stay lower.
+/// Two coordinators write at the same time: the later write must fail with a conflict.
 #[tokio::test(start_paused = true)]
 async fn replace_conflict() {
     let kv = FakeKeyValue::new();
@@ -40,7 +40,8 @@
     assert_eq!(records.read().await.unwrap(), second);
 }
 
-/// The service is slower than its clients wait, for good: nobody can tell whether the write stands.
+/// The service always answers later than its clients' timeout, so the outcome of the write is
+/// unknown.
 #[tokio::test(start_paused = true)]
 async fn replace_outcome_unknown() {
     let kv = FakeKeyValue::new();
@@ -50,8 +51,8 @@
     assert!(matches!(written, Err(RecordError::Unknown(_))), "{written:?}");
 }
 
-/// The service refuses the connection: the write surely did not take effect, and the group may go
-/// on as it was.
+/// The service refuses the connection, so the write certainly did not take effect and the old
+/// record stays valid.
 #[tokio::test(start_paused = true)]
 async fn replace_service_down() {
     let kv = FakeKeyValue::new();
@@ -61,8 +62,8 @@
     assert!(matches!(written, Err(RecordError::NotWritten(_))), "{written:?}");
 }
 
-/// A change is rolled back and another begun. If both maps had the same version, a rank that still
-/// has the first would pass for one that has the second.
+/// A change is rolled back and another begins. If both maps had the same version, a rank that still
+/// uses the first would be taken for one that uses the second.
 #[tokio::test(start_paused = true)]
 async fn pending_version_never_used_twice() {
     let record = GroupRecord::first(ExpertMap::default(), 2);
--- a/crates/group/tests/rollout.rs
+++ b/crates/group/tests/rollout.rs
@@ -1,4 +1,4 @@
-//! Changes of a model's version and adapters under faults at every message.
+//! Rollouts of model versions and adapters, with faults injected at every message.
 
 mod support;
 
@@ -13,17 +13,17 @@
 use support::{Fault, GROUP, MODEL, OUTAGE, RANKS, World, map};
 use tokio::time::sleep;
 
-/// A change of version sends fewer messages than this.
+/// Upper bound on the messages of one rollout.
 const MESSAGES: u64 = 60;
 const KINDS: [EngineKind; 2] = [EngineKind::ChecksFence, EngineKind::IgnoresFence];
 const MINUTE: Duration = Duration::from_secs(60);
 const SECOND: Duration = Duration::from_secs(1);
-/// Time of one request.
+/// Duration of one request.
 const REQUEST: Duration = Duration::from_millis(900);
-/// Bound on the time from a fault's end until the change is through.
+/// Upper bound on the time from a fault's end until the rollout is complete.
 const RECOVERY: Duration = Duration::from_secs(20);
 
-/// A group that serves version 1 and is at work.
+/// A group that serves version 1 and runs requests.
 async fn serving(kind: EngineKind) -> std::sync::Arc<World> {
     let world = World::start(kind).await;
     world.accept("1", &[]);
@@ -50,8 +50,8 @@
     assert!(struck > 60, "the fault struck only {struck} times");
 }
 
-/// No step and no answer is of two versions. The group serves the wanted one and runs, or the rank
-/// that can't be verified is named.
+/// Asserts that no step and no answer mixes two versions, and that the group either runs with the
+/// desired version or reports the rank that can't be verified.
 async fn check_serves_or_named(world: &World, version: &str, case: &str) {
     let runs = world.runs_within(SECOND).await;
     let status = world.status();
@@ -67,8 +67,8 @@
     world.end();
 }
 
-/// Nothing goes wrong: operators accept another version, requests in progress end with the one they
-/// began with, and the group goes on with the other.
+/// Rollout without faults: requests in progress end with the version that they began with, and the
+/// group continues with the new one.
 #[tokio::test(start_paused = true)]
 async fn rollout_without_fault() {
     for kind in KINDS {
@@ -82,8 +82,8 @@
     }
 }
 
-/// One request takes much longer than the others. The group must not cut it off, and must not answer
-/// the second half of it with another version.
+/// One request takes much longer than the others. The rollout must neither abort it nor answer the
+/// rest of it with another version.
 #[tokio::test(start_paused = true)]
 async fn rollout_waits_for_a_long_request() {
     let world = serving(EngineKind::ChecksFence).await;
@@ -100,8 +100,8 @@
     check_serves_or_named(&world, "2", "long request").await;
 }
 
-/// An operator takes a bad version back at once, while long requests still run on the good one. It
-/// must not be loaded first, and nothing waits for the long request.
+/// An operator reverts a bad version at once, while long requests still run on the good one. The
+/// bad version must not be loaded first, and the revert must not wait for the long request.
 #[tokio::test(start_paused = true)]
 async fn rollout_version_changed_twice() {
     for kind in KINDS {
@@ -125,8 +125,8 @@
     }
 }
 
-/// Operators name a version that one rank can't load. The group takes no work and is named; each try
-/// takes from the weight store's rate, so they grow rarer. Taking the version back is enough.
+/// One rank can't load the desired version. The rank must be reported, loads must be retried with
+/// backoff since each uses the weight store's rate, and reverting the version must be enough.
 #[tokio::test(start_paused = true)]
 async fn rollout_version_that_cannot_be_loaded() {
     for kind in KINDS {
@@ -144,8 +144,8 @@
     }
 }
 
-/// Another group of the model changes its version just now. If both did at once, nobody would serve
-/// the model; its callers would be refused for as long as weights take to load.
+/// Another group of the model is changing its version. If both changed at once, no group would
+/// serve the model, and callers would be refused until weights are loaded.
 #[tokio::test(start_paused = true)]
 async fn rollout_waits_for_its_turn() {
     let world = serving(EngineKind::ChecksFence).await;
@@ -166,8 +166,8 @@
     check_serves_or_named(&world, "2", GROUP).await;
 }
 
-/// Three groups serve a model and operators accept another version. Had they drained at once, the
-/// model's callers would have been refused for as long as weights take to load.
+/// Three groups serve a model and operators accept another version. If all drained at once, callers
+/// would be refused until weights are loaded.
 #[tokio::test(start_paused = true)]
 async fn rollout_one_group_after_the_other() {
     let first = serving(EngineKind::ChecksFence).await;
@@ -196,7 +196,7 @@
     }
 }
 
-/// An adapter is added to the version that is served. Nothing has to stop for it.
+/// An adapter is added to the version that is served. The group must not be stopped for it.
 #[tokio::test(start_paused = true)]
 async fn rollout_adapter_added_without_a_stop() {
     for kind in KINDS {
@@ -213,7 +213,7 @@
     }
 }
 
-/// Engines whose ranks share no expert map change their version like the others.
+/// A rollout also works in a group whose ranks share no expert map.
 #[tokio::test(start_paused = true)]
 async fn rollout_without_expert_map() {
     let world = World::start_sized(EngineKind::IgnoresFence, None, ExpertMap::default()).await;
@@ -225,11 +225,11 @@
     assert_eq!(world.engine(0).peek_state().map_version, 0);
 }
 
-/// A group changes its version while the weight store is shared with many others. Its ranks load
-/// one after another within what the process may use.
+/// The weight store's rate is shared with other groups, so the ranks must load one after another
+/// within this process's share.
 #[tokio::test(start_paused = true)]
 async fn rollout_loads_paced() {
-    // At the minimum of 50 bytes a second each rank's load takes 10 s.
+    // At the minimum of 50 bytes/s each rank's load takes 10 s.
     let sizes = WeightSizes { rank_bytes: 500, ..WeightSizes::default() };
     let world = World::start_sized(EngineKind::ChecksFence, Some(sizes), map(1)).await;
     world.accept("2", &[]);
@@ -240,40 +240,40 @@
     check_serves_or_named(&world, "2", "paced").await;
 }
 
-/// The coordinator sleeps past its lease in the middle of a change. When it wakes, another has
-/// brought the group to the wanted version, and its orders are of an old target.
+/// The coordinator is paused in the middle of a rollout until its lease expires. When it resumes,
+/// another has completed the rollout, and its orders must be refused.
 #[tokio::test(start_paused = true)]
 async fn rollout_coordinator_paused() {
     strike_everywhere(Fault::PauseCoordinator, OUTAGE * 3).await;
 }
 
-/// The lease is taken from a coordinator that goes on for a while, so that two order the same ranks.
+/// A coordinator loses its lease without noticing, so that two coordinators send orders at once.
 #[tokio::test(start_paused = true)]
 async fn rollout_two_coordinators() {
     strike_everywhere(Fault::ExpireLease, Duration::ZERO).await;
 }
 
-/// The coordinator dies; another takes up the change where it stands.
+/// The coordinator dies; another must complete the rollout.
 #[tokio::test(start_paused = true)]
 async fn rollout_coordinator_killed() {
     strike_everywhere(Fault::KillCoordinator, Duration::ZERO).await;
 }
 
-/// An agent's process dies between two orders, and a new one remembers nothing of the first. Its
-/// engine goes on with what it was told.
+/// An agent dies between two orders and restarts without knowing of the first, which its engine
+/// still carries out.
 #[tokio::test(start_paused = true)]
 async fn rollout_agent_restarted() {
     strike_everywhere(Fault::KillAgent, SECOND * 2).await;
 }
 
-/// An engine dies in the middle of a change and comes back with nothing loaded.
+/// An engine crashes in the middle of a rollout and restarts with nothing loaded.
 #[tokio::test(start_paused = true)]
 async fn rollout_engine_crashed() {
     strike_everywhere(Fault::CrashEngine, SECOND * 2).await;
 }
 
-/// The key-value service goes away in the middle of a change, or the answer to a write is lost
-/// after the write took effect or before.
+/// The key-value service goes down in the middle of a rollout, or a write is lost before or after
+/// it took effect.
 #[tokio::test(start_paused = true)]
 async fn rollout_service_down_or_answer_lost() {
     strike_everywhere(Fault::ServiceDown, OUTAGE).await;
@@ -281,8 +281,7 @@
     strike_everywhere(Fault::LoseServiceAnswers(LostAnswer::BeforeEffect), Duration::ZERO).await;
 }
 
-/// A request to an agent or its answer is lost, or the engine carries out an order and its answer is
-/// lost.
+/// A request to an agent, its answer, or the engine's answer to an order is lost.
 #[tokio::test(start_paused = true)]
 async fn rollout_answer_lost_after_effect() {
     strike_everywhere(Fault::LoseRequest, Duration::ZERO).await;
@@ -290,8 +289,8 @@
     strike_everywhere(Fault::LoseOrder(LostOrder::AfterEffect), Duration::ZERO).await;
 }
 
-/// An order lies about for a minute, on the network or within the engine, while operators accept two
-/// further versions. If it took effect then, one rank would answer with an old version.
+/// An order is delayed by a minute, on the network or in the engine, while operators accept further
+/// versions. If it took effect then, one rank would answer with an old version.
 #[tokio::test(start_paused = true)]
 async fn rollout_order_late_by_a_minute() {
     for fault in [Fault::Delay(MINUTE), Fault::LoseOrder(LostOrder::Delayed(MINUTE))] {
--- a/crates/group/tests/support/mod.rs
+++ b/crates/group/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! A group of fake engines with agents and coordinators over an in-memory link, and faults that
-//! strike at a chosen message.
+//! A group of fake engines with agents and coordinators over an in-memory link, and fault injection
+//! at a chosen message.
 #![allow(dead_code)]
 
 pub mod traffic;
@@ -32,19 +32,18 @@
 use traffic::Traffic;
 
 pub const RANKS: usize = 3;
-/// The reserved minimum of one process is 50 bytes a second.
+/// With these limits the reserved minimum of one process is 50 bytes/s.
 const LIMITS: StoreLimits = StoreLimits { rate_bytes_per_s: 1000.0, max_members: 2 };
 pub const GROUP: &str = "g1";
 pub const MODEL: &str = "notes";
 /// Another group that the processes coordinate under the same lease.
 const OTHER_GROUP: &str = "beside";
-/// How long a fault lasts that ends by itself.
+/// Duration of faults that end by themselves.
 pub const OUTAGE: Duration = Duration::from_secs(4);
 const RESTART: Duration = Duration::from_secs(2);
 const LOAD_SPREAD: Duration = Duration::from_millis(40);
 const STEP: Duration = Duration::from_millis(25);
 
-/// What strikes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
     LoseRequest,
@@ -64,7 +63,7 @@
     ExpireLease,
 }
 
-/// A map that tells itself apart from others.
+/// A map that differs for each number.
 pub fn map(number: u16) -> ExpertMap {
     ExpertMap { layers: vec![vec![vec![number], vec![number + 1], vec![number + 2]]] }
 }
@@ -105,19 +104,20 @@
 struct Link(Arc<World>);
 
 impl World {
-    /// A group that steps with map 1, coordinated by one process with another in reserve.
+    /// A group that steps with map 1, with one acting coordinator and one on standby.
     pub async fn start(kind: EngineKind) -> Arc<Self> {
         Self::start_with(kind, None).await
     }
 
-    /// The same with loads paced by the fleet's budget, one expert being of this size.
+    /// As [`World::start`], with loads limited by a budget and counted with this expert size.
     pub async fn start_with(kind: EngineKind, expert_bytes: Option<u64>) -> Arc<Self> {
         let sizes =
             expert_bytes.map(|expert_bytes| WeightSizes { expert_bytes, ..WeightSizes::default() });
         Self::start_sized(kind, sizes, map(1)).await
     }
 
-    /// The same with loads of these sizes, and with this map.
+    /// As [`World::start`], with loads limited by a budget and counted with these sizes, and with
+    /// this map.
     pub async fn start_sized(
         kind: EngineKind,
         sizes: Option<WeightSizes>,
@@ -126,12 +126,12 @@
         Self::start_ranks(kind, sizes, map, RANKS).await
     }
 
-    /// Another group beside those of this service.
+    /// Another group in the same key-value service.
     pub async fn start_beside(kv: FakeKeyValue, group: &'static str) -> Arc<Self> {
         Self::start_in(kv, group, EngineKind::ChecksFence, None, map(1), RANKS).await
     }
 
-    /// The same with this many ranks.
+    /// As [`World::start_sized`], with this number of ranks.
     pub async fn start_ranks(
         kind: EngineKind,
         sizes: Option<WeightSizes>,
@@ -160,7 +160,7 @@
             load_time: Duration::from_millis(100),
             ..EngineSettings::default()
         };
-        // Ranks load at different speeds, so that one is done while another is not.
+        // Ranks load at different speeds, so that some finish before others.
         let engine = |rank: u32| {
             let load_time = settings.load_time + rank * LOAD_SPREAD;
             FakeEngine::new(rank.into(), EngineSettings { load_time, ..settings.clone() })
@@ -223,7 +223,7 @@
         self.processes.lock().unwrap().push(Process { running, paused, status });
     }
 
-    /// Starts an agent; it stays shut until it has read the group's record.
+    /// Starts an agent; it answers once it has read the group's record.
     async fn start_agent(&self, rank: usize) {
         let records = RecordStore::new(Arc::new(self.kv.clone()), self.name);
         let incarnation = self.incarnations.fetch_add(1, Ordering::SeqCst) + 1;
@@ -241,17 +241,17 @@
         }
     }
 
-    /// Strikes now.
+    /// Injects a fault now.
     pub fn strike_now(self: &Arc<Self>, rank: usize, fault: Fault) {
         self.strike(rank, fault);
     }
 
-    /// Has a rank refuse to load maps and versions.
+    /// Makes a rank refuse to load maps and model versions.
     pub fn refuse_loads(&self, rank: usize, refuses: bool) {
         self.slots[rank].refuses_loads.store(refuses, Ordering::SeqCst);
     }
 
-    /// Loads that were refused so far.
+    /// Number of loads refused so far.
     pub fn refused_loads(&self) -> u64 {
         self.refused_loads.load(Ordering::SeqCst)
     }
@@ -260,25 +260,25 @@
         self.desired.send_replace(Some(map(number)));
     }
 
-    /// Lets `fault` strike at the `message`-th message from now on.
+    /// Injects `fault` at the `message`-th message from now.
     pub fn plan(&self, message: u64, fault: Fault) {
         let at = self.messages.load(Ordering::SeqCst) + message;
         self.plan.lock().unwrap().push((at, fault));
     }
 
-    /// Whether all planned faults have struck.
+    /// Whether all scheduled faults have been injected.
     pub fn has_struck(&self) -> bool {
         self.plan.lock().unwrap().is_empty()
     }
 
-    /// Whether the group runs a step within this time from now.
+    /// Whether the group runs a step within this time.
     pub async fn runs_within(&self, time: Duration) -> bool {
         let before = self.group.step();
         sleep(time).await;
         self.group.step() > before
     }
 
-    /// Ends all that runs of this world, so that it does not take time from the next.
+    /// Stops all tasks of this world, so that they don't slow down the next one.
     pub fn end(&self) {
         self.stop.cancel();
         self.processes.lock().unwrap().drain(..).for_each(|process| process.running.abort());
@@ -288,7 +288,7 @@
         &self.slots[rank].engine
     }
 
-    /// What the coordinating process says.
+    /// The status as the acting coordinator reports it.
     pub fn status(&self) -> GroupStatus {
         let processes = self.processes.lock().unwrap();
         let leading = processes
@@ -298,7 +298,7 @@
         statuses.find(|status| status.activity != Activity::Following).unwrap_or_default()
     }
 
-    /// No step was ever run with two maps.
+    /// Asserts that no step was run with two maps or two model versions.
     pub fn check_steps(&self, case: &str) {
         assert_eq!(self.group.splits(), [], "{case}");
         assert!(self.group.mixed().is_empty(), "{case}: steps with two versions");
@@ -335,7 +335,7 @@
                 let Some(index) = index else { return };
                 self.pause(index, true);
                 let world = Arc::clone(self);
-                // Long enough for the lease to run out and another to take over.
+                // Long enough for the lease to expire and another process to take over.
                 let pause = OUTAGE * 3;
                 tokio::spawn(async move {
                     sleep(pause).await;
@@ -400,7 +400,7 @@
             self.refused_loads.fetch_add(1, Ordering::SeqCst);
             return Err(RankError::NotPossible { reason: "weights can't be read".to_owned() });
         }
-        // The agent goes on with what it received whether or not its caller still waits.
+        // The agent handles the request to its end even if its caller stops waiting.
         let paused = self.slots[rank].paused.subscribe();
         let handled = tokio::spawn(async move {
             let mut answer = Err(RankError::NoAnswer);
@@ -412,7 +412,7 @@
     }
 }
 
-/// Takes the other group whenever it can be had.
+/// Acquires the other group whenever it is free.
 async fn hold_other_group(leases: Leases) {
     loop {
         if let Ok(Some(lease)) = leases.acquire(OTHER_GROUP).await {
@@ -466,7 +466,7 @@
     }
 }
 
-/// Runs a future as a process that can be stopped and woken again: nothing of it runs meanwhile.
+/// Runs a future that is not polled while `paused` is set, like a stopped process.
 async fn pausable<F>(future: F, paused: watch::Receiver<bool>)
 where
     F: Future<Output = ()>,
--- a/crates/group/tests/support/traffic.rs
+++ b/crates/group/tests/support/traffic.rs
@@ -1,4 +1,4 @@
-//! Requests of a rank, and the check that each answer comes of one version of the model.
+//! Simulated requests to ranks, and a check that each answer comes from one model version.
 
 use super::{Slot, World, is_leading};
 use flamingowheel_backing::fake::FakeEngine;
@@ -16,7 +16,7 @@
     in_progress: AtomicU32,
     mixed: AtomicU32,
     finished: AtomicU32,
-    /// Requests of an earlier agent process are its own matter.
+    /// Counts agent processes; requests of earlier ones are not counted.
     life: AtomicU32,
 }
 
@@ -33,27 +33,27 @@
 }
 
 impl Traffic {
-    /// The agent's process is another.
+    /// A new agent process has started.
     pub fn restart(&self) {
         self.life.fetch_add(1, Ordering::SeqCst);
         self.in_progress.store(0, Ordering::SeqCst);
         self.open.store(true, Ordering::SeqCst);
     }
 
-    /// Answers that were begun by one version and ended by another.
+    /// Number of answers that began with one version and ended with another.
     pub fn mixed(&self) -> u32 {
         self.mixed.load(Ordering::SeqCst)
     }
 
-    /// Answers that ended whole.
+    /// Number of complete answers.
     pub fn finished(&self) -> u32 {
         self.finished.load(Ordering::SeqCst)
     }
 
-    /// Runs one request after the other for as long as new ones are taken.
+    /// Runs one request after the other while the intake is open.
     pub async fn run(&self, engine: FakeEngine, length: Duration, stop: CancellationToken) {
         while !stop.is_cancelled() {
-            // A process that was started held and has no map begins nothing.
+            // An engine that was started held and has no map begins no request.
             let is_up = *engine.up().borrow() && engine.peek_state().map_version > 0;
             if self.open.load(Ordering::SeqCst) && is_up {
                 self.run_one(&engine, length).await;
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Runs one request, which ends when its time is over and the engine is not held.
+    /// Runs one request, which ends after `length`.
     pub async fn run_one(&self, engine: &FakeEngine, length: Duration) {
         let life = self.life.load(Ordering::SeqCst);
         let began = engine.peek_state();
@@ -97,61 +97,61 @@
 }
 
 impl World {
-    /// Operators accept a version and adapters of the model.
+    /// Sets the model version and adapters that operators accepted.
     pub fn accept(&self, version: &str, adapters: &[&str]) {
         let version = Some(version.to_owned());
         let adapters = adapters.iter().map(|name| (*name).to_owned()).collect();
         self.wanted.send_replace(Some(DesiredServing { version, adapters }));
     }
 
-    /// The requests of a rank.
+    /// The simulated requests to a rank.
     pub fn work(&self, rank: usize) -> &Arc<Traffic> {
         &self.slots[rank].work
     }
 
-    /// Keeps all ranks at work, each request taking this long.
+    /// Runs requests of this length at all ranks.
     pub fn run_traffic(self: &Arc<Self>, length: Duration) {
         let count = self.slots.len() as u32;
         for (rank, slot) in (0u32..).zip(&self.slots) {
             let (work, engine) = (Arc::clone(&slot.work), slot.engine.clone());
             let stop = self.stop.clone();
             tokio::spawn(async move {
-                // Ranks are out of step with each other.
+                // Requests begin at different times on each rank.
                 sleep(length * rank / count).await;
                 work.run(engine, length, stop).await;
             });
         }
     }
 
-    /// Answers that began with one version of the model and ended with another.
+    /// Number of answers that began with one model version and ended with another.
     pub fn mixed_answers(&self) -> u32 {
         self.slots.iter().map(|slot| slot.work.mixed()).sum()
     }
 
-    /// Ends the processes that don't coordinate.
+    /// Ends the standby coordinators.
     pub fn end_reserve(&self) {
         let processes = self.processes.lock().unwrap();
         let reserve = processes.iter().filter(|process| !is_leading(process));
         reserve.for_each(|process| process.running.abort());
     }
 
-    /// Messages from coordinators to agents so far.
+    /// Number of messages from coordinators to agents so far.
     pub fn messages(&self) -> u64 {
         self.messages.load(Ordering::SeqCst)
     }
 
-    /// Orders that engines carried out so far.
+    /// Number of orders that engines have carried out so far.
     pub fn orders(&self) -> u64 {
         let count = |slot: &Slot| slot.engine.peek_state().counters.get("orders").copied();
         self.slots.iter().filter_map(count).sum()
     }
 
-    /// Whether some rank takes new work.
+    /// Whether the intake of some rank is open.
     pub fn takes_work(&self) -> bool {
         self.slots.iter().any(|slot| slot.work.state().is_open)
     }
 
-    /// Whether every engine serves this version and its agent takes work.
+    /// Whether every engine serves this version and every intake is open.
     pub fn all_serve(&self, version: &str) -> bool {
         let serves =
             |slot: &Slot| slot.engine.peek_state().version == version && slot.work.state().is_open;
--- a/crates/group/tests/switch.rs
+++ b/crates/group/tests/switch.rs
@@ -1,4 +1,4 @@
-//! Switches of a group's map under faults at every message.
+//! Switches of a group's map, with faults injected at every message.
 
 mod support;
 
@@ -9,14 +9,14 @@
 use support::{Fault, OUTAGE, RANKS, World, map};
 use tokio::time::sleep;
 
-/// A switch sends fewer messages than this.
+/// Upper bound on the messages of one switch.
 const MESSAGES: u64 = 70;
-/// Bound on the time from a fault's end to the next step.
+/// Upper bound on the time from a fault's end to the next step.
 const RECOVERY: Duration = Duration::from_secs(10);
 const KINDS: [EngineKind; 2] = [EngineKind::ChecksFence, EngineKind::IgnoresFence];
 const MINUTE: Duration = Duration::from_secs(60);
 
-/// Lets the fault strike at each message of a switch, for engines of both kinds.
+/// Injects the fault at each message of a switch, for engines of both kinds.
 async fn strike_everywhere(fault: Fault, fault_lasts: Duration) {
     let mut struck = 0;
     for kind in KINDS {
@@ -48,7 +48,7 @@
     world.end();
 }
 
-/// Nothing goes wrong: the group changes its map within moments and steps on.
+/// Switch without faults: it must succeed at the first attempt.
 #[tokio::test(start_paused = true)]
 async fn switch_without_fault() {
     for kind in KINDS {
@@ -64,11 +64,11 @@
     }
 }
 
-/// A group changes its map while the weight store is shared with many others. Its ranks load one
-/// after another within what the process may use, and the group steps on meanwhile.
+/// The weight store's rate is shared with other groups, so the ranks must load one after another
+/// within this process's share, while the group steps on.
 #[tokio::test(start_paused = true)]
 async fn switch_loads_paced() {
-    // At the minimum of 50 bytes a second each rank's load takes 0.9 s.
+    // At the minimum of 50 bytes/s each rank's load takes 0.9 s.
     let world = World::start_with(EngineKind::ChecksFence, Some(45)).await;
     world.want(2);
     sleep(Duration::from_millis(1700)).await;
@@ -79,7 +79,7 @@
     check_runs_or_named(&world, "paced").await;
 }
 
-/// The network drops one request, one answer, or brings one twice. Callers notice at most a pause.
+/// The network drops a request or an answer, or duplicates a request.
 #[tokio::test(start_paused = true)]
 async fn switch_message_lost_or_doubled() {
     strike_everywhere(Fault::LoseRequest, Duration::ZERO).await;
@@ -87,76 +87,75 @@
     strike_everywhere(Fault::Duplicate, Duration::ZERO).await;
 }
 
-/// An agent's process dies and a new one starts two seconds later, which remembers nothing.
+/// An agent dies and restarts two seconds later with no memory of earlier orders.
 #[tokio::test(start_paused = true)]
 async fn switch_agent_killed() {
     strike_everywhere(Fault::KillAgent, Duration::from_secs(2)).await;
 }
 
-/// An agent's process stands still for some seconds, in the middle of an order, and goes on with
-/// it as if no time had passed.
+/// An agent is paused for some seconds in the middle of an order and then continues with it.
 #[tokio::test(start_paused = true)]
 async fn switch_agent_paused() {
     strike_everywhere(Fault::PauseAgent, OUTAGE).await;
 }
 
-/// An engine dies and comes back with no map. If it stepped like that, the group's tokens would be
-/// garbage from there on.
+/// An engine crashes and restarts with no map. If it stepped without one, the group would produce
+/// wrong tokens.
 #[tokio::test(start_paused = true)]
 async fn switch_engine_crashed() {
     strike_everywhere(Fault::CrashEngine, Duration::from_secs(2)).await;
 }
 
-/// An engine stalls for some seconds and then goes on as if nothing had been.
+/// An engine freezes for some seconds and then continues.
 #[tokio::test(start_paused = true)]
 async fn switch_engine_frozen() {
     strike_everywhere(Fault::FreezeEngine, OUTAGE).await;
 }
 
-/// The key-value service goes away in mid-switch, or slows down so that answers come too late.
+/// The key-value service goes down during the switch, or answers too late.
 #[tokio::test(start_paused = true)]
 async fn switch_service_down_or_slow() {
     strike_everywhere(Fault::ServiceDown, OUTAGE).await;
     strike_everywhere(Fault::ServiceSlow, OUTAGE).await;
 }
 
-/// The service's answer to a write is lost, after the write took effect or before.
+/// A write to the key-value service is lost before or after it took effect.
 #[tokio::test(start_paused = true)]
 async fn switch_service_answer_lost() {
     strike_everywhere(Fault::LoseServiceAnswers(LostAnswer::AfterEffect), Duration::ZERO).await;
     strike_everywhere(Fault::LoseServiceAnswers(LostAnswer::BeforeEffect), Duration::ZERO).await;
 }
 
-/// The coordinator dies; another takes up the switch where it stands.
+/// The coordinator dies; another must complete the switch or roll it back.
 #[tokio::test(start_paused = true)]
 async fn switch_coordinator_killed() {
     strike_everywhere(Fault::KillCoordinator, Duration::ZERO).await;
 }
 
-/// The coordinator sleeps past its lease and wakes in the middle of what it was doing, while
-/// another has long taken over.
+/// The coordinator is paused until its lease expires, and continues with the switch after another
+/// has taken over.
 #[tokio::test(start_paused = true)]
 async fn switch_coordinator_paused() {
     strike_everywhere(Fault::PauseCoordinator, OUTAGE * 3).await;
 }
 
-/// The lease is taken from a coordinator that goes on for a while without knowing, so that two give
-/// orders at once.
+/// A coordinator loses its lease without noticing, so that two coordinators send orders at once.
 #[tokio::test(start_paused = true)]
 async fn switch_two_coordinators() {
     strike_everywhere(Fault::ExpireLease, Duration::ZERO).await;
 }
 
-/// An engine carries out an order but its answer is lost, or never gets it. Where the engine checks
-/// no numbers, the latter can't be told from an order still on its way, and the rank is named.
+/// An engine's answer to an order is lost, or the order itself. With an engine that checks no
+/// fencing numbers, a lost order can't be told from a late one, so the rank is reported as out of
+/// service.
 #[tokio::test(start_paused = true)]
 async fn switch_engine_order_lost() {
     strike_everywhere(Fault::LoseOrder(LostOrder::AfterEffect), Duration::ZERO).await;
     strike_everywhere(Fault::LoseOrder(LostOrder::BeforeEffect), Duration::ZERO).await;
 }
 
-/// An order lies about for a minute, on the network or within the engine, and takes effect when the
-/// group has changed its map twice more and is about to do so again.
+/// An order is delayed by a minute, on the network or in the engine, and arrives after the group
+/// has changed its map twice more and while it changes it again.
 #[tokio::test(start_paused = true)]
 async fn switch_order_late_by_a_minute() {
     for fault in [Fault::Delay(MINUTE), Fault::LoseOrder(LostOrder::Delayed(MINUTE))] {
@@ -169,7 +168,7 @@
                     world.want(number);
                     sleep(MINUTE / 3).await;
                 }
-                // The late order comes about now, in the midst of further switches.
+                // The late order arrives about now, during further switches.
                 for number in 5..12 {
                     world.want(number);
                     sleep(Duration::from_millis(700)).await;
@@ -182,8 +181,8 @@
     }
 }
 
-/// The key-value service is away for long, and in that time an engine crashes and an agent dies. The
-/// group must not stand still for the whole outage because one engine came back without its map.
+/// During a long outage of the key-value service an engine crashes and an agent dies. The group
+/// must not stop for the whole outage because one engine restarted without its map.
 #[tokio::test(start_paused = true)]
 async fn align_while_service_down() {
     for kind in KINDS {
@@ -204,8 +203,8 @@
     }
 }
 
-/// A coordinator dies while the group runs. Its successor takes a higher number although nothing is
-/// to be done, so that whatever the dead one has on its way is refused from then on.
+/// A coordinator dies while the group runs. Its successor must raise the fencing number even if
+/// there is nothing to change, so that orders still on their way from the dead one are refused.
 #[tokio::test(start_paused = true)]
 async fn claim_raises_number() {
     let world = World::start(EngineKind::ChecksFence).await;
@@ -240,8 +239,8 @@
     Fault::ExpireLease,
 ];
 
-/// Two faults strike in one switch, each pair at a few places: what mends the first may be what the
-/// second takes away.
+/// Two faults in one switch, for each pair of faults: the second one may hit the recovery from the
+/// first.
 #[tokio::test(start_paused = true)]
 async fn switch_two_faults() {
     let mut place = 0;
@@ -263,9 +262,9 @@
     }
 }
 
-/// A rank can't load the wanted map: each load is lost on its way to the engine. Had it to be wanted
-/// anew first, the group would keep its uneven map until the next plan; were it tried at every look,
-/// the loads would use up what other groups have of the weight store.
+/// A rank can't load the desired map for a while. The switch must be retried by itself, or the
+/// group would keep its uneven map until the next plan; but not at every poll, or the loads would
+/// use up the weight store's rate for other groups.
 #[tokio::test(start_paused = true)]
 async fn switch_failed_before_commit_tried_again() {
     let world = World::start(EngineKind::ChecksFence).await;
@@ -275,7 +274,7 @@
     assert_eq!(world.engine(0).peek_map(), map(1));
     assert!(world.runs_within(Duration::from_secs(1)).await);
     let tries = world.refused_loads();
-    // At each look it would have been several hundred.
+    // Without backoff there would be several hundred.
     assert!((4..=12).contains(&tries), "{tries} tries in four minutes");
     world.refuse_loads(1, false);
     sleep(MINUTE + Duration::from_secs(5)).await;
--- a/crates/group/tests/verify.rs
+++ b/crates/group/tests/verify.rs
@@ -1,4 +1,4 @@
-//! What a rank answers to an order is no proof of what it does afterwards.
+//! Verification of ranks: a confirmed order does not prove the rank's state afterwards.
 
 use flamingowheel_backing::BoxFuture;
 use flamingowheel_backing::fake::FakeKeyValue;
@@ -14,7 +14,8 @@
 use flamingowheel_group::switch::Switch;
 use std::sync::{Arc, Mutex};
 
-/// Ranks that stand still and confirm every order; the last one forgets its map right after.
+/// Ranks that are held and confirm every order. If `forgets` is set, the last one loses its map
+/// right after confirming it.
 #[derive(Default)]
 struct Forgetful {
     forgets: bool,
@@ -76,8 +77,8 @@
     switched.read_back().await.map(drop).map_err(|failure| failure.error)
 }
 
-/// An engine confirms the switch and crashes the moment after. A coordinator that trusted the answer
-/// would let the group step on while one rank has no map.
+/// An engine confirms the switch and crashes right after. A coordinator that relied on the answer
+/// would resume the group while one rank has no map.
 #[tokio::test(start_paused = true)]
 async fn read_back_rank_forgot_its_map() {
     assert_eq!(read_back(Forgetful::default()).await, Ok(()));
@@ -88,7 +89,7 @@
 
 type Call<'a> = BoxFuture<'a, Result<RankState, RankError>>;
 
-/// Ranks that answer as this says.
+/// Ranks whose answers are computed by a function.
 struct By<Answer>(Answer);
 
 impl<Answer> Ranks for By<Answer>
@@ -105,8 +106,8 @@
     }
 }
 
-/// A rank can't be reached, and another one has lost its map and is ready to step. When the first
-/// comes back the group would run a step with two maps, unless the other was stopped before.
+/// One rank can't be reached, and another has lost its map and is not held. Unless the latter is
+/// held, the group would run a step with two maps when the first comes back.
 #[tokio::test(start_paused = true)]
 async fn align_stops_rank_without_map() {
     let kv: Arc<dyn KeyValue> = Arc::new(FakeKeyValue::new());
@@ -144,7 +145,7 @@
         Leases::new(Arc::clone(&kv), timing.lease_ttl).acquire("g1").await.unwrap().unwrap();
     let opened = Arc::new(Mutex::new(Vec::new()));
     let noted = Arc::clone(&opened);
-    // The ranks step with the map in force; the first does not answer, the others are closed.
+    // All ranks step with the map in force; the first does not answer, the others are closed.
     let ranks = By(move |rank, request: &RankRequest| {
         if rank == 0 {
             return Err(RankError::NoAnswer);
@@ -161,17 +162,17 @@
     opened.lock().unwrap().clone()
 }
 
-/// An agent is gone for good right after its group has changed its version. The group steps on, but
-/// its other agents would go on refusing work for want of the last one. In mid-change they must.
+/// An agent is lost for good right after its group has changed its version. The group steps on, so
+/// the other agents must admit requests again; during the change they must not.
 #[tokio::test(start_paused = true)]
 async fn align_opens_the_others_when_a_change_is_over() {
     assert_eq!(opened(Phase::Settled).await, [1]);
     assert!(opened(Phase::Rolling).await.is_empty());
 }
 
-/// A coordinator died while it stopped ranks for a new map. Its successor drops that change, in the
-/// record first: ranks resume under the number of that write, so that a late order of the dropped
-/// change can't stop them again.
+/// A coordinator died while it held ranks for a new map. Its successor rolls the change back, in
+/// the record first: ranks resume under that write's fencing number, so that a late order of the
+/// change can't hold them again.
 #[tokio::test(start_paused = true)]
 async fn align_drops_uncommitted_change() {
     let kv: Arc<dyn KeyValue> = Arc::new(FakeKeyValue::new());
@@ -193,7 +194,7 @@
     assert_eq!(stored.record.in_force.version, 1);
 }
 
-/// Two processes want to coordinate: one is told that it doesn't, until the other gives way.
+/// Two processes acquire the same group: the second succeeds only after the first has released it.
 #[tokio::test(start_paused = true)]
 async fn acquire_held_by_another() {
     let kv: Arc<dyn KeyValue> = Arc::new(FakeKeyValue::new());
@@ -204,8 +205,8 @@
     assert!(Leases::new(Arc::clone(&kv), ttl).acquire("g1").await.unwrap().is_some());
 }
 
-/// A process is paused for longer than its lease lasts. When it wakes it must not go on with the
-/// change it was about to commit.
+/// A process is paused until its lease expires. When it resumes, it must not commit the change that
+/// it was working on.
 #[tokio::test(start_paused = true)]
 async fn may_change_after_pause() {
     let kv: Arc<dyn KeyValue> = Arc::new(FakeKeyValue::new());
