--- a/crates/agent/src/archive.rs
+++ b/crates/agent/src/archive.rs
@@ -29,7 +29,7 @@
 const RECORD_OVERHEAD_BYTES: usize = 96;
 
 /// Timeout of archiving, so that an agent also ends while the key-value service is down.
-const LIMIT: Duration = Duration::from_secs(3);
+const TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Archive of one agent process's answers.
 #[derive(Clone, Copy, Debug)]
@@ -64,7 +64,7 @@
         if finished == 0 && !tickets.is_final {
             return archived;
         }
-        match timeout(LIMIT, self.write(tickets, kv, &mut archived)).await {
+        match timeout(TIMEOUT, self.write(tickets, kv, &mut archived)).await {
             Ok(Ok(())) => {}
             Ok(Err(error)) => tracing::warn!(%error, "ticket answers not archived"),
             Err(_) => tracing::warn!("timeout while archiving ticket answers"),
@@ -152,9 +152,9 @@
     let mut buckets: Vec<(usize, Vec<ArchivedAnswer>)> = vec![(0, Vec::new()); BUCKETS];
     for (number, execution) in finished {
         let (bytes, answers) = &mut buckets[archive::bucket(number)];
-        let room = MAX_BATCH_BYTES - *bytes;
+        let remaining_bytes = MAX_BATCH_BYTES - *bytes;
         let Some((added, answer)) =
-            archived(number, &execution).filter(|(added, _)| *added <= room)
+            archived_answer(number, &execution).filter(|(added, _)| *added <= remaining_bytes)
         else {
             unanswered.push(number);
             continue;
@@ -167,15 +167,15 @@
 }
 
 /// The archived form of an answer and an upper bound on its bytes; `None` if it is too large.
-fn archived(number: Uuid, execution: &Execution) -> Option<(usize, ArchivedAnswer)> {
-    let whole = execution.complete_answer(MAX_BODY_BYTES)?;
-    let bytes = whole.body.len() + whole.content_type.len() + RECORD_OVERHEAD_BYTES;
+fn archived_answer(number: Uuid, execution: &Execution) -> Option<(usize, ArchivedAnswer)> {
+    let answer = execution.complete_answer(MAX_BODY_BYTES)?;
+    let bytes = answer.body.len() + answer.content_type.len() + RECORD_OVERHEAD_BYTES;
     let answer = ArchivedAnswer {
         number,
         fingerprint: execution.spec().fingerprint,
-        status: whole.status,
-        content_type: whole.content_type,
-        body: whole.body,
+        status: answer.status,
+        content_type: answer.content_type,
+        body: answer.body,
     };
     Some((bytes, answer))
 }
--- a/crates/agent/src/cache.rs
+++ b/crates/agent/src/cache.rs
@@ -23,11 +23,11 @@
 /// The engine's cache as its events describe it.
 #[derive(Debug, Default)]
 pub struct CacheView {
-    life: u64,
+    generation: u64,
     /// Number of the last engine event that was applied.
-    last_read: Option<u64>,
+    last_applied: Option<u64>,
     /// Number of the last event that was sent to entries.
-    last_told: u64,
+    last_sent: u64,
     /// Blocks by the engine's event number; the lowest is dropped first.
     by_number: BTreeMap<u64, BlockHash>,
     numbers: HashMap<BlockHash, u64>,
@@ -37,7 +37,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Loss {
     /// Blocks stored by events before this number are uncertain.
-    before: u64,
+    next_number: u64,
     at: Instant,
 }
 
@@ -45,7 +45,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CachePoll {
     /// Counts resets of the view; answers to queries from before a reset are ignored.
-    life: u64,
+    generation: u64,
     /// The engine's events after this number are requested.
     pub after: u64,
 }
@@ -53,7 +53,7 @@
 impl CacheView {
     /// The next query to send to the engine.
     pub fn next_poll(&self) -> CachePoll {
-        CachePoll { life: self.life, after: self.last_read.unwrap_or(0) }
+        CachePoll { generation: self.generation, after: self.last_applied.unwrap_or(0) }
     }
 
     /// Applies the answer to a query and returns the events to send to entries.
@@ -62,27 +62,27 @@
         poll: CachePoll,
         mut events: Vec<backend::CacheEvent>,
     ) -> Vec<CacheEvent> {
-        if poll.life != self.life {
+        if poll.generation != self.generation {
             return Vec::new();
         }
         events.sort_unstable_by_key(|event| event.number);
-        let mut told = Vec::new();
+        let mut outgoing = Vec::new();
         if events.first().is_some_and(|event| event.number <= poll.after) {
             // Numbers went back: a restarted engine answered and ignored the requested number.
-            told.push(self.reset());
+            outgoing.push(self.reset());
         }
         events.truncate(MAX_EVENTS_PER_POLL);
         for event in events {
-            self.take(&event, &mut told);
+            self.apply(&event, &mut outgoing);
         }
-        told
+        outgoing
     }
 
     /// Drops all blocks, because a new engine process has an empty cache and restarts its numbers.
     /// Returns the event to send to entries.
     pub fn reset(&mut self) -> CacheEvent {
-        let (life, last_told) = (self.life + 1, self.last_told + 1);
-        *self = Self { life, last_told, ..Self::default() };
+        let (generation, last_sent) = (self.generation + 1, self.last_sent + 1);
+        *self = Self { generation, last_sent, ..Self::default() };
         self.snapshot()
     }
 
@@ -92,41 +92,47 @@
         if self.loss?.at.elapsed() < UNCERTAIN_BLOCK_TTL {
             return None;
         }
-        self.last_told += 1;
+        self.last_sent += 1;
         let snapshot = self.snapshot();
         let loss = self.loss.take()?;
-        self.by_number = self.by_number.split_off(&loss.before);
-        self.numbers.retain(|_, number| *number >= loss.before);
+        self.by_number = self.by_number.split_off(&loss.next_number);
+        self.numbers.retain(|_, number| *number >= loss.next_number);
         Some(snapshot)
     }
 
     /// All blocks that are certain to be cached, as of the last event sent.
     pub fn snapshot(&self) -> CacheEvent {
-        let from = self.loss.map_or(0, |loss| loss.before);
+        let from = self.loss.map_or(0, |loss| loss.next_number);
         let blocks = self.by_number.range(from..).map(|(_, block)| *block).collect();
-        CacheEvent { number: self.last_told, change: CacheChange::Snapshot(blocks) }
+        CacheEvent { number: self.last_sent, change: CacheChange::Snapshot(blocks) }
     }
 
-    fn take(&mut self, event: &backend::CacheEvent, told: &mut Vec<CacheEvent>) {
-        let is_next = self.last_read.is_none_or(|last| event.number == last + 1);
+    fn apply(&mut self, event: &backend::CacheEvent, outgoing: &mut Vec<CacheEvent>) {
+        let is_next = self.last_applied.is_none_or(|last| event.number == last + 1);
         if !is_next {
             // Counted from the first loss, or repeated losses would keep uncertain blocks for ever.
             let at = self.loss.map_or_else(Instant::now, |loss| loss.at);
-            self.loss = Some(Loss { before: event.number, at });
-            self.last_told += 1;
+            self.loss = Some(Loss { next_number: event.number, at });
+            self.last_sent += 1;
         }
-        self.last_read = Some(event.number);
+        self.last_applied = Some(event.number);
         let block = BlockHash(event.block_hash);
-        self.forget(block);
+        self.remove_block(block);
         if event.stored {
-            self.remember(event.number, block);
+            self.insert_block(event.number, block);
         }
-        self.tell(block, event.stored, is_next, told);
+        self.append_event(block, event.stored, is_next, outgoing);
     }
 
     /// Appends to the last event if it is of the same kind, so that a batch has few events.
-    fn tell(&mut self, block: BlockHash, stored: bool, is_next: bool, told: &mut Vec<CacheEvent>) {
-        let last = told.last_mut().filter(|_| is_next).map(|event| &mut event.change);
+    fn append_event(
+        &mut self,
+        block: BlockHash,
+        stored: bool,
+        is_next: bool,
+        outgoing: &mut Vec<CacheEvent>,
+    ) {
+        let last = outgoing.last_mut().filter(|_| is_next).map(|event| &mut event.change);
         match (last, stored) {
             (Some(CacheChange::Stored(blocks)), true)
             | (Some(CacheChange::Removed(blocks)), false) => {
@@ -135,15 +141,15 @@
             }
             _ => {}
         }
-        self.last_told += 1;
+        self.last_sent += 1;
         let change = match stored {
             true => CacheChange::Stored(vec![block]),
             false => CacheChange::Removed(vec![block]),
         };
-        told.push(CacheEvent { number: self.last_told, change });
+        outgoing.push(CacheEvent { number: self.last_sent, change });
     }
 
-    fn remember(&mut self, number: u64, block: BlockHash) {
+    fn insert_block(&mut self, number: u64, block: BlockHash) {
         if self.numbers.len() == MAX_BLOCKS
             && let Some((_, oldest)) = self.by_number.pop_first()
         {
@@ -153,7 +159,7 @@
         self.by_number.insert(number, block);
     }
 
-    fn forget(&mut self, block: BlockHash) {
+    fn remove_block(&mut self, block: BlockHash) {
         if let Some(number) = self.numbers.remove(&block) {
             self.by_number.remove(&number);
         }
--- a/crates/agent/src/control.rs
+++ b/crates/agent/src/control.rs
@@ -3,10 +3,10 @@
 //! It handles commands one at a time and never waits for the network, so every decision is made on
 //! a consistent state.
 
+mod attempts;
 mod handle;
 mod health;
 mod intake;
-mod questions;
 mod record;
 mod work;
 
@@ -73,7 +73,7 @@
     load: LoadCell,
     links: HashMap<u64, mpsc::Sender<AgentMessage>>,
     /// The last heartbeat sent to all links, and how many ticks ago.
-    told: (Option<AgentMessage>, u32),
+    last_heartbeat: (Option<AgentMessage>, u32),
     leaving: bool,
     closed: bool,
     backend_process: Option<u64>,
@@ -82,12 +82,12 @@
     cache: CacheView,
     polling_cache: bool,
     /// Links whose queue had no room for a message about the cache.
-    behind: HashSet<u64>,
+    stale_links: HashSet<u64>,
     suspects: Vec<Fingerprint>,
     crash_count: u32,
     commands: mpsc::Sender<Command>,
     status: watch::Sender<AgentStatus>,
-    traffic: Handle,
+    runtime: Handle,
     recorder: Recorder,
     orders: Option<Arc<dyn OrderHandler>>,
 }
@@ -124,7 +124,7 @@
             suspicion: SuspectTracker::new(SuspicionConfig::default()),
             load: LoadCell::default(),
             links: HashMap::new(),
-            told: (None, 0),
+            last_heartbeat: (None, 0),
             leaving: false,
             closed: false,
             backend_process: None,
@@ -132,12 +132,12 @@
             checking_health: false,
             cache: CacheView::default(),
             polling_cache: false,
-            behind: HashSet::new(),
+            stale_links: HashSet::new(),
             suspects: Vec::new(),
             crash_count: 0,
             commands: commands.clone(),
             status,
-            traffic: Handle::current(),
+            runtime: Handle::current(),
             recorder,
             orders: None,
             config,
@@ -164,7 +164,7 @@
                 },
                 _ = tick.tick() => self.on_tick(),
             }
-            self.publish();
+            self.publish_status();
         }
     }
 
@@ -172,9 +172,9 @@
         match command {
             Command::Linked { link, sender } => {
                 reply(&sender, self.heartbeat());
-                let known = self.suspicion.records(self.started.elapsed());
-                if !known.is_empty() {
-                    reply(&sender, AgentMessage::Suspicions(known));
+                let suspicions = self.suspicion.records(self.started.elapsed());
+                if !suspicions.is_empty() {
+                    reply(&sender, AgentMessage::Suspicions(suspicions));
                 }
                 if self.has_prefix_cache() {
                     // Later events don't include the blocks that are cached already.
@@ -184,7 +184,7 @@
             }
             Command::Unlinked { link } => {
                 self.links.remove(&link);
-                self.behind.remove(&link);
+                self.stale_links.remove(&link);
             }
             Command::Received { sender, message } => self.receive(&sender, message),
             Command::Ended { key, end } => self.on_ended(key, end),
@@ -212,12 +212,12 @@
         match message {
             EntryMessage::Dispatch(dispatch) => self.on_dispatch(sender, dispatch),
             EntryMessage::Attach { attempt, key, incarnation, window, from_chunk } => {
-                let question = Question { attempt, key, incarnation, window };
-                self.on_attach(sender, question, from_chunk);
+                let query = AttemptQuery { attempt, key, incarnation, window };
+                self.on_attach(sender, query, from_chunk);
             }
             EntryMessage::Cancel { attempt, key, incarnation, window, void_ticket } => {
-                let question = Question { attempt, key, incarnation, window };
-                self.on_cancel(sender, question, void_ticket);
+                let query = AttemptQuery { attempt, key, incarnation, window };
+                self.on_cancel(sender, query, void_ticket);
             }
             EntryMessage::Acknowledge { attempt, key, next_chunk } => {
                 if let Some(Record::Execution(execution)) = self.records.get(key) {
@@ -234,7 +234,7 @@
             }
             EntryMessage::Suspicions(records) => {
                 self.suspicion.merge(&records, self.started.elapsed());
-                self.tell_suspicions();
+                self.broadcast_suspicions();
             }
             EntryMessage::VmLeaving => self.leave(LeaveCause::VmList),
             EntryMessage::Order { number, body } => self.on_order(sender, number, body),
@@ -244,7 +244,7 @@
     fn on_order(&self, sender: &mpsc::Sender<AgentMessage>, number: u64, body: Bytes) {
         let Some(orders) = self.orders.clone() else { return };
         let sender = sender.clone();
-        self.traffic.spawn(async move {
+        self.runtime.spawn(async move {
             let body = orders.handle(body).await;
             // If the connection has ended, the coordinator sends its request again.
             let _ = sender.send(AgentMessage::OrderAnswer { number, body }).await;
@@ -259,31 +259,31 @@
         from_chunk: u64,
     ) {
         let load = self.load.clone();
-        self.traffic.spawn(execution.attach(attempt, sender.clone(), from_chunk, load));
+        self.runtime.spawn(execution.attach(attempt, sender.clone(), from_chunk, load));
     }
 
     fn on_tick(&mut self) {
         self.records.expire();
         for key in self.admission.expire(self.started.elapsed()) {
-            self.give_up(key, Refusal::DeadlinePassed);
+            self.refuse_pending(key, Refusal::DeadlinePassed);
         }
         self.stop_orphans();
         self.check_health();
-        self.catch_up();
+        self.send_missed_snapshots();
         self.poll_cache();
-        self.tell_suspicions();
-        self.tell_load();
+        self.broadcast_suspicions();
+        self.broadcast_heartbeat();
     }
 
     /// Broadcasts a changed heartbeat at once, and an unchanged one every [`REPEAT_TICKS`].
-    fn tell_load(&mut self) {
+    fn broadcast_heartbeat(&mut self) {
         let now = Some(self.heartbeat());
-        let (last, age) = &mut self.told;
+        let (last, age) = &mut self.last_heartbeat;
         *age += 1;
         if *last == now && *age < REPEAT_TICKS {
             return;
         }
-        self.told = (now, 0);
+        self.last_heartbeat = (now, 0);
         self.broadcast(&self.heartbeat());
     }
 
@@ -302,10 +302,10 @@
         self.records.add_attempt_tombstone(attempt);
         let event = Event::TombstoneWritten { attempt: attempt.number };
         self.recorder.record_about(&Subject::request(attempt.request.0), event);
-        self.refuse_unrecorded(sender, attempt, refusal);
+        self.refuse_without_tombstone(sender, attempt, refusal);
     }
 
-    fn refuse_unrecorded(
+    fn refuse_without_tombstone(
         &self,
         sender: &mpsc::Sender<AgentMessage>,
         attempt: AttemptId,
@@ -339,7 +339,7 @@
         }
     }
 
-    fn publish(&mut self) {
+    fn publish_status(&mut self) {
         self.load.set(self.load());
         let idle = self.running.is_empty() && self.pending.is_empty();
         let drained = self.leaving
@@ -380,7 +380,7 @@
 
 /// The attempt that an attach or cancel message is about.
 #[derive(Clone, Copy)]
-struct Question {
+struct AttemptQuery {
     attempt: AttemptId,
     key: ExecutionKey,
     incarnation: Incarnation,
--- a/crates/agent/src/control/questions.rs
+++ b/crates/agent/src/control/attempts.rs
@@ -1,6 +1,6 @@
 //! Handling of attach and cancel messages, for attempts that lost their connection or caller.
 
-use super::{Control, Question};
+use super::{AttemptQuery, Control};
 use crate::execution::{Ending, Execution};
 use crate::records::Record;
 use flamingowheel_protocol::id::ExecutionKey;
@@ -12,23 +12,23 @@
     pub(super) fn on_attach(
         &mut self,
         sender: &mpsc::Sender<AgentMessage>,
-        question: Question,
+        query: AttemptQuery,
         from_chunk: u64,
     ) {
-        let attempt = question.attempt;
-        if question.incarnation != self.config.incarnation {
+        let attempt = query.attempt;
+        if query.incarnation != self.config.incarnation {
             return self.fail(sender, attempt, Failure::RecordGone);
         }
         if self.records.has_tombstone(attempt) {
-            return self.refuse_unrecorded(sender, attempt, Refusal::Cancelled);
+            return self.refuse_without_tombstone(sender, attempt, Refusal::Cancelled);
         }
-        match self.records.get(question.key) {
+        match self.records.get(query.key) {
             Some(Record::Execution(execution)) => {
                 let execution = Arc::clone(execution);
                 self.attach(&execution, attempt, sender, from_chunk);
             }
             Some(Record::Tombstone) => self.refuse(sender, attempt, Refusal::Cancelled),
-            None if self.is_outside_retention(&question) => {
+            None if self.is_outside_retention(&query) => {
                 self.fail(sender, attempt, Failure::RecordGone);
             }
             None => self.refuse(sender, attempt, Refusal::NeverArrived),
@@ -38,23 +38,23 @@
     pub(super) fn on_cancel(
         &mut self,
         sender: &mpsc::Sender<AgentMessage>,
-        question: Question,
+        query: AttemptQuery,
         void_ticket: bool,
     ) {
-        let (attempt, key) = (question.attempt, question.key);
-        if question.incarnation != self.config.incarnation {
+        let (attempt, key) = (query.attempt, query.key);
+        if query.incarnation != self.config.incarnation {
             return self.fail(sender, attempt, Failure::RecordGone);
         }
         match self.records.get(key) {
             Some(Record::Execution(execution)) => {
                 let execution = Arc::clone(execution);
-                self.cancel_execution(sender, question, &execution, void_ticket);
+                self.cancel_execution(sender, query, &execution, void_ticket);
             }
             Some(Record::Tombstone) => self.refuse(sender, attempt, Refusal::Cancelled),
-            None if self.is_outside_retention(&question) => {
+            None if self.is_outside_retention(&query) => {
                 self.fail(sender, attempt, Failure::RecordGone);
             }
-            None => self.refuse_all(sender, question, void_ticket),
+            None => self.refuse_all(sender, query, void_ticket),
         }
     }
 
@@ -63,41 +63,41 @@
     fn refuse_all(
         &mut self,
         sender: &mpsc::Sender<AgentMessage>,
-        question: Question,
+        query: AttemptQuery,
         void_ticket: bool,
     ) {
-        if void_ticket && self.records.add_tombstone(question.key).is_err() {
-            return self.fail(sender, question.attempt, Failure::Cancelled);
+        if void_ticket && self.records.add_tombstone(query.key).is_err() {
+            return self.fail(sender, query.attempt, Failure::Cancelled);
         }
-        self.refuse(sender, question.attempt, Refusal::Cancelled);
+        self.refuse(sender, query.attempt, Refusal::Cancelled);
     }
 
     pub(super) fn cancel_execution(
         &mut self,
         sender: &mpsc::Sender<AgentMessage>,
-        question: Question,
+        query: AttemptQuery,
         execution: &Arc<Execution>,
         void_ticket: bool,
     ) {
-        let (attempt, key) = (question.attempt, question.key);
+        let (attempt, key) = (query.attempt, query.key);
         if let Some(Ending::NotRun(_)) = execution.ending() {
-            return self.refuse_all(sender, question, void_ticket);
+            return self.refuse_all(sender, query, void_ticket);
         }
-        let others = execution.detach(attempt);
+        let has_others = execution.detach(attempt);
         let waiting = self.pending.contains_key(&key);
-        if waiting && !others {
+        if waiting && !has_others {
             self.admission.cancel(key);
-            self.give_up(key, Refusal::Cancelled);
-            return self.refuse_all(sender, question, void_ticket);
+            self.refuse_pending(key, Refusal::Cancelled);
+            return self.refuse_all(sender, query, void_ticket);
         }
-        if execution.spec().idempotent && !others {
+        if execution.spec().idempotent && !has_others {
             execution.stop_token().cancel();
         }
         self.fail(sender, attempt, Failure::Cancelled);
     }
 
-    pub(super) fn is_outside_retention(&self, question: &Question) -> bool {
-        self.records.is_outside_retention(ExecutionKey::Attempt(question.attempt), question.window)
-            || self.records.is_outside_retention(question.key, question.window)
+    pub(super) fn is_outside_retention(&self, query: &AttemptQuery) -> bool {
+        self.records.is_outside_retention(ExecutionKey::Attempt(query.attempt), query.window)
+            || self.records.is_outside_retention(query.key, query.window)
     }
 }
--- a/crates/agent/src/control/health.rs
+++ b/crates/agent/src/control/health.rs
@@ -11,7 +11,7 @@
 
 impl Control {
     /// Marks all running requests as suspects of the backend server's crash.
-    pub(super) fn note_suspects(&mut self) {
+    pub(super) fn record_suspects(&mut self) {
         if self.suspects.is_empty() {
             self.suspects = self.running.values().map(|running| running.fingerprint).collect();
         }
@@ -23,7 +23,7 @@
             return;
         }
         let (backend, commands) = (Arc::clone(&self.backend), self.commands.clone());
-        self.traffic.spawn(async move {
+        self.runtime.spawn(async move {
             let report = backend.load().await;
             let _ = commands.send(Command::Health(report)).await;
         });
@@ -42,17 +42,17 @@
             }
         }
         let process = report.ok().map(|report| report.process_id);
-        self.note_process(process);
+        self.reset_cache_if_restarted(process);
         let suspects = std::mem::take(&mut self.suspects);
-        let died = process.is_none() || process != self.backend_process;
+        let has_crashed = process.is_none() || process != self.backend_process;
         if process.is_some() {
             self.backend_process = process;
         }
-        if suspects.is_empty() || !died {
+        if suspects.is_empty() || !has_crashed {
             return;
         }
         self.crash_count += 1;
-        let crash = CrashId { server: self.server(), number: rand::random() };
+        let crash = CrashId { server: self.server_key(), number: rand::random() };
         self.suspicion.on_crash(crash, &suspects, self.started.elapsed());
         for fingerprint in &suspects {
             let fingerprint = fingerprint_name(*fingerprint);
@@ -62,22 +62,22 @@
             backend_server: self.config.name.as_str().into(),
             running: u32::try_from(suspects.len()).unwrap_or(u32::MAX),
         });
-        self.tell_suspicions();
+        self.broadcast_suspicions();
     }
 
     /// A new engine process has an empty cache. Without this, prompts would still be routed here
     /// for blocks that are gone.
-    pub(super) fn note_process(&mut self, process: Option<u64>) {
-        let is_other = process.is_some() && process != self.backend_process;
-        if is_other && self.backend_process.is_some() && self.has_prefix_cache() {
+    pub(super) fn reset_cache_if_restarted(&mut self, process: Option<u64>) {
+        let is_new = process.is_some() && process != self.backend_process;
+        if is_new && self.backend_process.is_some() && self.has_prefix_cache() {
             let snapshot = self.cache.reset();
-            self.tell_cache(vec![snapshot]);
+            self.broadcast_cache_events(vec![snapshot]);
         }
     }
 
     /// Broadcasts changed suspicions. Only new information counts as a change, so entries and
     /// agents don't forward the same records for ever.
-    pub(super) fn tell_suspicions(&mut self) {
+    pub(super) fn broadcast_suspicions(&mut self) {
         let changes = self.suspicion.drain_changes(self.started.elapsed());
         if !changes.is_empty() {
             self.broadcast(&AgentMessage::Suspicions(changes));
@@ -107,7 +107,7 @@
         }
         let (backend, commands) = (Arc::clone(&self.backend), self.commands.clone());
         let poll = self.cache.next_poll();
-        self.traffic.spawn(async move {
+        self.runtime.spawn(async move {
             let events = backend.cache_events(poll.after).await;
             let _ = commands.send(Command::CacheEvents(poll, events)).await;
         });
@@ -120,31 +120,34 @@
         events: Result<Vec<CacheEvent>, BackendError>,
     ) {
         self.polling_cache = false;
-        let mut told = self.cache.apply_events(poll, events.unwrap_or_default());
-        told.extend(self.cache.expire_uncertain());
-        if !told.is_empty() {
-            self.tell_cache(told);
+        let mut events = self.cache.apply_events(poll, events.unwrap_or_default());
+        events.extend(self.cache.expire_uncertain());
+        if !events.is_empty() {
+            self.broadcast_cache_events(events);
         }
     }
 
     /// Sends events to all entries. A link whose queue is full misses them and later gets a
     /// snapshot.
-    pub(super) fn tell_cache(&mut self, events: Vec<flamingowheel_policy::prefix::CacheEvent>) {
+    pub(super) fn broadcast_cache_events(
+        &mut self,
+        events: Vec<flamingowheel_policy::prefix::CacheEvent>,
+    ) {
         let message = AgentMessage::CacheEvents(events);
         for (link, sender) in &self.links {
             if sender.try_send(message.clone()).is_err() {
-                self.behind.insert(*link);
+                self.stale_links.insert(*link);
             }
         }
     }
 
-    pub(super) fn catch_up(&mut self) {
-        if self.behind.is_empty() {
+    pub(super) fn send_missed_snapshots(&mut self) {
+        if self.stale_links.is_empty() {
             return;
         }
         let message = AgentMessage::CacheEvents(vec![self.cache.snapshot()]);
         let links = &self.links;
-        self.behind.retain(|link| {
+        self.stale_links.retain(|link| {
             links.get(link).is_some_and(|sender| sender.try_send(message.clone()).is_err())
         });
     }
--- a/crates/agent/src/control/intake.rs
+++ b/crates/agent/src/control/intake.rs
@@ -14,16 +14,16 @@
             return;
         }
         if closed {
-            self.hand_back();
+            self.refuse_all_pending();
         }
         self.broadcast(&self.heartbeat());
     }
 
-    fn hand_back(&mut self) {
+    fn refuse_all_pending(&mut self) {
         let waiting: Vec<ExecutionKey> = self.pending.keys().copied().collect();
         for key in waiting {
             self.admission.cancel(key);
-            self.give_up(key, Refusal::BackendDown);
+            self.refuse_pending(key, Refusal::BackendDown);
         }
     }
 }
--- a/crates/agent/src/control/work.rs
+++ b/crates/agent/src/control/work.rs
@@ -24,25 +24,25 @@
         let (attempt, key) = (dispatch.attempt, dispatch.key);
         if dispatch.incarnation != self.config.incarnation {
             // No tombstone is needed: this process never runs a dispatch for another incarnation.
-            return self.refuse_unrecorded(sender, attempt, Refusal::WrongIncarnation);
+            return self.refuse_without_tombstone(sender, attempt, Refusal::WrongIncarnation);
         }
         if self.records.has_tombstone(attempt) {
-            return self.refuse_unrecorded(sender, attempt, Refusal::Cancelled);
+            return self.refuse_without_tombstone(sender, attempt, Refusal::Cancelled);
         }
         match self.records.get(key) {
             Some(Record::Tombstone) => return self.refuse(sender, attempt, Refusal::Cancelled),
             Some(Record::Execution(execution)) => {
                 let execution = Arc::clone(execution);
-                return self.on_known(sender, &dispatch, &execution);
+                return self.on_existing(sender, &dispatch, &execution);
             }
             None => {}
         }
         if self.records.is_outside_retention(ExecutionKey::Attempt(attempt), dispatch.window)
             || self.records.is_outside_retention(key, dispatch.window)
         {
-            return self.refuse_unrecorded(sender, attempt, Refusal::Expired);
+            return self.refuse_without_tombstone(sender, attempt, Refusal::Expired);
         }
-        if let Some(refusal) = self.objection(&dispatch) {
+        if let Some(refusal) = self.reason_to_refuse(&dispatch) {
             return self.refuse(sender, attempt, refusal);
         }
         self.admit(sender, dispatch);
@@ -50,7 +50,7 @@
 
     /// Handles a dispatch whose key has an execution. A resend of a ticket attaches to it; a copy
     /// of a known dispatch is ignored.
-    pub(super) fn on_known(
+    pub(super) fn on_existing(
         &mut self,
         sender: &mpsc::Sender<AgentMessage>,
         dispatch: &Dispatch,
@@ -71,7 +71,7 @@
         self.attach(execution, dispatch.attempt, sender, 0);
     }
 
-    pub(super) fn objection(&mut self, dispatch: &Dispatch) -> Option<Refusal> {
+    pub(super) fn reason_to_refuse(&mut self, dispatch: &Dispatch) -> Option<Refusal> {
         if self.leaving {
             return Some(Refusal::Leaving);
         }
@@ -83,20 +83,20 @@
         }
         match self.suspicion.verdict(dispatch.fingerprint, self.started.elapsed()) {
             Verdict::Refused { .. } => Some(Refusal::Suspect),
-            Verdict::Alone { crashed } if crashed.contains(&self.server()) => {
+            Verdict::Alone { crashed } if crashed.contains(&self.server_key()) => {
                 Some(Refusal::Suspect)
             }
             Verdict::Alone { .. } | Verdict::Clear => None,
         }
     }
 
-    pub(super) fn server(&self) -> ServerKey {
+    pub(super) fn server_key(&self) -> ServerKey {
         ServerKey::from_name(&self.config.name)
     }
 
     pub(super) fn admit(&mut self, sender: &mpsc::Sender<AgentMessage>, dispatch: Box<Dispatch>) {
         let (attempt, key) = (dispatch.attempt, dispatch.key);
-        let execution = Arc::new(self.execution(&dispatch));
+        let execution = Arc::new(self.new_execution(&dispatch));
         if self.records.insert(key, Arc::clone(&execution)).is_err() {
             return self.refuse(sender, attempt, Refusal::RecordsFull);
         }
@@ -108,7 +108,7 @@
         };
         let from_chunk = dispatch.resume_after_chunks;
         let (fingerprint, dispatch_alone) = (dispatch.fingerprint, dispatch.alone);
-        let about = subject(&dispatch);
+        let event_subject = subject(&dispatch);
         self.pending.insert(key, Pending { dispatch, execution: Arc::clone(&execution) });
         let alone = dispatch_alone || self.must_run_alone(fingerprint);
         let admitted = match alone {
@@ -129,16 +129,16 @@
                 self.accept(sender, attempt);
                 let queued = u32::from(self.load().waiting);
                 let event = Event::Admitted { attempt: attempt.number, queued };
-                self.recorder.record_about(&about, event);
+                self.recorder.record_about(&event_subject, event);
                 if let Some(shed) = shed {
-                    self.give_up(shed, Refusal::Full);
+                    self.refuse_pending(shed, Refusal::Full);
                 }
             }
         }
         self.attach(&execution, attempt, sender, from_chunk);
     }
 
-    pub(super) fn execution(&self, dispatch: &Dispatch) -> Execution {
+    pub(super) fn new_execution(&self, dispatch: &Dispatch) -> Execution {
         let spec = ExecutionSpec {
             fingerprint: dispatch.fingerprint,
             idempotent: dispatch.idempotent,
@@ -167,23 +167,23 @@
         self.running.insert(key, running);
         self.record_start(&dispatch);
         let (backend, commands) = (Arc::clone(&self.backend), self.commands.clone());
-        self.traffic.spawn(runner::run(backend, dispatch, execution, commands));
+        self.runtime.spawn(runner::run(backend, dispatch, execution, commands));
     }
 
     pub(super) fn on_ended(&mut self, key: ExecutionKey, end: RunEnd) {
         if matches!(end, RunEnd::Failed(Failure::BackendLost)) {
-            self.note_suspects();
+            self.record_suspects();
         }
         if matches!(end, RunEnd::NotStarted) {
             // Tombstones come first: no late copy may run after callers were told "not run".
-            self.bury_all(key);
+            self.add_tombstones(key);
             self.finish(key, Ending::NotRun(Refusal::BackendDown));
             self.records.remove_ticket(key);
         }
         let Some(running) = self.running.remove(&key) else { return };
         self.record_end(key, &running, end);
         if end == RunEnd::Complete {
-            self.clear(running.fingerprint);
+            self.clear_suspicion(running.fingerprint);
         }
         let mut next = self.admission.finish(running.since.elapsed());
         while let Some(key) = next {
@@ -192,7 +192,7 @@
         }
     }
 
-    pub(super) fn clear(&mut self, fingerprint: Fingerprint) {
+    pub(super) fn clear_suspicion(&mut self, fingerprint: Fingerprint) {
         let now = self.started.elapsed();
         if self.suspicion.verdict(fingerprint, now) == Verdict::Clear {
             return;
@@ -203,14 +203,14 @@
     }
 
     /// Ends a request that has not begun.
-    pub(super) fn give_up(&mut self, key: ExecutionKey, refusal: Refusal) {
-        self.bury_all(key);
+    pub(super) fn refuse_pending(&mut self, key: ExecutionKey, refusal: Refusal) {
+        self.add_tombstones(key);
         self.pending.remove(&key);
         self.finish(key, Ending::NotRun(refusal));
         self.records.remove_ticket(key);
     }
 
-    pub(super) fn bury_all(&mut self, key: ExecutionKey) {
+    pub(super) fn add_tombstones(&mut self, key: ExecutionKey) {
         let Some(Record::Execution(execution)) = self.records.get(key) else { return };
         for attempt in Arc::clone(execution).attempts() {
             // The key of an idempotent request is its attempt, which has the execution as its
--- a/crates/agent/src/execution.rs
+++ b/crates/agent/src/execution.rs
@@ -19,7 +19,7 @@
 const SEND_WINDOW_CHUNKS: u64 = 1024;
 
 /// Messages collected under one lock of the answer.
-const TURN_CHUNKS: usize = 64;
+const MAX_BATCH_MESSAGES: usize = 64;
 
 /// Memory that a chunk takes besides its bytes. Without it, an answer of many tiny chunks would be
 /// counted far too small.
@@ -76,29 +76,29 @@
 struct Answer {
     head: Option<(u16, String)>,
     chunks: VecDeque<Bytes>,
-    first: u64,
+    first_kept: u64,
     kept_bytes: usize,
     ending: Option<Ending>,
     listeners: Vec<Listener>,
-    generations: u64,
+    last_generation: u64,
     no_listeners_since: Option<Instant>,
     stored: StoredBytes,
 }
 
 impl Answer {
-    fn next(&self) -> u64 {
-        self.first + self.chunks.len() as u64
+    fn next_chunk(&self) -> u64 {
+        self.first_kept + self.chunks.len() as u64
     }
 
-    fn drop_front(&mut self) {
+    fn drop_first(&mut self) {
         if let Some(chunk) = self.chunks.pop_front() {
             self.kept_bytes -= chunk.len();
-            self.first += 1;
+            self.first_kept += 1;
             self.stored.remove(chunk.len() + CHUNK_OVERHEAD_BYTES);
         }
     }
 
-    fn keep(&mut self, chunk: Bytes) {
+    fn append(&mut self, chunk: Bytes) {
         self.kept_bytes += chunk.len();
         self.stored.add(chunk.len() + CHUNK_OVERHEAD_BYTES);
         // The chunk is a slice of the connection's buffer. Keeping it would keep that whole buffer
@@ -108,7 +108,7 @@
     }
 
     /// The first chunk that some listener has not acknowledged and may need again.
-    fn needed_from(&self) -> Option<u64> {
+    fn first_unacknowledged(&self) -> Option<u64> {
         self.listeners.iter().map(|listener| listener.next_unacknowledged).min()
     }
 }
@@ -125,7 +125,7 @@
     spec: ExecutionSpec,
     answer: Mutex<Answer>,
     changed: Notify,
-    room: Notify,
+    space: Notify,
     stop: CancellationToken,
 }
 
@@ -135,13 +135,13 @@
     pub fn new(spec: ExecutionSpec, stored: StoredBytes) -> Self {
         let mut answer = Answer::default();
         answer.no_listeners_since = Some(Instant::now());
-        answer.first = spec.first_chunk;
+        answer.first_kept = spec.first_chunk;
         answer.stored = stored;
         Self {
             spec,
             answer: Mutex::new(answer),
             changed: Notify::new(),
-            room: Notify::new(),
+            space: Notify::new(),
             stop: CancellationToken::new(),
         }
     }
@@ -191,23 +191,23 @@
         load: LoadCell,
     ) -> impl Future<Output = ()> + Send + use<> {
         let generation = self.add_listener(attempt, from_chunk);
-        let feeder = Feeder {
+        let sender_task = AnswerSender {
             execution: Arc::clone(self),
             attempt,
             generation,
-            next: from_chunk,
+            next_chunk: from_chunk,
             head_sent: false,
             ended: false,
             sender,
             load,
         };
-        feeder.run()
+        sender_task.run()
     }
 
     fn add_listener(&self, attempt: AttemptId, from_chunk: u64) -> u64 {
         let mut answer = self.lock();
-        answer.generations += 1;
-        let generation = answer.generations;
+        answer.last_generation += 1;
+        let generation = answer.last_generation;
         answer.listeners.retain(|listener| listener.attempt != attempt);
         answer.listeners.push(Listener { attempt, generation, next_unacknowledged: from_chunk });
         answer.no_listeners_since = None;
@@ -218,14 +218,14 @@
     pub fn detach(&self, attempt: AttemptId) -> bool {
         let mut answer = self.lock();
         answer.listeners.retain(|listener| listener.attempt != attempt);
-        let others = !answer.listeners.is_empty();
-        if !others && answer.no_listeners_since.is_none() {
+        let has_others = !answer.listeners.is_empty();
+        if !has_others && answer.no_listeners_since.is_none() {
             answer.no_listeners_since = Some(Instant::now());
         }
         drop(answer);
         self.changed.notify_waiters();
-        self.room.notify_one();
-        others
+        self.space.notify_one();
+        has_others
     }
 
     /// Detaches an attempt whose connection ended, unless it has attached again since.
@@ -250,19 +250,19 @@
             return;
         }
         while !answer.chunks.is_empty() {
-            answer.drop_front();
+            answer.drop_first();
         }
     }
 
     /// Records that an attempt has received all chunks below `next_chunk`.
     pub fn acknowledge(&self, attempt: AttemptId, next_chunk: u64) {
         let mut answer = self.lock();
-        for listener in answer.listeners.iter_mut().filter(|l| l.attempt == attempt) {
+        for listener in answer.listeners.iter_mut().filter(|listener| listener.attempt == attempt) {
             listener.next_unacknowledged = listener.next_unacknowledged.max(next_chunk);
         }
         drop(answer);
         self.changed.notify_waiters();
-        self.room.notify_one();
+        self.space.notify_one();
     }
 
     /// Sets status and media type of the answer.
@@ -282,7 +282,7 @@
                 return Ok(());
             }
             tokio::select! {
-                () = self.room.notified() => {}
+                () = self.space.notified() => {}
                 () = self.stop.cancelled() => return Err(Failure::Cancelled),
             }
         }
@@ -294,13 +294,13 @@
             if !self.spec.idempotent {
                 return Err(Failure::ReplayGone);
             }
-            if answer.needed_from().is_none_or(|needed| needed <= answer.first) {
+            if answer.first_unacknowledged().is_none_or(|needed| needed <= answer.first_kept) {
                 return Ok(false);
             }
-            answer.drop_front();
+            answer.drop_first();
         }
         if let Some(data) = data.take() {
-            answer.keep(data);
+            answer.append(data);
         }
         Ok(true)
     }
@@ -313,7 +313,7 @@
 
     /// Number of chunks so far, including those of an earlier agent process.
     pub fn chunk_count(&self) -> u64 {
-        self.lock().next()
+        self.lock().next_chunk()
     }
 
     /// Whether the backend server can be asked to resume the answer. Engines count events, so this
@@ -333,8 +333,8 @@
     /// `max_bytes`.
     pub fn complete_answer(&self, max_bytes: usize) -> Option<CompleteAnswer> {
         let answer = self.lock();
-        let is_whole = answer.ending == Some(Ending::Complete) && answer.first == 0;
-        if !is_whole || answer.kept_bytes > max_bytes {
+        let is_complete = answer.ending == Some(Ending::Complete) && answer.first_kept == 0;
+        if !is_complete || answer.kept_bytes > max_bytes {
             return None;
         }
         let (status, content_type) = answer.head.clone()?;
@@ -350,11 +350,11 @@
 }
 
 /// Task that sends the answer to one attempt.
-struct Feeder {
+struct AnswerSender {
     execution: Arc<Execution>,
     attempt: AttemptId,
     generation: u64,
-    next: u64,
+    next_chunk: u64,
     head_sent: bool,
     ended: bool,
     sender: mpsc::Sender<AgentMessage>,
@@ -363,35 +363,35 @@
 
 /// What the task does after it has sent the collected messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Turn {
+enum AfterSend {
     /// Wait for a change. Also after the end of the answer, so that a lost connection detaches the
     /// attempt.
     Wait,
     /// Collect again at once.
     Again,
     /// End, because the attempt was detached or moved to another connection.
-    Gone,
+    Stop,
 }
 
-impl Feeder {
+impl AnswerSender {
     async fn run(mut self) {
         let execution = Arc::clone(&self.execution);
-        let mut messages = Vec::with_capacity(TURN_CHUNKS + 2);
+        let mut messages = Vec::with_capacity(MAX_BATCH_MESSAGES + 2);
         loop {
             let changed = execution.changed.notified();
             tokio::pin!(changed);
             changed.as_mut().enable();
-            let turn = self.collect(&mut messages);
+            let after_send = self.collect(&mut messages);
             for message in messages.drain(..) {
                 if self.sender.send(message).await.is_err() {
                     execution.detach_generation(self.attempt, self.generation);
                     return;
                 }
             }
-            match turn {
-                Turn::Again => {}
-                Turn::Gone => return,
-                Turn::Wait => tokio::select! {
+            match after_send {
+                AfterSend::Again => {}
+                AfterSend::Stop => return,
+                AfterSend::Wait => tokio::select! {
                     () = changed => {}
                     () = self.sender.closed() => {
                         execution.detach_generation(self.attempt, self.generation);
@@ -403,47 +403,51 @@
     }
 
     /// Collects the messages that can be sent now.
-    fn collect(&mut self, messages: &mut Vec<AgentMessage>) -> Turn {
+    fn collect(&mut self, messages: &mut Vec<AgentMessage>) -> AfterSend {
         let answer = self.execution.lock();
-        let listener = answer
-            .listeners
-            .iter()
-            .find(|l| l.attempt == self.attempt && l.generation == self.generation);
-        let Some(listener) = listener else { return Turn::Gone };
+        let listener = answer.listeners.iter().find(|listener| {
+            listener.attempt == self.attempt && listener.generation == self.generation
+        });
+        let Some(listener) = listener else { return AfterSend::Stop };
         if self.ended {
-            return Turn::Wait;
+            return AfterSend::Wait;
         }
         let (attempt, occupancy) = (self.attempt, Occupancy::from(self.load.get()));
-        if self.next < answer.first {
+        if self.next_chunk < answer.first_kept {
             messages.push(AgentMessage::Failed {
                 attempt,
                 failure: Failure::ReplayGone,
                 occupancy,
             });
             self.ended = true;
-            return Turn::Wait;
+            return AfterSend::Wait;
         }
         if let (Some((status, content_type)), false) = (&answer.head, self.head_sent) {
             let (status, content_type) = (*status, content_type.clone());
             messages.push(AgentMessage::Head { attempt, status, content_type, occupancy });
             self.head_sent = true;
         }
-        let limit = answer.next().min(listener.next_unacknowledged + SEND_WINDOW_CHUNKS);
-        while self.next < limit {
-            if messages.len() >= TURN_CHUNKS {
-                return Turn::Again;
+        let limit = answer.next_chunk().min(listener.next_unacknowledged + SEND_WINDOW_CHUNKS);
+        while self.next_chunk < limit {
+            if messages.len() >= MAX_BATCH_MESSAGES {
+                return AfterSend::Again;
             }
-            let data = answer.chunks[(self.next - answer.first) as usize].clone();
-            messages.push(AgentMessage::Chunk { attempt, number: self.next, data, occupancy });
-            self.next += 1;
+            let data = answer.chunks[(self.next_chunk - answer.first_kept) as usize].clone();
+            messages.push(AgentMessage::Chunk {
+                attempt,
+                number: self.next_chunk,
+                data,
+                occupancy,
+            });
+            self.next_chunk += 1;
         }
-        let Some(ending) = answer.ending else { return Turn::Wait };
-        if matches!(ending, Ending::Complete) && self.next < answer.next() {
-            return Turn::Wait;
+        let Some(ending) = answer.ending else { return AfterSend::Wait };
+        if matches!(ending, Ending::Complete) && self.next_chunk < answer.next_chunk() {
+            return AfterSend::Wait;
         }
         messages.push(match ending {
             Ending::Complete => {
-                AgentMessage::End { attempt, chunk_count: answer.next(), occupancy }
+                AgentMessage::End { attempt, chunk_count: answer.next_chunk(), occupancy }
             }
             Ending::Failed(failure) => AgentMessage::Failed { attempt, failure, occupancy },
             Ending::NotRun(refusal) => {
@@ -451,6 +455,6 @@
             }
         });
         self.ended = true;
-        Turn::Wait
+        AfterSend::Wait
     }
 }
--- a/crates/agent/src/records.rs
+++ b/crates/agent/src/records.rs
@@ -32,13 +32,13 @@
 
 /// Records of one kind, with their keys by window.
 #[derive(Debug, Default)]
-struct Shelf {
+struct RecordTable {
     records: HashMap<ExecutionKey, Record>,
     windows: BTreeMap<Window, Vec<ExecutionKey>>,
     oldest: Window,
 }
 
-impl Shelf {
+impl RecordTable {
     fn insert(&mut self, window: Window, key: ExecutionKey, record: Record) {
         if self.records.insert(key, record).is_none() {
             self.windows.entry(window).or_default().push(key);
@@ -46,11 +46,11 @@
     }
 
     /// Drops all windows before `oldest`. Requests in progress move to the window `now`.
-    fn close_before(&mut self, oldest: Window, now: Window) {
+    fn drop_before(&mut self, oldest: Window, now: Window) {
         self.oldest = self.oldest.max(oldest);
         let kept = self.windows.split_off(&self.oldest);
-        let closed = std::mem::replace(&mut self.windows, kept);
-        for key in closed.into_values().flatten() {
+        let dropped = std::mem::replace(&mut self.windows, kept);
+        for key in dropped.into_values().flatten() {
             let running =
                 matches!(self.records.get(&key), Some(Record::Execution(e)) if !e.is_over());
             if running {
@@ -73,10 +73,10 @@
     max_tickets: usize,
     max_bytes: usize,
     max_attempt_bytes: usize,
-    stored: StoredBytes,
-    stored_of_attempts: StoredBytes,
-    attempts: Shelf,
-    tickets: Shelf,
+    ticket_bytes: StoredBytes,
+    attempt_bytes: StoredBytes,
+    attempts: RecordTable,
+    tickets: RecordTable,
 }
 
 impl Records {
@@ -91,10 +91,10 @@
             max_tickets: config.max_ticket_records,
             max_bytes: config.max_record_bytes,
             max_attempt_bytes: config.max_attempt_bytes,
-            stored: StoredBytes::default(),
-            stored_of_attempts: StoredBytes::default(),
-            attempts: Shelf::default(),
-            tickets: Shelf::default(),
+            ticket_bytes: StoredBytes::default(),
+            attempt_bytes: StoredBytes::default(),
+            attempts: RecordTable::default(),
+            tickets: RecordTable::default(),
         }
     }
 
@@ -107,13 +107,13 @@
     /// Drops windows that are older than the configured number of windows.
     pub fn expire(&mut self) {
         let now = self.window();
-        self.attempts.close_before(Window(now.0.saturating_sub(self.attempt_windows)), now);
-        self.tickets.close_before(Window(now.0.saturating_sub(self.ticket_windows)), now);
+        self.attempts.drop_before(Window(now.0.saturating_sub(self.attempt_windows)), now);
+        self.tickets.drop_before(Window(now.0.saturating_sub(self.ticket_windows)), now);
     }
 
     /// The record of a key, if there is one.
     pub fn get(&self, key: ExecutionKey) -> Option<&Record> {
-        self.shelf(key).records.get(&key)
+        self.table(key).records.get(&key)
     }
 
     /// Whether this attempt has a tombstone.
@@ -128,7 +128,7 @@
             ExecutionKey::Attempt(_) => window,
             ExecutionKey::Ticket { window, .. } => window,
         };
-        window < self.shelf(key).oldest || window > self.window()
+        window < self.table(key).oldest || window > self.window()
     }
 
     /// Records an execution.
@@ -143,21 +143,21 @@
         execution: Arc<Execution>,
     ) -> Result<(), RecordsFull> {
         match key {
-            ExecutionKey::Attempt(_) if self.stored_of_attempts.get() >= self.max_attempt_bytes => {
+            ExecutionKey::Attempt(_) if self.attempt_bytes.get() >= self.max_attempt_bytes => {
                 return Err(RecordsFull);
             }
-            ExecutionKey::Attempt(_) => self.make_room(),
+            ExecutionKey::Attempt(_) => self.evict_attempts(),
             ExecutionKey::Ticket { .. } if !self.has_room() => return Err(RecordsFull),
             ExecutionKey::Ticket { .. } => {}
         }
-        let window = self.filing_window(key);
-        self.shelf_mut(key).insert(window, key, Record::Execution(execution));
+        let window = self.record_window(key);
+        self.table_mut(key).insert(window, key, Record::Execution(execution));
         Ok(())
     }
 
     /// Records a tombstone, so that an attempt can't run from now on.
     pub fn add_attempt_tombstone(&mut self, attempt: AttemptId) {
-        self.make_room();
+        self.evict_attempts();
         let key = ExecutionKey::Attempt(attempt);
         let window = self.window();
         self.attempts.insert(window, key, Record::Tombstone);
@@ -169,11 +169,11 @@
             self.add_attempt_tombstone(attempt);
             return Ok(());
         }
-        let known = self.tickets.records.contains_key(&key);
-        if !known && self.tickets.records.len() >= self.max_tombstones() {
+        let exists = self.tickets.records.contains_key(&key);
+        if !exists && self.tickets.records.len() >= self.max_tombstones() {
             return Err(RecordsFull);
         }
-        let window = self.filing_window(key);
+        let window = self.record_window(key);
         self.tickets.insert(window, key, Record::Tombstone);
         Ok(())
     }
@@ -193,8 +193,8 @@
     /// The counter of answer bytes for keys of this kind.
     pub fn stored_bytes(&self, key: ExecutionKey) -> &StoredBytes {
         match key {
-            ExecutionKey::Attempt(_) => &self.stored_of_attempts,
-            ExecutionKey::Ticket { .. } => &self.stored,
+            ExecutionKey::Attempt(_) => &self.attempt_bytes,
+            ExecutionKey::Ticket { .. } => &self.ticket_bytes,
         }
     }
 
@@ -227,14 +227,14 @@
     /// Whether another ticket may be recorded. Running requests may exceed the bound by their
     /// answers, each of which is bounded.
     fn has_room(&self) -> bool {
-        self.tickets.records.len() < self.max_tickets && self.stored.get() < self.max_bytes
+        self.tickets.records.len() < self.max_tickets && self.ticket_bytes.get() < self.max_bytes
     }
 
-    fn make_room(&mut self) {
+    fn evict_attempts(&mut self) {
         let now = self.window();
         while self.attempts.records.len() >= self.max_attempts {
             let Some(first) = self.attempts.windows.keys().next().copied() else { return };
-            self.attempts.close_before(Window(first.0 + 1), now);
+            self.attempts.drop_before(Window(first.0 + 1), now);
             // The present window is closed now too, so all dispatches are refused until the next
             // one begins. Running requests keep their records, so the loop would not end.
             if first >= now {
@@ -245,21 +245,21 @@
 
     /// A ticket is recorded under its own window, so that it is dropped exactly when resends of it
     /// begin to be refused.
-    fn filing_window(&self, key: ExecutionKey) -> Window {
+    fn record_window(&self, key: ExecutionKey) -> Window {
         match key {
             ExecutionKey::Attempt(_) => self.window(),
             ExecutionKey::Ticket { window, .. } => window,
         }
     }
 
-    fn shelf(&self, key: ExecutionKey) -> &Shelf {
+    fn table(&self, key: ExecutionKey) -> &RecordTable {
         match key {
             ExecutionKey::Attempt(_) => &self.attempts,
             ExecutionKey::Ticket { .. } => &self.tickets,
         }
     }
 
-    fn shelf_mut(&mut self, key: ExecutionKey) -> &mut Shelf {
+    fn table_mut(&mut self, key: ExecutionKey) -> &mut RecordTable {
         match key {
             ExecutionKey::Attempt(_) => &mut self.attempts,
             ExecutionKey::Ticket { .. } => &mut self.tickets,
--- a/crates/agent/src/runner.rs
+++ b/crates/agent/src/runner.rs
@@ -16,7 +16,7 @@
 const MAX_RESUMES: usize = 2;
 
 /// Timeout for the backend server to accept a call that resumes a stream.
-const RESUME_LIMIT: Duration = Duration::from_secs(3);
+const RESUME_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -41,7 +41,7 @@
     let id = call_id(&dispatch);
     let stop = execution.stop_token().clone();
     let end = tokio::select! {
-        end = carry(backend.as_ref(), &id, &dispatch, &execution) => end,
+        end = call_with_resume(backend.as_ref(), &id, &dispatch, &execution) => end,
         () = stop.cancelled() => {
             let _ = backend.cancel(&id).await;
             RunEnd::Failed(Failure::Cancelled)
@@ -60,7 +60,7 @@
 ///
 /// A stream whose connection breaks is not resumed: the backend server may have crashed because of
 /// this request, and sending it again at once could crash the next process too.
-async fn carry(
+async fn call_with_resume(
     backend: &dyn BackendServer,
     id: &str,
     dispatch: &Dispatch,
@@ -70,7 +70,7 @@
         return RunEnd::Failed(Failure::Malformed);
     };
     let mut end = match backend.call(call.clone()).await {
-        Ok(answer) => pour(answer, execution).await,
+        Ok(answer) => copy_answer(answer, execution).await,
         Err(error) if error.proves_not_started() => return RunEnd::NotStarted,
         Err(error) => RunEnd::Failed(failure(&error)),
     };
@@ -78,10 +78,11 @@
         if end != RunEnd::Failed(Failure::BackendSilent) || !execution.may_resume() {
             break;
         }
-        let rest = BackendCall { resume_after_events: execution.chunk_count(), ..call.clone() };
+        let resume_call =
+            BackendCall { resume_after_events: execution.chunk_count(), ..call.clone() };
         // A backend server that is frozen answers no call; the request must fail nonetheless.
-        end = match timeout(RESUME_LIMIT, backend.call(rest)).await {
-            Ok(Ok(answer)) => pour(answer, execution).await,
+        end = match timeout(RESUME_TIMEOUT, backend.call(resume_call)).await {
+            Ok(Ok(answer)) => copy_answer(answer, execution).await,
             Ok(Err(_)) | Err(_) => break,
         };
     }
@@ -101,7 +102,7 @@
     })
 }
 
-async fn pour(mut answer: BackendAnswer, execution: &Execution) -> RunEnd {
+async fn copy_answer(mut answer: BackendAnswer, execution: &Execution) -> RunEnd {
     execution.set_head(answer.status, answer.content_type);
     loop {
         match answer.body.recv().await {
--- a/crates/group/src/align.rs
+++ b/crates/group/src/align.rs
@@ -51,11 +51,11 @@
         Err(error) => return (stored, Err(error)),
     };
     let version = stored.record.in_force.version;
-    let trouble = trouble(&states);
-    let states: Vec<(usize, RankState)> = known(states);
-    if !trouble.is_empty() {
+    let unverified = unverified(&states);
+    let states: Vec<(usize, RankState)> = reachable(states);
+    if !unverified.is_empty() {
         // A rank that lost its map must not step when the unreachable rank comes back.
-        let result = stop_others(session, &stored, &states).await;
+        let result = hold_unaligned(session, &stored, &states).await;
         let behind = serve::behind(&states, &stored.record);
         let held = any_held(&states) || !all_use(&states, version);
         // No change is in progress and the group steps: one missing agent must not keep the other
@@ -63,10 +63,10 @@
         if stored.record.phase == Phase::Settled && !held && behind.is_empty() {
             serve::reopen(session, &stored, &states).await;
         }
-        return (stored, result.map(|()| Alignment::Waiting { ranks: trouble, held, behind }));
+        return (stored, result.map(|()| Alignment::Waiting { ranks: unverified, held, behind }));
     }
     let behind = serve::behind(&states, &stored.record);
-    let states = match serve::bring(session, &stored, states).await {
+    let states = match serve::advance(session, &stored, states).await {
         Ok(Progress::Served(states)) => states,
         Ok(Progress::Draining(ranks)) => {
             return (stored, Ok(Alignment::Draining { ranks, behind }));
@@ -74,9 +74,9 @@
         Err(error) => return (stored, Err(error)),
     };
     let done = match (all_use(&states, version), any_held(&states)) {
-        (true, false) => settle(session, &stored).await.map_err(|error| fail(error, &stored)),
+        (true, false) => settle(session, &stored).await.map_err(|error| failure(error, &stored)),
         (true, true) => Switch::verified(session, stored.clone()).resume().await,
-        (false, _) => bring(session, stored.clone()).await,
+        (false, _) => restore(session, stored.clone()).await,
     };
     match done {
         Ok(stored) => {
@@ -87,7 +87,7 @@
     }
 }
 
-fn fail(error: GroupError, stored: &StoredRecord) -> Box<Failure> {
+fn failure(error: GroupError, stored: &StoredRecord) -> Box<Failure> {
     Box::new(Failure { error, stored: stored.clone() })
 }
 
@@ -101,10 +101,10 @@
     if !matches!(stored.record.phase, Phase::Pending { .. }) {
         return Ok(stored);
     }
-    settle(session, &stored).await.map_err(|error| fail(error, &stored))
+    settle(session, &stored).await.map_err(|error| failure(error, &stored))
 }
 
-async fn bring<Members>(
+async fn restore<Members>(
     session: &Session<'_, Members>,
     stored: StoredRecord,
 ) -> Result<StoredRecord, Box<Failure>>
@@ -115,7 +115,7 @@
     held.switch().await?.read_back().await?.resume().await
 }
 
-async fn stop_others<Members>(
+async fn hold_unaligned<Members>(
     session: &Session<'_, Members>,
     stored: &StoredRecord,
     states: &[(usize, RankState)],
@@ -124,15 +124,15 @@
     Members: Ranks,
 {
     let version = stored.record.in_force.version;
-    let astray = states.iter().filter(|(_, state)| !state.uses(version) && !state.is_stopped());
+    let unaligned = states.iter().filter(|(_, state)| !state.uses(version) && !state.is_stopped());
     let order = |(rank, state): &(usize, RankState)| {
         RankOrder::new(*rank, OrderTarget::Hold { after_step: state.engine.step })
     };
-    let orders = astray.map(order).collect();
+    let orders = unaligned.map(order).collect();
     session.send_orders(stored.fence(), orders, session.timing.call_timeout).await
 }
 
-fn trouble(states: &[RankResult]) -> Vec<(usize, RankError)> {
+fn unverified(states: &[RankResult]) -> Vec<(usize, RankError)> {
     let reason = |(rank, state): (usize, &RankResult)| match state {
         Err(error) => Some((rank, error.clone())),
         Ok(state) if state.unresolved => Some((rank, RankError::Unresolved)),
@@ -141,9 +141,9 @@
     states.iter().enumerate().filter_map(reason).collect()
 }
 
-fn known(states: Vec<RankResult>) -> Vec<(usize, RankState)> {
-    let known = states.into_iter().enumerate();
-    known.filter_map(|(rank, state)| Some((rank, state.ok()?))).collect()
+fn reachable(states: Vec<RankResult>) -> Vec<(usize, RankState)> {
+    let numbered = states.into_iter().enumerate();
+    numbered.filter_map(|(rank, state)| Some((rank, state.ok()?))).collect()
 }
 
 fn all_use(states: &[(usize, RankState)], version: u64) -> bool {
--- a/crates/group/src/budget/keeper.rs
+++ b/crates/group/src/budget/keeper.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
-use tokio::sync::Mutex as Turn;
+use tokio::sync::Mutex as AsyncMutex;
 use tokio::time::{Instant, sleep};
 use tokio_util::sync::CancellationToken;
 
@@ -17,10 +17,10 @@
 const MEMBERS_PREFIX: &str = "budget/members/";
 
 /// Time between two reads of the allocation; two may fail before the share expires.
-const REFRESH: Duration = Duration::from_secs(20);
+const REFRESH_INTERVAL: Duration = Duration::from_secs(20);
 
 /// Longest time that a waiting load sleeps before it checks the rate again.
-const LOOK: Duration = Duration::from_secs(1);
+const RATE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Limits of the weight store from the operator's settings.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -36,7 +36,7 @@
     pacer: Pacer,
     lease: Option<LeaseId>,
     /// Latest revision of the allocation, and when this process first read it.
-    seen: Option<(u64, Instant)>,
+    first_seen: Option<(u64, Instant)>,
 }
 
 /// Limits one member's reads from the weight store to its share of the rate.
@@ -46,9 +46,9 @@
     limits: StoreLimits,
     state: Mutex<State>,
     /// Held by the one task that keeps the share confirmed.
-    running: Turn<()>,
+    refreshing: AsyncMutex<()>,
     /// Held by the load that is served next.
-    next: Turn<()>,
+    next: AsyncMutex<()>,
 }
 
 impl Budget {
@@ -58,9 +58,9 @@
         let minimum_bytes_per_s = allocation(limits, BTreeSet::new()).minimum_bytes_per_s();
         let share = Share::new(member, minimum_bytes_per_s);
         let pacer = Pacer::new(Instant::now());
-        let state = State { share, pacer, lease: None, seen: None };
-        let (running, next) = (Turn::default(), Turn::default());
-        Self { kv, member: member.to_owned(), limits, state: Mutex::new(state), running, next }
+        let state = State { share, pacer, lease: None, first_seen: None };
+        let (refreshing, next) = (AsyncMutex::default(), AsyncMutex::default());
+        Self { kv, member: member.to_owned(), limits, state: Mutex::new(state), refreshing, next }
     }
 
     /// Waits until all earlier reads are paid off at this member's rate, then admits one of this
@@ -77,7 +77,7 @@
             if wait.is_zero() {
                 return;
             }
-            sleep(wait.min(LOOK)).await;
+            sleep(wait.min(RATE_CHECK_INTERVAL)).await;
         }
     }
 
@@ -100,7 +100,7 @@
     pub async fn run(&self, stop: CancellationToken) {
         let _only = tokio::select! {
             () = stop.cancelled() => return,
-            only = self.running.lock() => only,
+            only = self.refreshing.lock() => only,
         };
         while !stop.is_cancelled() {
             if let Err(error) = self.refresh().await {
@@ -108,45 +108,45 @@
             }
             tokio::select! {
                 () = stop.cancelled() => {}
-                () = sleep(REFRESH) => {}
+                () = sleep(REFRESH_INTERVAL) => {}
             }
         }
     }
 
     async fn refresh(&self) -> Result<(), KeyValueError> {
-        self.be_listed().await?;
+        self.keep_listed().await?;
         let read_at = Instant::now();
         let snapshot = self.kv.range(PREFIX).await?;
         let now = Instant::now();
         let stored = snapshot.entries.iter().find(|entry| entry.key == ALLOCATION_KEY);
         let known = stored.and_then(|entry| decode(entry).map(|found| (found, entry)));
         let names = snapshot.entries.iter().filter_map(|e| e.key.strip_prefix(MEMBERS_PREFIX));
-        let wanted = allocation(self.limits, names.map(str::to_owned).collect());
+        let desired = allocation(self.limits, names.map(str::to_owned).collect());
         let Some((found, entry)) = known else {
             let compare = Compare::Absent { key: ALLOCATION_KEY.to_owned() };
-            return self.write(compare, &wanted).await;
+            return self.write(compare, &desired).await;
         };
         let revision = entry.mod_revision;
         let first_seen = self.read(&found, revision.0, read_at, now);
-        if found == wanted || !Allocation::may_be_replaced(first_seen, now) {
+        if found == desired || !Allocation::may_be_replaced(first_seen, now) {
             return Ok(());
         }
         let compare = Compare::ModRevision { key: ALLOCATION_KEY.to_owned(), revision };
-        self.write(compare, &wanted).await
+        self.write(compare, &desired).await
     }
 
     fn read(&self, found: &Allocation, revision: u64, read_at: Instant, now: Instant) -> Instant {
         let mut state = self.state();
         state.share.apply(found, revision, read_at, now);
-        let seen = state.seen.filter(|(known, _)| *known == revision);
-        let seen = seen.unwrap_or((revision, now));
-        state.seen = Some(seen);
-        seen.1
+        let first_seen = state.first_seen.filter(|(known, _)| *known == revision);
+        let first_seen = first_seen.unwrap_or((revision, now));
+        state.first_seen = Some(first_seen);
+        first_seen.1
     }
 
     /// Keeps this member's key alive through a lease, so that a member that ends drops out of the
     /// next allocation.
-    async fn be_listed(&self) -> Result<(), KeyValueError> {
+    async fn keep_listed(&self) -> Result<(), KeyValueError> {
         let known = self.state().lease;
         if let Some(lease) = known {
             match self.kv.keep_alive(lease).await {
@@ -163,8 +163,8 @@
     }
 
     /// A lost answer needs no handling: the next read shows whether the write took effect.
-    async fn write(&self, compare: Compare, wanted: &Allocation) -> Result<(), KeyValueError> {
-        let encoded = serde_json::to_vec(wanted);
+    async fn write(&self, compare: Compare, desired: &Allocation) -> Result<(), KeyValueError> {
+        let encoded = serde_json::to_vec(desired);
         let value = encoded.map_err(|_| KeyValueError::Malformed { what: "allocation" })?;
         let key = ALLOCATION_KEY.to_owned();
         let put = Operation::Put { key, value: Bytes::from(value), lease: None };
--- a/crates/group/src/budget/mod.rs
+++ b/crates/group/src/budget/mod.rs
@@ -20,7 +20,7 @@
 pub const SHARE_TTL: Duration = Duration::from_secs(60);
 
 /// Fraction of the rate that is reserved for the minimum of all processes.
-const RESERVED_PART: f64 = 0.1;
+const RESERVED_FRACTION: f64 = 0.1;
 
 /// The record that allocates the weight store's rate.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -39,7 +39,7 @@
     /// The rate allocated to each listed member.
     pub fn share_bytes_per_s(&self) -> f64 {
         let listed = self.members.len().max(1) as f64;
-        self.rate_bytes_per_s * (1.0 - RESERVED_PART) / listed
+        self.rate_bytes_per_s * (1.0 - RESERVED_FRACTION) / listed
     }
 
     /// The rate that any process may use at any time, listed or not.
@@ -52,7 +52,7 @@
     /// assert_eq!(allocation.minimum_bytes_per_s(), 10.0);
     /// ```
     pub fn minimum_bytes_per_s(&self) -> f64 {
-        self.rate_bytes_per_s * RESERVED_PART / self.max_members.max(1) as f64
+        self.rate_bytes_per_s * RESERVED_FRACTION / self.max_members.max(1) as f64
     }
 
     /// Whether a process that first saw this allocation at `first_seen` may replace it.
@@ -115,13 +115,13 @@
         now: Instant,
     ) {
         let minimum_bytes_per_s = self.minimum_bytes_per_s;
-        if let Some(known) = &mut self.confirmed {
-            if revision < known.revision {
+        if let Some(confirmed) = &mut self.confirmed {
+            if revision < confirmed.revision {
                 return;
             }
-            let lapsed = read_at.duration_since(known.read_at) >= SHARE_TTL;
-            if revision == known.revision && !lapsed {
-                known.read_at = read_at;
+            let has_expired = read_at.duration_since(confirmed.read_at) >= SHARE_TTL;
+            if revision == confirmed.revision && !has_expired {
+                confirmed.read_at = read_at;
                 return;
             }
         }
@@ -143,20 +143,21 @@
     pub fn rate_bytes_per_s(&self, now: Instant) -> f64 {
         let minimum_bytes_per_s = self.minimum_bytes_per_s;
         let confirmed = self.confirmed.as_ref();
-        confirmed
-            .map_or(minimum_bytes_per_s, |known| known.rate_bytes_per_s(now, minimum_bytes_per_s))
+        confirmed.map_or(minimum_bytes_per_s, |confirmed| {
+            confirmed.rate_bytes_per_s(now, minimum_bytes_per_s)
+        })
     }
 }
 
 /// Shorter waits are rounding errors and count as none.
-const ROUNDING: Duration = Duration::from_micros(1);
+const MIN_WAIT: Duration = Duration::from_micros(1);
 
 /// Rate limiter of one member's reads.
 #[derive(Clone, Copy, Debug)]
 pub struct Pacer {
     /// Bytes of admitted reads that are not yet paid off at the rate.
-    owed_bytes: f64,
-    counted_at: Instant,
+    unpaid_bytes: f64,
+    updated_at: Instant,
     /// The rate at the last call.
     rate_bytes_per_s: f64,
 }
@@ -164,7 +165,7 @@
 impl Pacer {
     /// A rate limiter with no reads outstanding.
     pub fn new(now: Instant) -> Self {
-        Self { owed_bytes: 0.0, counted_at: now, rate_bytes_per_s: 0.0 }
+        Self { unpaid_bytes: 0.0, updated_at: now, rate_bytes_per_s: 0.0 }
     }
 
     /// Admits a read and returns zero if all earlier reads are paid off; else returns how long that
@@ -172,16 +173,16 @@
     /// counts, as it is not known when the rate changed.
     pub fn try_acquire(&mut self, bytes: u64, rate_bytes_per_s: f64, now: Instant) -> Duration {
         let rate_bytes_per_s = rate_bytes_per_s.max(1.0);
-        let since = now.duration_since(self.counted_at).as_secs_f64();
-        let held_bytes_per_s = rate_bytes_per_s.min(self.rate_bytes_per_s);
-        self.owed_bytes = (self.owed_bytes - since * held_bytes_per_s).max(0.0);
-        (self.counted_at, self.rate_bytes_per_s) = (now, rate_bytes_per_s);
+        let elapsed_s = now.duration_since(self.updated_at).as_secs_f64();
+        let lower_bytes_per_s = rate_bytes_per_s.min(self.rate_bytes_per_s);
+        self.unpaid_bytes = (self.unpaid_bytes - elapsed_s * lower_bytes_per_s).max(0.0);
+        (self.updated_at, self.rate_bytes_per_s) = (now, rate_bytes_per_s);
         // Durations are rounded to nanoseconds, so a tiny rest may remain.
-        let wait = Duration::from_secs_f64(self.owed_bytes / rate_bytes_per_s);
-        if wait > ROUNDING {
+        let wait = Duration::from_secs_f64(self.unpaid_bytes / rate_bytes_per_s);
+        if wait > MIN_WAIT {
             return wait;
         }
-        self.owed_bytes += bytes as f64;
+        self.unpaid_bytes += bytes as f64;
         Duration::ZERO
     }
 }
--- a/crates/group/src/coordinator.rs
+++ b/crates/group/src/coordinator.rs
@@ -6,7 +6,7 @@
 use crate::message::RankError;
 use crate::ranks::Ranks;
 use crate::record::{GroupRecord, RecordError, RecordStore, StoredRecord};
-use crate::retry::{Pauses, Retries};
+use crate::retry::{Backoff, SwitchRetries};
 use crate::rollout::Rollout;
 use crate::serve::DesiredServing;
 use crate::session::{GroupError, LoadLimiter, Session, Timing};
@@ -31,13 +31,13 @@
     desired: watch::Receiver<Option<ExpertMap>>,
     status: watch::Sender<GroupStatus>,
     record: watch::Sender<Option<StoredRecord>>,
-    loads: Option<LoadLimiter>,
-    trouble_since: BTreeMap<usize, Instant>,
+    load_limiter: Option<LoadLimiter>,
+    unverified_since: BTreeMap<usize, Instant>,
     /// Ranks that did not serve what the record says at the last poll.
     behind: Vec<usize>,
-    retries: Retries,
+    switch_retries: SwitchRetries,
     /// Backoff of loads of a version that an engine could not load.
-    load_pauses: Pauses,
+    load_backoff: Backoff,
     rollout: Option<Rollout>,
 }
 
@@ -62,18 +62,18 @@
             desired,
             status: watch::Sender::default(),
             record: watch::Sender::default(),
-            loads: None,
-            trouble_since: BTreeMap::new(),
+            load_limiter: None,
+            unverified_since: BTreeMap::new(),
             behind: Vec::new(),
-            retries: Retries::default(),
-            load_pauses: Pauses::default(),
+            switch_retries: SwitchRetries::default(),
+            load_backoff: Backoff::default(),
             rollout: None,
         }
     }
 
     /// Limits loads of weights to this process's share of the weight store's rate.
-    pub fn with_load_limiter(self, loads: Option<LoadLimiter>) -> Self {
-        Self { loads, ..self }
+    pub fn with_load_limiter(self, load_limiter: Option<LoadLimiter>) -> Self {
+        Self { load_limiter, ..self }
     }
 
     /// Keeps the group at the model version and adapters in `desired`.
@@ -81,9 +81,9 @@
         self,
         kv: Arc<dyn KeyValue>,
         model: &str,
-        wanted: watch::Receiver<Option<DesiredServing>>,
+        desired: watch::Receiver<Option<DesiredServing>>,
     ) -> Self {
-        let rollout = Rollout::new(kv, model, &self.group, wanted);
+        let rollout = Rollout::new(kv, model, &self.group, desired);
         Self { rollout: Some(rollout), ..self }
     }
 
@@ -120,33 +120,33 @@
     }
 
     async fn coordinate(&mut self, lease: &Lease, stop: &CancellationToken) {
-        let loads = self.loads.clone();
+        let load_limiter = self.load_limiter.clone();
         // Only the acting coordinator needs a share; it expires when this process stops acting.
-        let confirm = async {
-            match &loads {
-                Some(loads) => loads.budget.run(stop.clone()).await,
+        let keep_share = async {
+            match &load_limiter {
+                Some(load_limiter) => load_limiter.budget.run(stop.clone()).await,
                 None => std::future::pending().await,
             }
         };
         tokio::select! {
             biased;
             () = stop.cancelled() => {}
-            () = confirm => {}
+            () = keep_share => {}
             () = lease.keep_alive() => tracing::warn!(group = self.group, "lease to coordinate lost"),
-            error = self.work(lease) => tracing::warn!(group = self.group, %error, "coordination ended"),
+            error = self.poll_until_error(lease) => tracing::warn!(group = self.group, %error, "coordination ended"),
         }
     }
 
-    async fn work(&mut self, lease: &Lease) -> GroupError {
+    async fn poll_until_error(&mut self, lease: &Lease) -> GroupError {
         let mut stored = None;
         loop {
             let result = match stored.take() {
-                Some(known) => self.look(lease, known).await,
+                Some(record) => self.poll(lease, record).await,
                 None => self.claim().await,
             };
             stored = match result {
-                Ok(known) => Some(known),
-                Err(error) if self.is_over(lease, &error) => return error,
+                Ok(record) => Some(record),
+                Err(error) if self.must_stop(lease, &error) => return error,
                 // The record may have changed: read and claim it again before anything else.
                 Err(_) => None,
             };
@@ -154,14 +154,14 @@
         }
     }
 
-    fn is_over(&self, lease: &Lease, error: &GroupError) -> bool {
-        let deposed = matches!(
+    fn must_stop(&self, lease: &Lease, error: &GroupError) -> bool {
+        let superseded = matches!(
             error,
             GroupError::Superseded
                 | GroupError::LeaseExpired
                 | GroupError::Record(RecordError::Conflict)
         );
-        deposed || !lease.may_align()
+        superseded || !lease.may_align()
     }
 
     /// Rewrites the record unchanged, so that its revision is above all fencing numbers that
@@ -169,14 +169,14 @@
     async fn claim(&mut self) -> Result<StoredRecord, GroupError> {
         let stored = match self.records.read().await {
             Ok(stored) => stored,
-            Err(RecordError::Missing) => return self.found().await,
+            Err(RecordError::Missing) => return self.create_record().await,
             Err(error) => return Err(error.into()),
         };
         let record = stored.record.clone();
         Ok(self.records.replace(&stored, record).await?)
     }
 
-    async fn found(&mut self) -> Result<StoredRecord, GroupError> {
+    async fn create_record(&mut self) -> Result<StoredRecord, GroupError> {
         let Some(map) = self.desired.borrow().clone() else {
             return Err(RecordError::Missing.into());
         };
@@ -190,7 +190,7 @@
 
     /// Polls and aligns the group, then starts a rollout or a map switch if one is due and the
     /// group runs.
-    async fn look(
+    async fn poll(
         &mut self,
         lease: &Lease,
         stored: StoredRecord,
@@ -204,8 +204,8 @@
             records: &self.records,
             lease,
             timing: &timing,
-            load_limiter: self.loads.as_ref(),
-            may_load: self.load_pauses.are_over(Instant::now()),
+            load_limiter: self.load_limiter.as_ref(),
+            may_load: self.load_backoff.is_ready(Instant::now()),
         };
         let revision = stored.revision;
         let stored = match &mut self.rollout {
@@ -213,14 +213,14 @@
             None => stored,
         };
         if stored.revision != revision {
-            self.load_pauses = Pauses::default();
+            self.load_backoff = Backoff::default();
             session.may_load = true;
         }
         let (stored, result) = align(&session, stored).await;
         match &result {
-            Ok(_) => self.load_pauses = Pauses::default(),
+            Ok(_) => self.load_backoff = Backoff::default(),
             Err(GroupError::Rank { error: RankError::NotPossible { .. }, .. }) => {
-                self.load_pauses.failed(Instant::now());
+                self.load_backoff.record_failure(Instant::now());
             }
             Err(_) => {}
         }
@@ -231,41 +231,41 @@
             return Ok(stored);
         }
         if let Some(map) = &*self.desired.borrow_and_update() {
-            self.retries.want(map);
+            self.switch_retries.set_desired(map);
         }
         let in_force = &stored.record.in_force.map;
-        let wanted = self.retries.due(in_force, Instant::now()).filter(|_| running).cloned();
-        let (Some(map), true) = (wanted, lease.may_change()) else {
+        let due = self.switch_retries.due(in_force, Instant::now()).filter(|_| running).cloned();
+        let (Some(map), true) = (due, lease.may_change()) else {
             self.report(&stored, &result);
-            return keep(stored, result.map(drop));
+            return keep_record(stored, result.map(drop));
         };
         self.report_activity(&stored, Activity::Staging, Vec::new());
-        match change(&session, stored, map).await {
+        match switch_map(&session, stored, map).await {
             Ok(stored) => {
                 self.report(&stored, &Ok(Alignment::Running));
                 Ok(stored)
             }
             Err(failure) => {
-                self.retries.failed(Instant::now());
+                self.switch_retries.record_failure(Instant::now());
                 let result = Err(failure.error);
                 self.report(&failure.stored, &result);
-                keep(failure.stored, result.map(drop))
+                keep_record(failure.stored, result.map(drop))
             }
         }
     }
 
     fn report(&mut self, stored: &StoredRecord, result: &Result<Alignment, GroupError>) {
-        let trouble: Vec<(usize, RankError)> = match result {
+        let unverified: Vec<(usize, RankError)> = match result {
             Ok(Alignment::Running | Alignment::Draining { .. }) => Vec::new(),
             Ok(Alignment::Waiting { ranks, .. }) => ranks.clone(),
             Err(GroupError::Rank { rank, error }) => vec![(*rank, error.clone())],
             Err(_) => Vec::new(),
         };
         let now = Instant::now();
-        self.trouble_since.retain(|rank, _| trouble.iter().any(|(other, _)| other == rank));
+        self.unverified_since.retain(|rank, _| unverified.iter().any(|(other, _)| other == rank));
         let mut out_of_service = Vec::new();
-        for (rank, reason) in trouble {
-            let since = *self.trouble_since.entry(rank).or_insert(now);
+        for (rank, reason) in unverified {
+            let since = *self.unverified_since.entry(rank).or_insert(now);
             if now.duration_since(since) >= self.timing.rank_timeout {
                 out_of_service.push(OutOfService { rank, reason });
             }
@@ -313,7 +313,10 @@
 }
 
 /// Keeps the record unless the error means that it may have changed.
-fn keep(stored: StoredRecord, result: Result<(), GroupError>) -> Result<StoredRecord, GroupError> {
+fn keep_record(
+    stored: StoredRecord,
+    result: Result<(), GroupError>,
+) -> Result<StoredRecord, GroupError> {
     match result {
         Ok(()) | Err(GroupError::Rank { .. } | GroupError::UnevenSteps) => Ok(stored),
         Err(GroupError::Record(RecordError::NotWritten(_))) => Ok(stored),
@@ -321,7 +324,7 @@
     }
 }
 
-async fn change<Members>(
+async fn switch_map<Members>(
     session: &Session<'_, Members>,
     stored: StoredRecord,
     map: ExpertMap,
--- a/crates/group/src/gate.rs
+++ b/crates/group/src/gate.rs
@@ -20,7 +20,7 @@
 use tokio::time::timeout;
 
 /// How long a request waits for an earlier one before it fails.
-const QUEUE_LIMIT: Duration = Duration::from_secs(1);
+const QUEUE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Whether an engine checks fencing numbers, as the operator's settings say.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -40,7 +40,7 @@
 }
 
 impl Loaded {
-    fn is_still(&self, map: &ExpertMap, engine: &EngineState) -> bool {
+    fn matches(&self, map: &ExpertMap, engine: &EngineState) -> bool {
         self.process_id == engine.process_id
             && self.digest == engine.staged_map_digest
             && self.map == *map
@@ -48,9 +48,9 @@
 }
 
 #[derive(Default)]
-struct Memory {
+struct OrderState {
     /// An order that was sent and not answered.
-    sent: Option<PendingLoad>,
+    unanswered: Option<PendingLoad>,
     /// Pending loads stored by earlier agents of the group, until matched with this engine.
     inherited: Vec<PendingLoad>,
     loaded: Option<Loaded>,
@@ -61,10 +61,10 @@
     engine: Engine,
     kind: EngineKind,
     incarnation: u64,
-    lowest: AtomicU64,
+    lowest_fence: AtomicU64,
     /// Locked while an order is in flight.
-    memory: Mutex<Memory>,
-    notes: PendingLoadStore,
+    order_state: Mutex<OrderState>,
+    pending_loads: PendingLoadStore,
     intake: Arc<dyn Intake>,
     /// Whether the group was changing its model version when the gate was opened.
     is_rolling: bool,
@@ -85,19 +85,29 @@
         incarnation: u64,
         records: &RecordStore,
     ) -> Result<Self, RecordError> {
-        let (lowest, is_rolling) = match records.read().await {
+        let (lowest_fence, is_rolling) = match records.read().await {
             Ok(stored) => (stored.fence().0, stored.record.phase == Phase::Rolling),
             Err(RecordError::Missing) => (0, false),
             Err(error) => return Err(error),
         };
-        let notes = records.pending_loads();
+        let pending_loads = records.pending_loads();
         let inherited = match kind {
             EngineKind::ChecksFence => Vec::new(),
-            EngineKind::IgnoresFence => notes.read().await?,
+            EngineKind::IgnoresFence => pending_loads.read().await?,
         };
-        let memory = Mutex::new(Memory { inherited, ..Memory::default() });
-        let (lowest, intake) = (AtomicU64::new(lowest), Arc::new(IdleIntake::default()));
-        Ok(Self { engine, kind, incarnation, lowest, memory, notes, intake, is_rolling })
+        let order_state = Mutex::new(OrderState { inherited, ..OrderState::default() });
+        let (lowest_fence, intake) =
+            (AtomicU64::new(lowest_fence), Arc::new(IdleIntake::default()));
+        Ok(Self {
+            engine,
+            kind,
+            incarnation,
+            lowest_fence,
+            order_state,
+            pending_loads,
+            intake,
+            is_rolling,
+        })
     }
 
     /// Sets the agent's intake.
@@ -116,15 +126,15 @@
         if request.incarnation.is_some_and(|incarnation| incarnation != self.incarnation) {
             return Err(RankError::WrongIncarnation { incarnation: self.incarnation });
         }
-        self.admit(request.fence)?;
+        self.check_fence(request.fence)?;
         // Requests must not queue up behind a silent engine; the coordinator sends them again.
-        let locked = timeout(QUEUE_LIMIT, self.memory.lock()).await;
-        let mut memory = locked.map_err(|_| RankError::EngineSilent)?;
-        let state = self.read(&mut memory).await?;
+        let locked = timeout(QUEUE_TIMEOUT, self.order_state.lock()).await;
+        let mut order_state = locked.map_err(|_| RankError::EngineSilent)?;
+        let state = self.read(&mut order_state).await?;
         // A newer coordinator may have sent a higher number while this request waited. Nothing is
         // awaited between this check and the write, except to store a load; the number is then
         // checked again.
-        self.admit(request.fence)?;
+        self.check_fence(request.fence)?;
         if let Some(open) = request.open {
             self.intake.set_open(open);
         }
@@ -139,51 +149,57 @@
         if is_reached(target, &state.engine) {
             return Ok(state);
         }
-        self.check_streams(target, &state.engine)?;
+        self.check_no_requests(target, &state.engine)?;
         // Loads take long and the answer may be lost on its way; a completed load is not repeated.
         if let OrderTarget::StageMap { map } = target
-            && memory.loaded.as_ref().is_some_and(|loaded| loaded.is_still(map, &state.engine))
+            && order_state.loaded.as_ref().is_some_and(|loaded| loaded.matches(map, &state.engine))
         {
             return Ok(state);
         }
-        self.write(&mut memory.sent, request.fence, target, state.engine.process_id).await?;
-        let state = self.read(&mut memory).await?;
+        self.send(&mut order_state.unanswered, request.fence, target, state.engine.process_id)
+            .await?;
+        let state = self.read(&mut order_state).await?;
         if let OrderTarget::StageMap { map } = target {
             let (process_id, digest) = (state.engine.process_id, state.engine.staged_map_digest);
-            memory.loaded = Some(Loaded { map: map.clone(), process_id, digest });
+            order_state.loaded = Some(Loaded { map: map.clone(), process_id, digest });
         }
         Ok(state)
     }
 
     /// Refuses numbers below the highest seen, and raises the highest seen.
-    fn admit(&self, given: Fence) -> Result<(), RankError> {
-        let lowest = self.lowest.fetch_max(given.0, Ordering::SeqCst);
-        if given.0 < lowest {
-            return Err(RankError::Stale { given, lowest: Fence(lowest) });
+    fn check_fence(&self, given: Fence) -> Result<(), RankError> {
+        let lowest_fence = self.lowest_fence.fetch_max(given.0, Ordering::SeqCst);
+        if given.0 < lowest_fence {
+            return Err(RankError::Stale { given, lowest: Fence(lowest_fence) });
         }
         Ok(())
     }
 
     /// Reads the engine's state. Called with the lock held, so that no order is in flight.
-    async fn read(&self, memory: &mut Memory) -> Result<RankState, RankError> {
+    async fn read(&self, order_state: &mut OrderState) -> Result<RankState, RankError> {
         let engine = self.engine.state().await.map_err(|_| RankError::EngineSilent)?;
-        let inherited = std::mem::take(&mut memory.inherited).into_iter();
-        let sent = &mut memory.sent;
-        *sent = sent.take().or(inherited.rev().find(|note| note.process_id == engine.process_id));
-        let over = |sent: &PendingLoad| {
-            sent.process_id != engine.process_id || is_reached(&sent.target, &engine)
+        let inherited = std::mem::take(&mut order_state.inherited).into_iter();
+        let unanswered = &mut order_state.unanswered;
+        *unanswered =
+            unanswered.take().or(inherited.rev().find(|load| load.process_id == engine.process_id));
+        let is_resolved = |unanswered: &PendingLoad| {
+            unanswered.process_id != engine.process_id || is_reached(&unanswered.target, &engine)
         };
-        if let Some(resolved) = sent.take_if(|sent| over(sent)) {
-            self.forget(&resolved.target, resolved.process_id).await;
+        if let Some(resolved) = unanswered.take_if(|unanswered| is_resolved(unanswered)) {
+            self.remove_pending_load(&resolved.target, resolved.process_id).await;
         }
         let (incarnation, work) = (self.incarnation, self.intake.state());
-        Ok(RankState { incarnation, engine, unresolved: sent.is_some(), work })
+        Ok(RankState { incarnation, engine, unresolved: unanswered.is_some(), work })
     }
 
     /// Refuses to load another model version while requests may run: an answer would begin with one
     /// version and continue with another, which its caller could not detect. An engine that was
     /// started held and has no map has run no step yet, so it may load any version.
-    fn check_streams(&self, target: &OrderTarget, engine: &EngineState) -> Result<(), RankError> {
+    fn check_no_requests(
+        &self,
+        target: &OrderTarget,
+        engine: &EngineState,
+    ) -> Result<(), RankError> {
         let OrderTarget::Serve { model, version, .. } = target else { return Ok(()) };
         let changes = engine.model != *model || engine.version != *version;
         let is_fresh = engine.held_after_step.is_some() && engine.map_version == 0;
@@ -201,31 +217,31 @@
     /// effect is seen or the engine process is replaced. It is remembered before it is sent, so
     /// that this also holds if this call is cancelled. Loads are stored in the key-value service as
     /// well, for the next agent if this one dies.
-    async fn write(
+    async fn send(
         &self,
-        sent: &mut Option<PendingLoad>,
+        unanswered: &mut Option<PendingLoad>,
         fence: Fence,
         target: &OrderTarget,
         process_id: u64,
     ) -> Result<(), RankError> {
-        if self.is_noted(target) {
-            let note = PendingLoad { target: target.clone(), process_id };
-            self.notes.put(&note).await.map_err(|_| RankError::NotNoted)?;
+        if self.is_stored(target) {
+            let load = PendingLoad { target: target.clone(), process_id };
+            self.pending_loads.put(&load).await.map_err(|_| RankError::NotNoted)?;
             // A newer coordinator may have sent a higher number meanwhile.
-            if let Err(stale) = self.admit(fence) {
-                self.forget(target, process_id).await;
+            if let Err(stale) = self.check_fence(fence) {
+                self.remove_pending_load(target, process_id).await;
                 return Err(stale);
             }
         }
         if self.kind == EngineKind::IgnoresFence && is_harmful_when_late(target) {
-            *sent = Some(PendingLoad { target: target.clone(), process_id });
+            *unanswered = Some(PendingLoad { target: target.clone(), process_id });
         }
         let order = Order { fence, target: target.clone() };
         let result = self.engine.order(&order).await;
         let error = match result {
             Ok(()) => {
-                *sent = None;
-                self.forget(target, process_id).await;
+                *unanswered = None;
+                self.remove_pending_load(target, process_id).await;
                 return Ok(());
             }
             Err(OrderError::Backend(error)) if !error.proves_not_started() => {
@@ -237,24 +253,24 @@
             }
             Err(OrderError::NotPossible { reason }) => RankError::NotPossible { reason },
         };
-        *sent = None;
-        self.forget(target, process_id).await;
+        *unanswered = None;
+        self.remove_pending_load(target, process_id).await;
         Err(error)
     }
 
     /// Whether orders of this kind are stored for the next agent.
-    fn is_noted(&self, target: &OrderTarget) -> bool {
+    fn is_stored(&self, target: &OrderTarget) -> bool {
         self.kind == EngineKind::IgnoresFence && is_load(target)
     }
 
     /// Removes the stored copy of an order that can't take effect any more. Left in place, it would
     /// keep the next agent from sending orders, and entries of ended engine processes would pile
     /// up.
-    async fn forget(&self, target: &OrderTarget, process_id: u64) {
-        if !self.is_noted(target) {
+    async fn remove_pending_load(&self, target: &OrderTarget, process_id: u64) {
+        if !self.is_stored(target) {
             return;
         }
-        if let Err(error) = self.notes.remove(process_id).await {
+        if let Err(error) = self.pending_loads.remove(process_id).await {
             tracing::warn!(%error, process_id, "pending load not removed");
         }
     }
--- a/crates/group/src/lease.rs
+++ b/crates/group/src/lease.rs
@@ -14,26 +14,26 @@
 use uuid::Uuid;
 
 /// A lease is renewed after this fraction of its time to live.
-const RENEWAL_PART: u32 = 2;
+const RENEWAL_DIVISOR: u32 = 2;
 
 /// A failed renewal is retried after this fraction of the time to live.
-const RETRY_PART: u32 = 6;
+const RETRY_DIVISOR: u32 = 6;
 
 /// The process's lease in the key-value service.
 #[derive(Clone, Copy, Debug)]
-struct Shared {
+struct HeldLease {
     id: LeaseId,
-    until: Instant,
+    expires_at: Instant,
     renew_at: Instant,
     service_down: bool,
 }
 
 #[derive(Debug, Default)]
 struct State {
-    shared: Option<Shared>,
-    held: BTreeSet<String>,
+    held_lease: Option<HeldLease>,
+    groups: BTreeSet<String>,
     /// Groups that this process no longer holds but whose key may still exist.
-    leftover: BTreeSet<String>,
+    undeleted: BTreeSet<String>,
 }
 
 struct Process {
@@ -45,7 +45,7 @@
     /// Serialises granting the lease and writing and deleting keys. If a deletion overtook a new
     /// acquisition of the same group, two coordinators would both believe that they hold it, and
     /// would keep taking it from each other.
-    keys: tokio::sync::Mutex<()>,
+    key_writes: tokio::sync::Mutex<()>,
     /// Held by the group that renews the lease for all groups.
     renewal: tokio::sync::Mutex<()>,
 }
@@ -65,7 +65,7 @@
             token: Bytes::from(Uuid::new_v4().to_string()),
             ttl,
             state: Mutex::default(),
-            keys: tokio::sync::Mutex::default(),
+            key_writes: tokio::sync::Mutex::default(),
             renewal: tokio::sync::Mutex::default(),
         };
         Self { process: Arc::new(process) }
@@ -75,18 +75,18 @@
     /// or elsewhere.
     pub async fn acquire(&self, group: &str) -> Result<Option<Lease>, KeyValueError> {
         let process = &self.process;
-        let _keys = process.keys.lock().await;
-        if process.state().held.contains(group) {
+        let _keys = process.key_writes.lock().await;
+        if process.state().groups.contains(group) {
             return Ok(None);
         }
-        let id = process.ensure().await?;
-        process.state().held.insert(group.to_owned());
+        let id = process.ensure_lease().await?;
+        process.state().groups.insert(group.to_owned());
         // If this call is cancelled, dropping the lease marks the key for deletion.
         let mut lease =
             Lease { process: Arc::clone(process), group: group.to_owned(), id, may_have_key: true };
         match process.put_key(group, id).await {
             Ok(true) => {
-                process.state().leftover.remove(group);
+                process.state().undeleted.remove(group);
                 Ok(Some(lease))
             }
             Ok(false) => {
@@ -94,7 +94,7 @@
                 Ok(None)
             }
             Err(error) => {
-                process.note_lost(id, &error);
+                process.clear_if_lost(id, &error);
                 Err(error)
             }
         }
@@ -107,33 +107,34 @@
     }
 
     /// Returns the held lease, renewed if that is due, or a new one.
-    async fn ensure(&self) -> Result<LeaseId, KeyValueError> {
-        let asked_at = Instant::now();
-        let shared = self.state().shared;
-        if let Some(shared) = shared.filter(|shared| asked_at < shared.renew_at) {
-            return Ok(shared.id);
+    async fn ensure_lease(&self) -> Result<LeaseId, KeyValueError> {
+        let requested_at = Instant::now();
+        let held_lease = self.state().held_lease;
+        if let Some(held_lease) = held_lease.filter(|held_lease| requested_at < held_lease.renew_at)
+        {
+            return Ok(held_lease.id);
         }
-        if let Some(shared) = shared {
-            match self.renew(shared.id).await {
+        if let Some(held_lease) = held_lease {
+            match self.renew(held_lease.id).await {
                 Err(KeyValueError::LeaseNotFound) => {}
-                result => return result.map(|()| shared.id),
+                result => return result.map(|()| held_lease.id),
             }
         }
-        let asked_at = Instant::now();
+        let requested_at = Instant::now();
         let id = self.kv.grant_lease(self.ttl).await?;
-        self.state().shared = Some(self.shared(id, asked_at));
+        self.state().held_lease = Some(self.held_lease(id, requested_at));
         Ok(id)
     }
 
     /// Times are counted from before the call, so that this process never considers the lease valid
     /// for longer than the service does.
-    fn shared(&self, id: LeaseId, asked_at: Instant) -> Shared {
-        let renew_at = asked_at + self.ttl / RENEWAL_PART;
-        Shared { id, until: asked_at + self.ttl, renew_at, service_down: false }
+    fn held_lease(&self, id: LeaseId, requested_at: Instant) -> HeldLease {
+        let renew_at = requested_at + self.ttl / RENEWAL_DIVISOR;
+        HeldLease { id, expires_at: requested_at + self.ttl, renew_at, service_down: false }
     }
 
     async fn put_key(&self, group: &str, id: LeaseId) -> Result<bool, KeyValueError> {
-        let key = key_of(group);
+        let key = coordinator_key(group);
         let put = Operation::Put { key: key.clone(), value: self.token.clone(), lease: Some(id) };
         let transaction = Transaction {
             compares: vec![Compare::Absent { key: key.clone() }],
@@ -152,7 +153,7 @@
     /// Deletes the key of a released group. Another process could otherwise acquire the group only
     /// after this process's lease expires, which it does not while it holds other groups.
     async fn delete_key(&self, group: &str) -> Result<(), KeyValueError> {
-        let key = key_of(group);
+        let key = coordinator_key(group);
         let get = vec![Operation::Get { key: key.clone() }];
         let read = self.kv.transact(Transaction { on_success: get, ..Transaction::default() });
         let entry = read.await?.reads.into_iter().flatten().next();
@@ -168,44 +169,45 @@
     }
 
     async fn renew(&self, id: LeaseId) -> Result<(), KeyValueError> {
-        let asked_at = Instant::now();
+        let requested_at = Instant::now();
         let result = self.kv.keep_alive(id).await;
         let mut state = self.state();
-        let Some(shared) = state.shared.as_mut().filter(|shared| shared.id == id) else {
+        let Some(held_lease) = state.held_lease.as_mut().filter(|held_lease| held_lease.id == id)
+        else {
             return Err(KeyValueError::LeaseNotFound);
         };
         match result {
-            Ok(()) => *shared = self.shared(id, asked_at),
-            Err(KeyValueError::LeaseNotFound) => state.shared = None,
+            Ok(()) => *held_lease = self.held_lease(id, requested_at),
+            Err(KeyValueError::LeaseNotFound) => state.held_lease = None,
             Err(_) => {
-                shared.service_down = true;
-                shared.renew_at = Instant::now() + self.ttl / RETRY_PART;
+                held_lease.service_down = true;
+                held_lease.renew_at = Instant::now() + self.ttl / RETRY_DIVISOR;
             }
         }
         result
     }
 
-    fn note_lost(&self, id: LeaseId, error: &KeyValueError) {
+    fn clear_if_lost(&self, id: LeaseId, error: &KeyValueError) {
         let mut state = self.state();
         let lost = *error == KeyValueError::LeaseNotFound;
-        if lost && state.shared.is_some_and(|shared| shared.id == id) {
-            state.shared = None;
+        if lost && state.held_lease.is_some_and(|held_lease| held_lease.id == id) {
+            state.held_lease = None;
         }
     }
 
     /// Deletes the keys of released groups, unless an acquisition is in progress.
-    async fn clear(&self) {
-        let Ok(_keys) = self.keys.try_lock() else { return };
-        let leftover = self.state().leftover.clone();
-        for group in leftover {
+    async fn delete_released_keys(&self) {
+        let Ok(_keys) = self.key_writes.try_lock() else { return };
+        let undeleted = self.state().undeleted.clone();
+        for group in undeleted {
             if self.delete_key(&group).await.is_ok() {
-                self.state().leftover.remove(&group);
+                self.state().undeleted.remove(&group);
             }
         }
     }
 }
 
-fn key_of(group: &str) -> String {
+fn coordinator_key(group: &str) -> String {
     format!("groups/{group}/coordinator")
 }
 
@@ -225,15 +227,15 @@
     /// renews. Renewal runs only inside these calls, so a process that stops coordinating stops
     /// renewing.
     pub async fn keep_alive(&self) {
-        while let Some(renew_at) = self.shared().map(|shared| shared.renew_at) {
+        while let Some(renew_at) = self.held_lease().map(|held_lease| held_lease.renew_at) {
             sleep_until(renew_at).await;
             let _turn = self.process.renewal.lock().await;
-            let due = |shared: &Shared| shared.renew_at <= Instant::now();
-            if self.shared().as_ref().is_some_and(due) {
+            let due = |held_lease: &HeldLease| held_lease.renew_at <= Instant::now();
+            if self.held_lease().as_ref().is_some_and(due) {
                 // A failure is recorded in the shared state, which `may_change` and `may_align`
                 // read.
                 let _ = self.process.renew(self.id).await;
-                self.process.clear().await;
+                self.process.delete_released_keys().await;
             }
         }
     }
@@ -244,15 +246,17 @@
     /// A process that was paused may resume after another has taken the group over. Fencing would
     /// refuse its orders; checking the clock first avoids the failed change.
     pub fn may_change(&self) -> bool {
-        self.shared().is_some_and(|shared| Instant::now() < shared.until)
+        self.held_lease().is_some_and(|held_lease| Instant::now() < held_lease.expires_at)
     }
 
     /// Whether ranks may be brought back to the map in force. This is also allowed after the lease
     /// has expired while the key-value service is down: no other process can take over then, and a
     /// crashed rank would otherwise stop its group for the whole outage.
     pub fn may_align(&self) -> bool {
-        let may = |shared: Shared| Instant::now() < shared.until || shared.service_down;
-        self.shared().is_some_and(may)
+        let may = |held_lease: HeldLease| {
+            Instant::now() < held_lease.expires_at || held_lease.service_down
+        };
+        self.held_lease().is_some_and(may)
     }
 
     /// Releases the group; the process keeps its other groups.
@@ -261,21 +265,21 @@
         // If the deletion fails, it is retried when the lease is renewed for another group; if
         // there is none, the key expires with the lease.
         drop(self);
-        process.clear().await;
+        process.delete_released_keys().await;
     }
 
     /// The lease under which the group was acquired, unless it has been lost.
-    fn shared(&self) -> Option<Shared> {
-        self.process.state().shared.filter(|shared| shared.id == self.id)
+    fn held_lease(&self) -> Option<HeldLease> {
+        self.process.state().held_lease.filter(|held_lease| held_lease.id == self.id)
     }
 }
 
 impl Drop for Lease {
     fn drop(&mut self) {
         let mut state = self.process.state();
-        state.held.remove(&self.group);
+        state.groups.remove(&self.group);
         if self.may_have_key {
-            state.leftover.insert(std::mem::take(&mut self.group));
+            state.undeleted.insert(std::mem::take(&mut self.group));
         }
     }
 }
--- a/crates/group/src/pending_load.rs
+++ b/crates/group/src/pending_load.rs
@@ -39,27 +39,27 @@
     pub async fn read(&self) -> Result<Vec<PendingLoad>, RecordError> {
         let snapshot = self.kv.range(&self.prefix).await.map_err(RecordError::NotWritten)?;
         let decode = |value: &Bytes| serde_json::from_slice(value).ok();
-        let notes = snapshot.entries.iter().map(|entry| decode(&entry.value));
-        notes.collect::<Option<_>>().ok_or(RecordError::Malformed)
+        let loads = snapshot.entries.iter().map(|entry| decode(&entry.value));
+        loads.collect::<Option<_>>().ok_or(RecordError::Malformed)
     }
 
     /// Stores a pending load, replacing the one of the same engine process.
-    pub async fn put(&self, note: &PendingLoad) -> Result<(), RecordError> {
-        let value = serde_json::to_vec(note).map_err(|_| RecordError::Malformed)?;
-        let key = self.key(note.process_id);
-        self.run(Operation::Put { key, value: value.into(), lease: None }).await
+    pub async fn put(&self, load: &PendingLoad) -> Result<(), RecordError> {
+        let value = serde_json::to_vec(load).map_err(|_| RecordError::Malformed)?;
+        let key = self.key(load.process_id);
+        self.write(Operation::Put { key, value: value.into(), lease: None }).await
     }
 
     /// Removes the load of an engine process, once it has taken effect or certainly won't.
     pub async fn remove(&self, process_id: u64) -> Result<(), RecordError> {
-        self.run(Operation::Delete { key: self.key(process_id) }).await
+        self.write(Operation::Delete { key: self.key(process_id) }).await
     }
 
     fn key(&self, process_id: u64) -> String {
         format!("{}{process_id:016x}", self.prefix)
     }
 
-    async fn run(&self, operation: Operation) -> Result<(), RecordError> {
+    async fn write(&self, operation: Operation) -> Result<(), RecordError> {
         let transaction = Transaction { on_success: vec![operation], ..Transaction::default() };
         match self.kv.transact(transaction).await {
             Ok(_) => Ok(()),
--- a/crates/group/src/record.rs
+++ b/crates/group/src/record.rs
@@ -14,7 +14,7 @@
 
 /// Attempts at a write whose answers are lost, before its outcome is reported as unknown.
 const MAX_ATTEMPTS: u32 = 5;
-const ATTEMPT_PAUSE: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// A map and its version. A version is never reused, even after a rollback, so a rank's version
 /// identifies its map.
@@ -116,8 +116,8 @@
     /// The record with `serving` in force. Adapters can be loaded while requests run; another
     /// version has to wait until none does.
     pub fn with_serving(&self, serving: Serving) -> Self {
-        let known = self.serving.as_ref();
-        let adds_only = known.is_some_and(|known| known.version == serving.version);
+        let current = self.serving.as_ref();
+        let adds_only = current.is_some_and(|current| current.version == serving.version);
         let phase = match adds_only && self.phase != Phase::Rolling {
             true => Phase::Committed,
             false => Phase::Rolling,
@@ -184,19 +184,19 @@
 pub struct RecordStore {
     kv: Arc<dyn KeyValue>,
     key: String,
-    notes: PendingLoadStore,
+    pending_loads: PendingLoadStore,
 }
 
 impl RecordStore {
     /// The store of the named group's record.
     pub fn new(kv: Arc<dyn KeyValue>, group: &str) -> Self {
-        let notes = PendingLoadStore::new(Arc::clone(&kv), group);
-        Self { kv, key: format!("groups/{group}/record"), notes }
+        let pending_loads = PendingLoadStore::new(Arc::clone(&kv), group);
+        Self { kv, key: format!("groups/{group}/record"), pending_loads }
     }
 
     /// The store of loads that may still take effect on the group's engines.
     pub fn pending_loads(&self) -> PendingLoadStore {
-        self.notes.clone()
+        self.pending_loads.clone()
     }
 
     /// Reads the record.
@@ -236,29 +236,34 @@
         let put = Operation::Put { key: self.key.clone(), value: Bytes::from(value), lease: None };
         let transaction =
             Transaction { compares: vec![compare], on_success: vec![put], on_failure: vec![get] };
-        let mut may_stand = false;
+        let mut may_have_been_written = false;
         for attempt in 1.. {
             let error = match self.kv.transact(transaction.clone()).await {
                 Ok(answer) if answer.succeeded => {
                     return Ok(StoredRecord { record, revision: answer.revision });
                 }
-                Ok(answer) => return own(&record, answer.reads.into_iter().next().flatten()),
+                Ok(answer) => {
+                    return check_own_write(&record, answer.reads.into_iter().next().flatten());
+                }
                 Err(error) => error,
             };
-            may_stand |= error.may_have_taken_effect();
-            if !may_stand {
+            may_have_been_written |= error.may_have_taken_effect();
+            if !may_have_been_written {
                 return Err(RecordError::NotWritten(error));
             }
             if attempt == MAX_ATTEMPTS {
                 return Err(RecordError::Unknown(error));
             }
-            tokio::time::sleep(ATTEMPT_PAUSE).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
         unreachable!("the loop ends by returning")
     }
 }
 
-fn own(written: &GroupRecord, found: Option<KeyValueEntry>) -> Result<StoredRecord, RecordError> {
+fn check_own_write(
+    written: &GroupRecord,
+    found: Option<KeyValueEntry>,
+) -> Result<StoredRecord, RecordError> {
     let stored = decode(&found.ok_or(RecordError::Conflict)?)?;
     if stored.record.change_id != written.change_id {
         return Err(RecordError::Conflict);
--- a/crates/group/src/rollout.rs
+++ b/crates/group/src/rollout.rs
@@ -2,9 +2,9 @@
 
 use crate::ranks::Ranks;
 use crate::record::{Phase, RecordError, Serving, StoredRecord};
-use crate::serve::{DesiredServing, next_serving, reported};
+use crate::rollout_lock::RolloutLock;
+use crate::serve::{DesiredServing, next_serving, reported_version};
 use crate::session::{GroupError, Session};
-use crate::turn::Turns;
 use flamingowheel_backing::kv::KeyValue;
 use std::sync::Arc;
 use tokio::sync::watch;
@@ -12,8 +12,8 @@
 /// Rollout of model versions and adapters to one group.
 pub(crate) struct Rollout {
     model: String,
-    wanted: watch::Receiver<Option<DesiredServing>>,
-    turns: Turns,
+    desired: watch::Receiver<Option<DesiredServing>>,
+    lock: RolloutLock,
     /// The change that waits for the rollout lock.
     waiting: Option<Serving>,
 }
@@ -23,15 +23,15 @@
         kv: Arc<dyn KeyValue>,
         model: &str,
         group: &str,
-        wanted: watch::Receiver<Option<DesiredServing>>,
+        desired: watch::Receiver<Option<DesiredServing>>,
     ) -> Self {
-        let turns = Turns::new(kv, model, group);
-        Self { model: model.to_owned(), wanted, turns, waiting: None }
+        let lock = RolloutLock::new(kv, model, group);
+        Self { model: model.to_owned(), desired, lock, waiting: None }
     }
 
     /// The waiting change and the group that holds the rollout lock.
     pub(crate) fn waiting(&self) -> Option<(Serving, String)> {
-        Some((self.waiting.clone()?, self.turns.waits_for()?))
+        Some((self.waiting.clone()?, self.lock.holder()?))
     }
 
     /// Replaces the target of a rollout in progress if the desired version has changed. An operator
@@ -49,9 +49,9 @@
         }
         // Takes over the lock of this group's earlier coordinator. The rollout goes on even if that
         // fails.
-        self.turns.take().await;
-        match self.next(session, &stored).await {
-            Some(next) => Ok(write(session, &stored, next).await?.unwrap_or(stored)),
+        self.lock.acquire().await;
+        match self.next_target(session, &stored).await {
+            Some(next) => Ok(write_target(session, &stored, next).await?.unwrap_or(stored)),
             None => Ok(stored),
         }
     }
@@ -66,21 +66,22 @@
         Members: Ranks,
     {
         self.waiting = None;
-        let Some(next) = self.next(session, stored).await else {
+        let Some(next) = self.next_target(session, stored).await else {
             if stored.record.phase == Phase::Settled {
-                self.turns.release().await;
+                self.lock.release().await;
             }
             return Ok(None);
         };
-        let changes_version = stored.record.with_serving(next.clone()).phase == Phase::Rolling;
-        if changes_version && !self.turns.take().await {
+        let changes_model_version =
+            stored.record.with_serving(next.clone()).phase == Phase::Rolling;
+        if changes_model_version && !self.lock.acquire().await {
             self.waiting = Some(next);
             return Ok(None);
         }
-        write(session, stored, next).await
+        write_target(session, stored, next).await
     }
 
-    async fn next<Members>(
+    async fn next_target<Members>(
         &self,
         session: &Session<'_, Members>,
         stored: &StoredRecord,
@@ -88,19 +89,19 @@
     where
         Members: Ranks,
     {
-        let wanted = self.wanted.borrow().clone()?;
+        let desired = self.desired.borrow().clone()?;
         let record = &stored.record;
-        let names_none = wanted.version.is_none() && record.serving.is_none();
-        if !names_none || wanted.adapters.is_empty() {
-            return next_serving(&self.model, &wanted, record, None);
+        let none_named = desired.version.is_none() && record.serving.is_none();
+        if !none_named || desired.adapters.is_empty() {
+            return next_serving(&self.model, &desired, record, None);
         }
         let states = session.read_all_or_fail(stored.fence()).await.ok()?;
-        next_serving(&self.model, &wanted, record, reported(&states))
+        next_serving(&self.model, &desired, record, reported_version(&states))
     }
 }
 
 /// Writes the next target into the record; `None` if that is not possible now.
-async fn write<Members>(
+async fn write_target<Members>(
     session: &Session<'_, Members>,
     stored: &StoredRecord,
     next: Serving,
--- a/crates/group/src/turn.rs
+++ b/crates/group/src/rollout_lock.rs
@@ -12,39 +12,40 @@
 /// Time to live of the lock after its last confirmation. A new coordinator of the same group takes
 /// the lock over well within this time, so that the group finishes its change before another
 /// begins.
-const TTL: Duration = Duration::from_secs(60);
+const LOCK_TTL: Duration = Duration::from_secs(60);
 
 /// Shortest time between two attempts of one group to acquire or confirm the lock.
-const INTERVAL: Duration = Duration::from_secs(5);
+const ATTEMPT_INTERVAL: Duration = Duration::from_secs(5);
 
 /// One group's view of the rollout lock of its model.
-pub(crate) struct Turns {
+pub(crate) struct RolloutLock {
     kv: Arc<dyn KeyValue>,
     key: String,
     group: String,
     lease: Option<LeaseId>,
-    asked_at: Option<Instant>,
+    attempted_at: Option<Instant>,
     /// The other group that held the lock at the last attempt.
-    taken_by: Option<String>,
+    holder: Option<String>,
 }
 
-impl Turns {
+impl RolloutLock {
     pub(crate) fn new(kv: Arc<dyn KeyValue>, model: &str, group: &str) -> Self {
         let key = format!("models/{model}/turn");
-        Self { kv, key, group: group.to_owned(), lease: None, asked_at: None, taken_by: None }
+        Self { kv, key, group: group.to_owned(), lease: None, attempted_at: None, holder: None }
     }
 
     /// The other group that holds the lock.
-    pub(crate) fn waits_for(&self) -> Option<String> {
-        self.taken_by.clone()
+    pub(crate) fn holder(&self) -> Option<String> {
+        self.holder.clone()
     }
 
-    /// Whether this group holds the lock. Acquires or confirms it at most once per [`INTERVAL`].
-    pub(crate) async fn take(&mut self) -> bool {
-        let is_due = self.asked_at.is_none_or(|asked_at| asked_at.elapsed() >= INTERVAL);
+    /// Whether this group holds the lock. Acquires or confirms it at most once per [`ATTEMPT_INTERVAL`].
+    pub(crate) async fn acquire(&mut self) -> bool {
+        let is_due =
+            self.attempted_at.is_none_or(|attempted_at| attempted_at.elapsed() >= ATTEMPT_INTERVAL);
         if is_due {
-            self.asked_at = Some(Instant::now());
-            if let Err(error) = self.ask().await {
+            self.attempted_at = Some(Instant::now());
+            if let Err(error) = self.try_acquire().await {
                 tracing::warn!(group = self.group, %error, "rollout lock not acquired");
             }
         }
@@ -53,14 +54,14 @@
 
     /// Releases the lock. If the call fails, the lock expires with its lease.
     pub(crate) async fn release(&mut self) {
-        self.taken_by = None;
+        self.holder = None;
         if let Some(lease) = self.lease.take() {
-            self.asked_at = None;
+            self.attempted_at = None;
             let _ = self.kv.revoke_lease(lease).await;
         }
     }
 
-    async fn ask(&mut self) -> Result<(), KeyValueError> {
+    async fn try_acquire(&mut self) -> Result<(), KeyValueError> {
         if let Some(lease) = self.lease {
             match self.kv.keep_alive(lease).await {
                 Err(KeyValueError::LeaseNotFound) => self.lease = None,
@@ -76,11 +77,11 @@
                 Compare::ModRevision { key: self.key.clone(), revision: entry.mod_revision }
             }
             Some(entry) => {
-                self.taken_by = Some(String::from_utf8_lossy(&entry.value).into_owned());
+                self.holder = Some(String::from_utf8_lossy(&entry.value).into_owned());
                 return Ok(());
             }
         };
-        let lease = self.kv.grant_lease(TTL).await?;
+        let lease = self.kv.grant_lease(LOCK_TTL).await?;
         let (key, value) = (self.key.clone(), Bytes::from(self.group.clone()));
         let put = Operation::Put { key, value, lease: Some(lease) };
         let transaction = Transaction {
@@ -90,7 +91,7 @@
         };
         // If the answer is lost, the next attempt finds this group as holder and takes it over.
         if self.kv.transact(transaction).await?.succeeded {
-            (self.lease, self.taken_by) = (Some(lease), None);
+            (self.lease, self.holder) = (Some(lease), None);
         }
         Ok(())
     }
--- a/crates/group/src/serve.rs
+++ b/crates/group/src/serve.rs
@@ -19,7 +19,7 @@
     pub adapters: BTreeSet<String>,
 }
 
-/// What the group's record should say next; `None` if it needs no change. `reported` is the version
+/// What the group's record should say next; `None` if it needs no change. `reported_version` is the one
 /// that all ranks report; it is used until operators have named one.
 ///
 /// An adapter that is no longer listed stays loaded until the next version: unloading it would
@@ -29,32 +29,32 @@
 /// use flamingowheel_group::record::GroupRecord;
 /// use flamingowheel_group::serve::{DesiredServing, next_serving};
 /// let record = GroupRecord::without_map(1);
-/// let wanted = DesiredServing { version: Some("7".to_owned()), ..DesiredServing::default() };
-/// assert_eq!(next_serving("notes", &wanted, &record, None).unwrap().version, "7");
+/// let desired = DesiredServing { version: Some("7".to_owned()), ..DesiredServing::default() };
+/// assert_eq!(next_serving("notes", &desired, &record, None).unwrap().version, "7");
 /// assert_eq!(next_serving("notes", &DesiredServing::default(), &record, Some("6")), None);
 /// ```
 pub fn next_serving(
     model: &str,
-    wanted: &DesiredServing,
+    desired: &DesiredServing,
     record: &GroupRecord,
-    reported: Option<&str>,
+    reported_version: Option<&str>,
 ) -> Option<Serving> {
-    let known = record.serving.as_ref();
-    if known.is_none() && *wanted == DesiredServing::default() {
+    let current = record.serving.as_ref();
+    if current.is_none() && *desired == DesiredServing::default() {
         return None;
     }
-    let kept = known.map(|known| known.version.as_str()).or(reported);
-    let version = wanted.version.as_deref().or(kept)?.to_owned();
-    let mut adapters = wanted.adapters.clone();
-    if let Some(known) = known.filter(|known| known.version == version) {
-        adapters.extend(known.adapters.iter().cloned());
+    let default_version = current.map(|current| current.version.as_str()).or(reported_version);
+    let version = desired.version.as_deref().or(default_version)?.to_owned();
+    let mut adapters = desired.adapters.clone();
+    if let Some(current) = current.filter(|current| current.version == version) {
+        adapters.extend(current.adapters.iter().cloned());
     }
     let next = Serving { model: model.to_owned(), version, adapters };
-    (known != Some(&next)).then_some(next)
+    (current != Some(&next)).then_some(next)
 }
 
 /// The version that all ranks report, if they agree on one.
-pub(crate) fn reported(states: &[RankState]) -> Option<&str> {
+pub(crate) fn reported_version(states: &[RankState]) -> Option<&str> {
     let version = states.first()?.engine.version.as_str();
     let agree = states.iter().all(|state| state.engine.version == version);
     (agree && !version.is_empty()).then_some(version)
@@ -64,19 +64,20 @@
     one.iter().collect::<BTreeSet<_>>() == other.iter().collect::<BTreeSet<_>>()
 }
 
-fn is_version(engine: &EngineState, serving: &Serving) -> bool {
+fn has_version(engine: &EngineState, serving: &Serving) -> bool {
     engine.model == serving.model && engine.version == serving.version
 }
 
 fn serves(engine: &EngineState, serving: &Serving) -> bool {
-    is_version(engine, serving) && serving.adapters.iter().all(|own| engine.adapters.contains(own))
+    has_version(engine, serving)
+        && serving.adapters.iter().all(|adapter| engine.adapters.contains(adapter))
 }
 
 /// The target that makes an engine serve `serving`. The engine keeps its role and, while the
 /// version stays the same, adapters that it holds in addition.
 fn target(engine: &EngineState, serving: &Serving) -> OrderTarget {
     let mut adapters = serving.adapters.clone();
-    if is_version(engine, serving) {
+    if has_version(engine, serving) {
         adapters.extend(engine.adapters.iter().cloned());
     }
     OrderTarget::Serve {
@@ -107,7 +108,7 @@
 /// Ranks that have to change their version first stop admitting requests, and the group steps on
 /// until their requests have ended. Then all ranks are held, so that no step runs with two
 /// versions, and stay held until all have been read back.
-pub(crate) async fn bring<Members>(
+pub(crate) async fn advance<Members>(
     session: &Session<'_, Members>,
     stored: &StoredRecord,
     states: Vec<(usize, RankState)>,
@@ -120,7 +121,7 @@
         return Ok(Progress::Served(states));
     };
     let changing: Vec<&(usize, RankState)> =
-        states.iter().filter(|(_, state)| !is_version(&state.engine, serving)).collect();
+        states.iter().filter(|(_, state)| !has_version(&state.engine, serving)).collect();
     if !changing.is_empty() {
         let busy = drain(session, stored, &changing).await;
         if !busy.is_empty() {
@@ -183,11 +184,11 @@
 where
     Members: Ranks,
 {
-    let is_other_version = !is_version(engine, serving);
-    let lacks = |own: &&String| is_other_version || !engine.adapters.contains(own);
-    let adapters = serving.adapters.iter().filter(lacks).count();
+    let changes_version = !has_version(engine, serving);
+    let is_missing = |adapter: &&String| changes_version || !engine.adapters.contains(adapter);
+    let adapters = serving.adapters.iter().filter(is_missing).count();
     if let Some(loads) = session.load_limiter {
-        loads.acquire_for_model(is_other_version, adapters).await;
+        loads.acquire_for_model(changes_version, adapters).await;
     }
     let order = RankOrder::new(rank, target(engine, serving));
     session.send_orders(stored.fence(), vec![order], session.timing.stage_timeout).await
--- a/crates/group/src/session.rs
+++ b/crates/group/src/session.rs
@@ -103,9 +103,9 @@
 }
 
 impl LoadLimiter {
-    /// Waits until a rank may load the experts of `next` that `held` does not give it.
-    pub async fn acquire_for_map(&self, rank: usize, held: Option<&ExpertMap>, next: &ExpertMap) {
-        let count = experts_to_load(rank, held, next);
+    /// Waits until a rank may load the experts of `next` that `loaded` does not give it.
+    pub async fn acquire_for_map(&self, rank: usize, loaded: Option<&ExpertMap>, next: &ExpertMap) {
+        let count = experts_to_load(rank, loaded, next);
         self.budget.acquire(self.sizes.expert_bytes * count).await;
     }
 
@@ -117,10 +117,10 @@
     }
 }
 
-fn experts_to_load(rank: usize, held: Option<&ExpertMap>, next: &ExpertMap) -> u64 {
+fn experts_to_load(rank: usize, loaded: Option<&ExpertMap>, next: &ExpertMap) -> u64 {
     let mut count = 0;
     for (layer, ranks) in next.layers.iter().enumerate() {
-        let old = held.and_then(|map| map.layers.get(layer)?.get(rank));
+        let old = loaded.and_then(|map| map.layers.get(layer)?.get(rank));
         let is_new = |expert: &&u16| old.is_none_or(|old| !old.contains(expert));
         count += ranks.get(rank).map_or(0, |experts| experts.iter().filter(is_new).count());
     }
@@ -176,12 +176,12 @@
         limit: Duration,
     ) -> Result<(), GroupError> {
         let deadline = Instant::now() + limit;
-        let sent = orders.iter().map(|order| self.insist(fence, order, deadline));
+        let sent = orders.iter().map(|order| self.send_until_done(fence, order, deadline));
         let results = join_all(sent).await;
         results.into_iter().collect()
     }
 
-    async fn insist(
+    async fn send_until_done(
         &self,
         fence: Fence,
         order: &RankOrder,
@@ -189,23 +189,23 @@
     ) -> Result<(), GroupError> {
         let rank = order.rank;
         loop {
-            let error = match self.try_order(fence, order).await? {
+            let error = match self.send_once(fence, order).await? {
                 Ok(_) => return Ok(()),
                 Err(RankError::Stale { .. }) => return Err(GroupError::Superseded),
                 Err(error) => error,
             };
-            let hopeless =
+            let is_permanent =
                 matches!(error, RankError::NotPossible { .. } | RankError::WrongVersion { .. });
-            if hopeless || Instant::now() >= deadline {
+            if is_permanent || Instant::now() >= deadline {
                 return Err(GroupError::Rank { rank, error });
             }
-            sleep(ORDER_PAUSE).await;
+            sleep(ORDER_RETRY_DELAY).await;
         }
     }
 
     /// Reads the rank's incarnation first and addresses the order to it, so that a later agent
     /// process refuses the order however late it arrives.
-    async fn try_order(&self, fence: Fence, order: &RankOrder) -> Result<RankResult, GroupError> {
+    async fn send_once(&self, fence: Fence, order: &RankOrder) -> Result<RankResult, GroupError> {
         let state = match self.read(order.rank, fence).await {
             Ok(state) => state,
             Err(error) => return Ok(Err(error)),
@@ -226,7 +226,7 @@
 }
 
 /// Pause before an order is sent again.
-const ORDER_PAUSE: Duration = Duration::from_millis(50);
+const ORDER_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// A rank's answer to one request.
 pub type RankResult = Result<RankState, RankError>;
--- a/crates/group/src/switch/hold.rs
+++ b/crates/group/src/switch/hold.rs
@@ -17,10 +17,10 @@
 const MAX_MARGIN_STEPS: u64 = 256;
 
 /// Pause between two reads of ranks that are to be held.
-const LOOK_PAUSE: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Consecutive reads without a step after which a group counts as standing still.
-const STILL_LOOKS: u32 = 10;
+const STALLED_POLLS: u32 = 10;
 
 impl<'a, Members> Switch<'a, Members, Staged>
 where
@@ -48,20 +48,21 @@
     let deadline = Instant::now() + session.timing.rank_timeout;
     let mut moving: Option<Vec<bool>> = None;
     let mut last_steps = Vec::new();
-    let mut still_looks = 0;
+    let mut stalled_polls = 0;
     let mut margin_steps = MARGIN_STEPS;
     loop {
         let states = session.read_all_or_fail(fence).await?;
         let moving =
             moving.get_or_insert_with(|| states.iter().map(|state| !state.is_stopped()).collect());
         if states.iter().all(RankState::is_stopped) {
-            return confirm(states, moving);
+            return check_same_step(states, moving);
         }
         let steps: Vec<u64> = states.iter().map(|state| state.engine.step).collect();
-        still_looks = if steps == last_steps { still_looks + 1 } else { 0 };
+        stalled_polls = if steps == last_steps { stalled_polls + 1 } else { 0 };
         last_steps = steps;
-        let still = still_looks >= STILL_LOOKS;
-        let result = order(session, fence, orders(&states, still, margin_steps)).await;
+        let is_stalled = stalled_polls >= STALLED_POLLS;
+        let result =
+            send_hold_orders(session, fence, hold_orders(&states, is_stalled, margin_steps)).await;
         if Instant::now() >= deadline || matches!(result, Err(GroupError::Superseded)) {
             result?;
             return Err(GroupError::UnevenSteps);
@@ -70,11 +71,11 @@
         if result.is_err() {
             margin_steps = (margin_steps * 2).min(MAX_MARGIN_STEPS);
         }
-        sleep(LOOK_PAUSE).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-async fn order<Members>(
+async fn send_hold_orders<Members>(
     session: &Session<'_, Members>,
     fence: Fence,
     orders: Vec<RankOrder>,
@@ -90,23 +91,24 @@
     session.send_orders(fence, orders.collect(), session.timing.call_timeout).await
 }
 
-fn orders(states: &[RankState], still: bool, margin_steps: u64) -> Vec<RankOrder> {
-    let blocked = still || states.iter().any(RankState::is_stopped);
-    let given = states.iter().filter_map(|state| state.engine.held_after_step).max();
+fn hold_orders(states: &[RankState], is_stalled: bool, margin_steps: u64) -> Vec<RankOrder> {
+    let blocked = is_stalled || states.iter().any(RankState::is_stopped);
+    let accepted = states.iter().filter_map(|state| state.engine.held_after_step).max();
     let latest = states.iter().map(|state| state.engine.step).max().unwrap_or(0);
     // A boundary that a rank has accepted is kept, or the group would never reach it.
-    let boundary = given.unwrap_or(latest + margin_steps);
+    let boundary = accepted.unwrap_or(latest + margin_steps);
     let target = |state: &RankState| if blocked { state.engine.step } else { boundary };
-    let open = states.iter().enumerate().filter(|(_, state)| {
+    let unheld = states.iter().enumerate().filter(|(_, state)| {
         !state.is_stopped() && state.engine.held_after_step != Some(target(state))
     });
-    open.map(|(rank, state)| RankOrder::new(rank, OrderTarget::Hold { after_step: target(state) }))
+    unheld
+        .map(|(rank, state)| RankOrder::new(rank, OrderTarget::Hold { after_step: target(state) }))
         .collect()
 }
 
 /// Checks that ranks that were stepping have stopped at the same step. Ranks that were stopped
 /// before may be restarted engines, whose step counter began again.
-fn confirm(states: Vec<RankState>, moving: &[bool]) -> Result<Vec<RankState>, GroupError> {
+fn check_same_step(states: Vec<RankState>, moving: &[bool]) -> Result<Vec<RankState>, GroupError> {
     let together = states.iter().zip(moving).filter(|(_, moving)| **moving);
     let mut steps = together.map(|(state, _)| state.engine.step);
     let first = steps.next();
--- a/crates/group/src/switch/stage.rs
+++ b/crates/group/src/switch/stage.rs
@@ -32,10 +32,10 @@
 {
     // Ranks hold the weights of the map in force, unless that is the map they lost and load again.
     let in_force = &stored.record.in_force;
-    let held = (in_force.version != map.version).then_some(&in_force.map);
+    let loaded = (in_force.version != map.version).then_some(&in_force.map);
     let load = |rank| async move {
-        if let Some(loads) = session.load_limiter {
-            loads.acquire_for_map(rank, held, &map.map).await;
+        if let Some(load_limiter) = session.load_limiter {
+            load_limiter.acquire_for_map(rank, loaded, &map.map).await;
         }
         let order = RankOrder::new(rank, OrderTarget::StageMap { map: map.map.clone() });
         session.send_orders(stored.fence(), vec![order], session.timing.stage_timeout).await
