--- a/crates/agent/tests/agent.rs
+++ b/crates/agent/tests/agent.rs
@@ -47,11 +47,11 @@
 async fn cancel_overtakes_dispatch() {
     let service = FakeService::new(1);
     let mut session = Session::start(service.clone(), config()).await;
-    let order = session.order("repair box 17", Uuid::now_v7());
-    session.send(cancel(&order, false)).await;
-    assert_eq!(session.refusal(order.attempt).await, Refusal::Cancelled);
-    session.dispatch(&order).await;
-    assert_eq!(session.refusal(order.attempt).await, Refusal::Cancelled);
+    let ticketed = session.ticket_request("repair box 17", Uuid::now_v7());
+    session.send(cancel(&ticketed, false)).await;
+    assert_eq!(session.refusal(ticketed.attempt).await, Refusal::Cancelled);
+    session.dispatch(&ticketed).await;
+    assert_eq!(session.refusal(ticketed.attempt).await, Refusal::Cancelled);
     assert_eq!(service.executions(b"repair box 17"), 0);
 }
 
@@ -75,10 +75,10 @@
 async fn dispatch_to_earlier_incarnation() {
     let service = FakeService::new(1);
     let mut session = Session::start(service.clone(), config()).await;
-    let mut order = session.order("payout 5", Uuid::now_v7());
-    order.incarnation = Incarnation(7);
-    session.dispatch(&order).await;
-    assert_eq!(session.refusal(order.attempt).await, Refusal::WrongIncarnation);
+    let mut ticketed = session.ticket_request("payout 5", Uuid::now_v7());
+    ticketed.incarnation = Incarnation(7);
+    session.dispatch(&ticketed).await;
+    assert_eq!(session.refusal(ticketed.attempt).await, Refusal::WrongIncarnation);
     assert_eq!(service.executions(b"payout 5"), 0);
 }
 
@@ -88,14 +88,15 @@
     let service = slow_service();
     let mut session = Session::start(service.clone(), config()).await;
     let number = Uuid::now_v7();
-    let (first, second) = (session.order("crew", number), session.order("crew", number));
+    let (first, second) =
+        (session.ticket_request("crew", number), session.ticket_request("crew", number));
     session.dispatch(&first).await;
     session.dispatch(&second).await;
-    let one = session.whole(first.attempt).await;
-    session.dispatch(&session.order("crew", number)).await;
-    let third = session.order("crew", number);
+    let one = session.complete(first.attempt).await;
+    session.dispatch(&session.ticket_request("crew", number)).await;
+    let third = session.ticket_request("crew", number);
     session.dispatch(&third).await;
-    assert_eq!(session.whole(third.attempt).await, one);
+    assert_eq!(session.complete(third.attempt).await, one);
     assert_eq!(service.executions(b"crew"), 1);
 }
 
@@ -106,9 +107,10 @@
     let service = FakeService::new(1);
     let mut session = Session::start(service.clone(), config()).await;
     let number = Uuid::now_v7();
-    let (first, other) = (session.order("box 17", number), session.order("box 18", number));
+    let (first, other) =
+        (session.ticket_request("box 17", number), session.ticket_request("box 18", number));
     session.dispatch(&first).await;
-    session.whole(first.attempt).await;
+    session.complete(first.attempt).await;
     session.dispatch(&other).await;
     assert_eq!(session.refusal(other.attempt).await, Refusal::TicketMismatch);
     assert_eq!(service.executions(b"box 18"), 0);
@@ -120,10 +122,10 @@
     let service = FakeService::new(1);
     let mut session = Session::start(service.clone(), config()).await;
     let number = Uuid::now_v7();
-    let question = session.order("takedown", number);
-    session.send(cancel(&question, true)).await;
-    assert_eq!(session.refusal(question.attempt).await, Refusal::Cancelled);
-    let late = session.order("takedown", number);
+    let voiding = session.ticket_request("takedown", number);
+    session.send(cancel(&voiding, true)).await;
+    assert_eq!(session.refusal(voiding.attempt).await, Refusal::Cancelled);
+    let late = session.ticket_request("takedown", number);
     session.dispatch(&late).await;
     assert_eq!(session.refusal(late.attempt).await, Refusal::Cancelled);
     assert_eq!(service.executions(b"takedown"), 0);
@@ -138,12 +140,12 @@
     config.ticket_windows = 6;
     let mut session = Session::start(service.clone(), config).await;
     let number = Uuid::now_v7();
-    let first = session.order("payout 6", number);
+    let first = session.ticket_request("payout 6", number);
     session.dispatch(&first).await;
-    session.whole(first.attempt).await;
+    session.complete(first.attempt).await;
     session.send(EntryMessage::Release { attempt: first.attempt, key: first.key }).await;
     sleep(Duration::from_secs(120)).await;
-    let mut late = session.order("payout 6", number);
+    let mut late = session.ticket_request("payout 6", number);
     late.window = flamingowheel_protocol::id::Window(13);
     session.dispatch(&late).await;
     assert_eq!(session.refusal(late.attempt).await, Refusal::Expired);
@@ -153,30 +155,30 @@
 // More tickets arrive within the retention time than there may be records. New ones must be
 // refused, and no ticket that ran may be dropped.
 #[tokio::test(start_paused = true)]
-async fn ticket_records_full_refused_not_forgotten() {
+async fn ticket_records_full_refused_not_dropped() {
     let service = FakeService::new(1);
     let mut config = config();
     config.max_ticket_records = 2;
     let mut session = Session::start(service.clone(), config).await;
     let numbers = [Uuid::now_v7(), Uuid::now_v7(), Uuid::now_v7()];
     for number in &numbers[..2] {
-        let order = session.order("crew", *number);
-        session.dispatch(&order).await;
-        session.whole(order.attempt).await;
+        let ticketed = session.ticket_request("crew", *number);
+        session.dispatch(&ticketed).await;
+        session.complete(ticketed.attempt).await;
     }
-    let third = session.order("crew", numbers[2]);
+    let third = session.ticket_request("crew", numbers[2]);
     session.dispatch(&third).await;
     assert_eq!(session.refusal(third.attempt).await, Refusal::RecordsFull);
-    let again = session.order("crew", numbers[0]);
+    let again = session.ticket_request("crew", numbers[0]);
     session.dispatch(&again).await;
-    session.whole(again.attempt).await;
+    session.complete(again.attempt).await;
     assert_eq!(service.executions(b"crew"), 2);
 }
 
 // The answers of tickets reach the bound on bytes before the bound on records. New tickets must be
 // refused and old ones answered, until the old records expire.
 #[tokio::test(start_paused = true)]
-async fn ticket_answers_reach_byte_bound_refused_not_forgotten() {
+async fn ticket_answers_reach_byte_bound_refused_not_dropped() {
     let one = FakeService::answer(b"crew", 1).len() + size_of::<Bytes>();
     let service = FakeService::new(1);
     let mut config = config();
@@ -186,29 +188,29 @@
     let numbers: Vec<_> = (0..3).map(|_| Uuid::now_v7()).collect();
     let mut answers = Vec::new();
     for number in &numbers[..2] {
-        let order = session.order("crew", *number);
-        session.dispatch(&order).await;
-        answers.push(session.whole(order.attempt).await);
-        session.send(EntryMessage::Release { attempt: order.attempt, key: order.key }).await;
+        let ticketed = session.ticket_request("crew", *number);
+        session.dispatch(&ticketed).await;
+        answers.push(session.complete(ticketed.attempt).await);
+        session.send(EntryMessage::Release { attempt: ticketed.attempt, key: ticketed.key }).await;
     }
-    let third = session.order("crew", numbers[2]);
+    let third = session.ticket_request("crew", numbers[2]);
     session.dispatch(&third).await;
     assert_eq!(session.refusal(third.attempt).await, Refusal::RecordsFull);
     for (number, answer) in numbers.iter().zip(&answers) {
-        let again = session.order("crew", *number);
+        let again = session.ticket_request("crew", *number);
         session.dispatch(&again).await;
-        assert_eq!(session.whole(again.attempt).await, *answer);
+        assert_eq!(session.complete(again.attempt).await, *answer);
         session.send(EntryMessage::Release { attempt: again.attempt, key: again.key }).await;
     }
     assert_eq!(service.executions(b"crew"), 2);
 
     sleep(Duration::from_secs(120)).await;
-    let mut later = session.order("crew", numbers[2]);
+    let mut later = session.ticket_request("crew", numbers[2]);
     let window = flamingowheel_protocol::id::Window(13);
     later.window = window;
     later.key = ExecutionKey::Ticket { number: numbers[2], window };
     session.dispatch(&later).await;
-    session.whole(later.attempt).await;
+    session.complete(later.attempt).await;
     assert_eq!(service.executions(b"crew"), 3);
 }
 
@@ -221,11 +223,11 @@
     for _ in 0..3 {
         let request = session.request("status");
         session.dispatch(&request).await;
-        session.whole(request.attempt).await;
+        session.complete(request.attempt).await;
     }
-    let order = session.order("crew", Uuid::now_v7());
-    session.dispatch(&order).await;
-    session.whole(order.attempt).await;
+    let ticketed = session.ticket_request("crew", Uuid::now_v7());
+    session.dispatch(&ticketed).await;
+    session.complete(ticketed.attempt).await;
 }
 
 // The connection to the engine goes silent in the middle of a stream. The stream must be resumed
@@ -240,7 +242,7 @@
     engine.set_frozen(true);
     sleep(Duration::from_secs(4)).await;
     engine.set_frozen(false);
-    let chunks = session.whole(request.attempt).await;
+    let chunks = session.complete(request.attempt).await;
     let expected = whole_stream(STREAM.as_bytes(), 0);
     assert!(chunks.iter().map(|(number, _)| *number).eq(0..expected.len() as u64));
     assert!(chunks.into_iter().map(|(_, data)| data).eq(expected));
@@ -249,7 +251,7 @@
 // The connection to an entry is lost in the middle of a stream. The entry attaches again and must
 // get the stream from the first chunk that it lacks.
 #[tokio::test(start_paused = true)]
-async fn attach_goes_on_from_chunk() {
+async fn attach_resumes_from_chunk() {
     let engine = FakeEngine::new(1, EngineSettings::default());
     let mut session = Session::start(engine, config()).await;
     let request = session.request(STREAM);
@@ -309,7 +311,7 @@
     let service = slow_service();
     let mut session = Session::start(service.clone(), config()).await;
     let number = Uuid::now_v7();
-    let running = session.order("crew", number);
+    let running = session.ticket_request("crew", number);
     session.dispatch(&running).await;
     sleep(Duration::from_millis(100)).await;
     session.send(EntryMessage::VmLeaving).await;
@@ -317,10 +319,10 @@
     session.dispatch(&new).await;
     assert_eq!(session.refusal(new.attempt).await, Refusal::Leaving);
     assert!(!session.agent.status().drained);
-    let answer = session.whole(running.attempt).await;
-    let again = session.order("crew", number);
+    let answer = session.complete(running.attempt).await;
+    let again = session.ticket_request("crew", number);
     session.dispatch(&again).await;
-    assert_eq!(session.whole(again.attempt).await, answer);
+    assert_eq!(session.complete(again.attempt).await, answer);
     for attempt in [running.attempt, again.attempt] {
         session.send(EntryMessage::Release { attempt, key: running.key }).await;
     }
@@ -347,7 +349,7 @@
 // The group of a backend server changes its version. Running requests must complete; queued and new
 // ones must be refused as "not run", so that another group can run them.
 #[tokio::test(start_paused = true)]
-async fn set_open_closed_ends_what_runs_and_hands_back_the_rest() {
+async fn set_open_closed_completes_running_refuses_queued() {
     let service = slow_service();
     let mut session = Session::start(service.clone(), config()).await;
     let (first, second) = (session.request("a"), session.request("b"));
@@ -362,14 +364,14 @@
     session.dispatch(&late).await;
     assert_eq!(session.refusal(late.attempt).await, Refusal::BackendDown);
     assert_eq!(session.agent.status().in_progress_count, 2);
-    session.whole(first.attempt).await;
+    session.complete(first.attempt).await;
     sleep(Duration::from_secs(2)).await;
     assert_eq!(session.agent.status().in_progress_count, 0);
     assert_eq!((service.executions(b"c"), service.executions(b"d")), (0, 0));
     session.agent.commands().send(Command::SetOpen(true)).await.unwrap();
     let next = session.request("e");
     session.dispatch(&next).await;
-    session.whole(next.attempt).await;
+    session.complete(next.attempt).await;
 }
 
 // A ticket is queued, its entry dies, and the ticket is voided. A late copy of its dispatch arrives
@@ -382,16 +384,16 @@
         session.dispatch(&session.request(body)).await;
     }
     let number = Uuid::now_v7();
-    let (mut order, question) =
-        (session.order("payout 7", number), session.order("payout 7", number));
-    order.last_try = true;
-    session.dispatch(&order).await;
-    assert!(matches!(session.next(order.attempt).await, AgentMessage::Accepted { .. }));
-    session.send(EntryMessage::Release { attempt: order.attempt, key: order.key }).await;
-    session.send(cancel(&question, true)).await;
-    assert_eq!(session.refusal(question.attempt).await, Refusal::Cancelled);
+    let (mut ticketed, voiding) =
+        (session.ticket_request("payout 7", number), session.ticket_request("payout 7", number));
+    ticketed.last_try = true;
+    session.dispatch(&ticketed).await;
+    assert!(matches!(session.next(ticketed.attempt).await, AgentMessage::Accepted { .. }));
+    session.send(EntryMessage::Release { attempt: ticketed.attempt, key: ticketed.key }).await;
+    session.send(cancel(&voiding, true)).await;
+    assert_eq!(session.refusal(voiding.attempt).await, Refusal::Cancelled);
     sleep(Duration::from_secs(2)).await;
-    let late = session.order("payout 7", number);
+    let late = session.ticket_request("payout 7", number);
     session.dispatch(&late).await;
     assert_eq!(session.refusal(late.attempt).await, Refusal::Cancelled);
     assert_eq!(service.executions(b"payout 7"), 0);
@@ -405,21 +407,22 @@
     let mut config = config();
     config.max_ticket_records = 1;
     let mut session = Session::start(service.clone(), config).await;
-    let first = session.order("crew", Uuid::now_v7());
+    let first = session.ticket_request("crew", Uuid::now_v7());
     session.dispatch(&first).await;
-    session.whole(first.attempt).await;
+    session.complete(first.attempt).await;
     let number = Uuid::now_v7();
-    let (second, question) = (session.order("payout 8", number), session.order("payout 8", number));
+    let (second, voiding) =
+        (session.ticket_request("payout 8", number), session.ticket_request("payout 8", number));
     session.dispatch(&second).await;
     assert_eq!(session.refusal(second.attempt).await, Refusal::RecordsFull);
-    session.send(cancel(&question, true)).await;
-    assert_eq!(session.refusal(question.attempt).await, Refusal::Cancelled);
-    let late = session.order("payout 8", number);
+    session.send(cancel(&voiding, true)).await;
+    assert_eq!(session.refusal(voiding.attempt).await, Refusal::Cancelled);
+    let late = session.ticket_request("payout 8", number);
     session.dispatch(&late).await;
     assert_eq!(session.refusal(late.attempt).await, Refusal::Cancelled);
 
     // Tombstones are bounded too. Beyond the bound the agent can't guarantee "not run".
-    let more: Vec<_> = (0..4).map(|_| session.order("payout 9", Uuid::now_v7())).collect();
+    let more: Vec<_> = (0..4).map(|_| session.ticket_request("payout 9", Uuid::now_v7())).collect();
     session.send(cancel(&more[0], true)).await;
     assert!(matches!(session.next(more[0].attempt).await, AgentMessage::Failed { .. }));
     assert_eq!(service.executions(b"payout 8"), 0);
@@ -429,14 +432,14 @@
 // the bound on their bytes new idempotent requests must be refused and tickets admitted, and kept
 // streams must not be dropped early.
 #[tokio::test(start_paused = true)]
-async fn stream_answers_reach_byte_bound_refused_not_forgotten() {
+async fn stream_answers_reach_byte_bound_refused_not_dropped() {
     let engine = FakeEngine::new(1, EngineSettings::default());
     let mut config = config();
     config.max_attempt_bytes = 1;
     let mut session = Session::start(engine, config).await;
     let first = session.request(STREAM);
     session.dispatch(&first).await;
-    let chunks = session.whole(first.attempt).await;
+    let chunks = session.complete(first.attempt).await;
     session.send(EntryMessage::Release { attempt: first.attempt, key: first.key }).await;
     let second = session.request(STREAM);
     session.dispatch(&second).await;
@@ -447,17 +450,17 @@
         *attempt = other;
     }
     session.send(resumed).await;
-    assert_eq!(session.whole(other).await, chunks);
+    assert_eq!(session.complete(other).await, chunks);
     session.send(EntryMessage::Release { attempt: other, key: first.key }).await;
-    let order = session.order(STREAM, Uuid::now_v7());
-    session.dispatch(&order).await;
-    session.whole(order.attempt).await;
+    let ticketed = session.ticket_request(STREAM, Uuid::now_v7());
+    session.dispatch(&ticketed).await;
+    session.complete(ticketed.attempt).await;
 
     sleep(Duration::from_secs(140)).await;
     let mut third = session.request(STREAM);
     third.window = flamingowheel_protocol::id::Window(15);
     session.dispatch(&third).await;
-    session.whole(third.attempt).await;
+    session.complete(third.attempt).await;
 }
 
 // Answers that are not event streams can't be resumed, so they must not be kept once they were
@@ -470,7 +473,7 @@
     for _ in 0..3 {
         let request = session.request("status");
         session.dispatch(&request).await;
-        session.whole(request.attempt).await;
+        session.complete(request.attempt).await;
         session.send(EntryMessage::Release { attempt: request.attempt, key: request.key }).await;
     }
 }
--- a/crates/agent/tests/cache.rs
+++ b/crates/agent/tests/cache.rs
@@ -24,36 +24,36 @@
     numbers.map(BlockHash).collect()
 }
 
-fn read(view: &mut CacheView, events: Vec<backend::CacheEvent>) -> Vec<CacheEvent> {
+fn apply(view: &mut CacheView, events: Vec<backend::CacheEvent>) -> Vec<CacheEvent> {
     view.apply_events(view.next_poll(), events)
 }
 
 #[tokio::test(start_paused = true)]
-async fn on_events_batch_told_under_one_number() {
+async fn apply_events_batch_sent_under_one_number() {
     let mut view = CacheView::default();
-    let told = read(&mut view, stored(1..=3));
-    assert_eq!(told, [CacheEvent { number: 1, change: CacheChange::Stored(blocks(1..=3)) }]);
+    let sent = apply(&mut view, stored(1..=3));
+    assert_eq!(sent, [CacheEvent { number: 1, change: CacheChange::Stored(blocks(1..=3)) }]);
     let removed = backend::CacheEvent { number: 4, block_hash: 2, stored: false };
-    let told = read(&mut view, vec![removed]);
+    let sent = apply(&mut view, vec![removed]);
     let change = CacheChange::Removed(blocks(2..=2));
-    assert_eq!(told, [CacheEvent { number: 2, change }]);
+    assert_eq!(sent, [CacheEvent { number: 2, change }]);
     let change = CacheChange::Snapshot(vec![BlockHash(1), BlockHash(3)]);
     assert_eq!(view.snapshot(), CacheEvent { number: 2, change });
-    assert!(read(&mut view, Vec::new()).is_empty());
+    assert!(apply(&mut view, Vec::new()).is_empty());
 }
 
 // The engine loses an event, so earlier blocks may have been evicted unnoticed. Entries must see a
 // gap in the numbers, new entries must get only certain blocks, and uncertain ones must expire.
 #[tokio::test(start_paused = true)]
-async fn on_events_lost_number_left_out_until_doubt_ends() {
+async fn apply_events_lost_number_skipped_until_uncertain_expire() {
     let mut view = CacheView::default();
-    read(&mut view, stored(1..=3));
-    let told = read(&mut view, stored(5..=6));
-    assert_eq!(told, [CacheEvent { number: 3, change: CacheChange::Stored(blocks(5..=6)) }]);
+    apply(&mut view, stored(1..=3));
+    let sent = apply(&mut view, stored(5..=6));
+    assert_eq!(sent, [CacheEvent { number: 3, change: CacheChange::Stored(blocks(5..=6)) }]);
     assert_eq!(view.snapshot().change, CacheChange::Snapshot(blocks(5..=6)));
     advance(UNCERTAIN_BLOCK_TTL - Duration::from_secs(1)).await;
     // A later loss must not extend the time of the first.
-    read(&mut view, stored(8..=8));
+    apply(&mut view, stored(8..=8));
     assert_eq!(view.expire_uncertain(), None);
     advance(Duration::from_secs(1)).await;
     let change = CacheChange::Snapshot(blocks(8..=8));
@@ -64,9 +64,9 @@
 // An engine restarts with an empty cache. A late answer of the old process must not bring its
 // blocks back.
 #[tokio::test(start_paused = true)]
-async fn start_over_late_answer_ignored() {
+async fn reset_late_answer_ignored() {
     let mut view = CacheView::default();
-    read(&mut view, stored(1..=3));
+    apply(&mut view, stored(1..=3));
     let late = view.next_poll();
     let change = CacheChange::Snapshot(Vec::new());
     assert_eq!(view.reset(), CacheEvent { number: 2, change });
@@ -75,22 +75,22 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn on_events_numbers_fell_known_blocks_void() {
+async fn apply_events_numbers_went_back_blocks_dropped() {
     let mut view = CacheView::default();
-    read(&mut view, stored(1..=9));
-    let told = read(&mut view, stored(1..=2));
-    let void = CacheEvent { number: 2, change: CacheChange::Snapshot(Vec::new()) };
-    assert_eq!(told[0], void);
+    apply(&mut view, stored(1..=9));
+    let sent = apply(&mut view, stored(1..=2));
+    let dropped = CacheEvent { number: 2, change: CacheChange::Snapshot(Vec::new()) };
+    assert_eq!(sent[0], dropped);
     assert_eq!(view.snapshot().change, CacheChange::Snapshot(blocks(1..=2)));
 }
 
 #[tokio::test(start_paused = true)]
-async fn on_events_many_memory_and_batch_bounded() {
+async fn apply_events_many_memory_and_batch_bounded() {
     let mut view = CacheView::default();
     let count = 3 * MAX_BLOCKS as u64;
     while view.next_poll().after < count {
         let before = view.next_poll().after;
-        read(&mut view, stored(before + 1..=count));
+        apply(&mut view, stored(before + 1..=count));
         assert_eq!(view.next_poll().after, count.min(before + MAX_EVENTS_PER_POLL as u64));
     }
     let newest = count - MAX_BLOCKS as u64 + 1..=count;
@@ -114,7 +114,7 @@
 // A connection is stuck while the cache changes, and the message about it is dropped. Once it works
 // again, the entry must get a snapshot, or it would never route prompts to these blocks.
 #[tokio::test(start_paused = true)]
-async fn cache_events_connection_stuck_caught_up() {
+async fn cache_events_connection_stuck_gets_snapshot() {
     let engine = FakeEngine::new(1, EngineSettings::default());
     let serves = Serves::Model { model: "m".into(), group: "g".into(), rank: 0 };
     let profile = BackendProfile { serves, places: 4, can_resume: true, experts: None };
@@ -131,7 +131,7 @@
     sleep(Duration::from_secs(3)).await;
     let expected = text::block_hashes(&body).into_iter().map(BlockHash).collect();
     let expected = CacheChange::Snapshot(expected);
-    let hears = async {
+    let got_snapshot = async {
         while let Some(message) = receiver.recv().await {
             let AgentMessage::CacheEvents(events) = message else { continue };
             if events.iter().any(|event| event.change == expected) {
@@ -140,5 +140,5 @@
         }
         false
     };
-    assert_eq!(tokio::time::timeout(Duration::from_secs(5), hears).await, Ok(true));
+    assert_eq!(tokio::time::timeout(Duration::from_secs(5), got_snapshot).await, Ok(true));
 }
--- a/crates/agent/tests/session/mod.rs
+++ b/crates/agent/tests/session/mod.rs
@@ -18,7 +18,7 @@
 use uuid::Uuid;
 
 /// Longer than anything these tests wait for.
-const PATIENCE: Duration = Duration::from_secs(60);
+const TIMEOUT: Duration = Duration::from_secs(60);
 
 pub struct Session {
     pub agent: AgentHandle,
@@ -65,7 +65,7 @@
     /// The next message about an attempt.
     pub async fn next(&mut self, attempt: AttemptId) -> AgentMessage {
         loop {
-            let message = timeout(PATIENCE, self.receiver.recv()).await.unwrap().unwrap();
+            let message = timeout(TIMEOUT, self.receiver.recv()).await.unwrap().unwrap();
             if message.attempt() == Some(attempt) {
                 return message;
             }
@@ -75,7 +75,7 @@
     /// Waits for the next message with suspicions; returns their number.
     pub async fn next_suspicions(&mut self) -> usize {
         loop {
-            let message = timeout(PATIENCE, self.receiver.recv()).await.unwrap().unwrap();
+            let message = timeout(TIMEOUT, self.receiver.recv()).await.unwrap().unwrap();
             if let AgentMessage::Suspicions(records) = message {
                 return records.len();
             }
@@ -83,7 +83,7 @@
     }
 
     /// Waits for the end of an attempt; returns its chunks.
-    pub async fn whole(&mut self, attempt: AttemptId) -> Vec<(u64, Bytes)> {
+    pub async fn complete(&mut self, attempt: AttemptId) -> Vec<(u64, Bytes)> {
         let mut chunks = Vec::new();
         loop {
             match self.next(attempt).await {
@@ -137,7 +137,7 @@
     }
 
     /// A request with a ticket.
-    pub fn order(&self, body: &'static str, number: Uuid) -> Dispatch {
+    pub fn ticket_request(&self, body: &'static str, number: Uuid) -> Dispatch {
         let key = ExecutionKey::Ticket { number, window: Window(1) };
         Dispatch { key, idempotent: false, ..self.request(body) }
     }
--- a/crates/group/benches/lease.rs
+++ b/crates/group/benches/lease.rs
@@ -13,16 +13,16 @@
 
 const ENTRIES: usize = 380;
 const GROUPS: usize = 228;
-const MEASURED: Duration = Duration::from_secs(60);
+const MEASURED_TIME: Duration = Duration::from_secs(60);
 
 /// The entry that coordinates a group, by rendezvous hashing.
 fn entry_of(group: usize) -> usize {
-    let weight = |entry: &usize| {
+    let score = |entry: &usize| {
         let mut hasher = DefaultHasher::new();
         (group, entry).hash(&mut hasher);
         hasher.finish()
     };
-    (0..ENTRIES).max_by_key(weight).unwrap_or(0)
+    (0..ENTRIES).max_by_key(score).unwrap_or(0)
 }
 
 fn process(kv: &FakeKeyValue) -> Leases {
@@ -37,11 +37,11 @@
     let held: Vec<Lease> =
         join_all(leases.iter().enumerate().map(acquire)).await.into_iter().flatten().collect();
     assert_eq!(held.len(), GROUPS, "all groups are free");
-    let keep = join_all(held.iter().map(|lease| timeout(MEASURED, lease.keep_alive())));
+    let keep = join_all(held.iter().map(|lease| timeout(MEASURED_TIME, lease.keep_alive())));
     let before = kv.calls().total();
     let lost = keep.await.iter().filter(|kept| kept.is_ok()).count();
     assert_eq!(lost, 0, "leases lost");
-    (kv.calls().total() - before) as f64 / MEASURED.as_secs_f64()
+    (kv.calls().total() - before) as f64 / MEASURED_TIME.as_secs_f64()
 }
 
 #[tokio::main(flavor = "current_thread")]
--- a/crates/group/benches/rollout.rs
+++ b/crates/group/benches/rollout.rs
@@ -12,24 +12,24 @@
 use tokio::time::{Instant, sleep};
 
 const RANKS: u16 = 32;
-const LOOK: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 fn map() -> ExpertMap {
     ExpertMap { layers: vec![(0..RANKS).map(|rank| vec![2 * rank, 2 * rank + 1]).collect()] }
 }
 
 /// Prints time and messages until every rank serves `version`, and the time without steps.
-async fn change(world: &World, name: &str, version: &str, adapters: &[&str]) {
+async fn measure_rollout(world: &World, name: &str, version: &str, adapters: &[&str]) {
     let began = Instant::now();
     let (calls, messages) = (world.kv.calls(), world.messages());
     let (stalled, orders) = (world.group.stalled(), world.orders());
-    world.accept(version, adapters);
+    world.set_desired_serving(version, adapters);
     let done = || {
         let holds = |rank| adapters.len() <= world.engine(rank).peek_state().adapters.len();
         world.all_serve(version) && (0..usize::from(RANKS)).all(holds)
     };
     while !done() {
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
     let took_ms = began.elapsed().as_millis();
     // The rollout lock is released at the next poll.
@@ -49,16 +49,16 @@
 async fn print(kind_name: &str, kind: EngineKind) {
     let world = World::start_ranks(kind, None, map(), RANKS.into()).await;
     // The standby's attempts to acquire the lease must not be counted.
-    world.end_reserve();
-    world.accept("1", &[]);
+    world.end_standby();
+    world.set_desired_serving("1", &[]);
     while !world.all_serve("1") {
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
     world.run_traffic(Duration::from_secs(5));
     sleep(Duration::from_secs(20)).await;
-    change(&world, &format!("{kind_name}.version"), "2", &[]).await;
-    change(&world, &format!("{kind_name}.adapter"), "2", &["bibb"]).await;
-    world.end();
+    measure_rollout(&world, &format!("{kind_name}.version"), "2", &[]).await;
+    measure_rollout(&world, &format!("{kind_name}.adapter"), "2", &["bibb"]).await;
+    world.shutdown();
 }
 
 fn main() {
--- a/crates/group/benches/switch.rs
+++ b/crates/group/benches/switch.rs
@@ -12,8 +12,8 @@
 use tokio::time::sleep;
 
 const MESSAGES: u64 = 70;
-const LOOK: Duration = Duration::from_millis(50);
-const WATCH: Duration = Duration::from_secs(25);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+const RUN_TIME: Duration = Duration::from_secs(25);
 
 /// Name, fault and duration.
 const FAULTS: [(&str, Fault, Duration); 17] = [
@@ -38,7 +38,7 @@
 
 /// Observations of one run.
 #[derive(Default)]
-struct Seen {
+struct Observed {
     still: Duration,
     /// From the fault's end to the last interval without a step.
     recovery: Duration,
@@ -46,45 +46,45 @@
     splits: usize,
 }
 
-async fn watch(kind: EngineKind, fault: Option<(u64, Fault, Duration)>) -> Seen {
+async fn run(kind: EngineKind, fault: Option<(u64, Fault, Duration)>) -> Observed {
     let world = World::start(kind).await;
     if let Some((message, fault, _)) = fault {
-        world.plan(message, fault);
+        world.schedule(message, fault);
     }
-    world.want(2);
-    let lasts = fault.map_or(Duration::ZERO, |(_, _, lasts)| lasts);
-    let mut seen = Seen::default();
-    let (mut since_start, mut struck_at) = (Duration::ZERO, None);
-    while since_start < WATCH {
-        let runs = world.runs_within(LOOK).await;
-        since_start += LOOK;
-        if world.has_struck() {
-            struck_at.get_or_insert(since_start);
+    world.set_desired_map(2);
+    let duration = fault.map_or(Duration::ZERO, |(_, _, duration)| duration);
+    let mut observed = Observed::default();
+    let (mut since_start, mut injected_at) = (Duration::ZERO, None);
+    while since_start < RUN_TIME {
+        let runs = world.runs_within(POLL_INTERVAL).await;
+        since_start += POLL_INTERVAL;
+        if world.all_injected() {
+            injected_at.get_or_insert(since_start);
         }
-        seen.runs = runs;
+        observed.runs = runs;
         if !runs {
-            seen.still += LOOK;
-            let over = struck_at.map_or(since_start, |struck| struck + lasts);
-            seen.recovery = since_start.saturating_sub(over);
+            observed.still += POLL_INTERVAL;
+            let ended_at = injected_at.map_or(since_start, |at| at + duration);
+            observed.recovery = since_start.saturating_sub(ended_at);
         }
     }
-    seen.splits = world.group.splits().len();
-    world.end();
+    observed.splits = world.group.splits().len();
+    world.shutdown();
     // Lets the stopped tasks end before the next world begins.
-    sleep(LOOK).await;
-    seen
+    sleep(POLL_INTERVAL).await;
+    observed
 }
 
 async fn print(kind_name: &str, kind: EngineKind) {
-    let plain = watch(kind, None).await;
+    let plain = run(kind, None).await;
     println!("{kind_name}.no_fault.still_ms={}", plain.still.as_millis());
-    for (name, fault, lasts) in FAULTS {
+    for (name, fault, duration) in FAULTS {
         let (mut worst, mut never, mut splits) = (Duration::ZERO, 0, plain.splits);
         for message in 0..MESSAGES {
-            let seen = watch(kind, Some((message, fault, lasts))).await;
-            splits += seen.splits;
-            never += u32::from(!seen.runs);
-            worst = if seen.runs { worst.max(seen.recovery) } else { worst };
+            let observed = run(kind, Some((message, fault, duration))).await;
+            splits += observed.splits;
+            never += u32::from(!observed.runs);
+            worst = if observed.runs { worst.max(observed.recovery) } else { worst };
         }
         let name = format!("{kind_name}.{name}");
         println!("{name}.worst_recovery_ms={}", worst.as_millis());
--- a/crates/group/tests/budget.rs
+++ b/crates/group/tests/budget.rs
@@ -84,16 +84,16 @@
 #[tokio::test(start_paused = true)]
 async fn share_service_down() {
     let mut share = share(0);
-    let allotted = allocation(&[0, 1]);
+    let allocated = allocation(&[0, 1]);
     let start = Instant::now();
-    share.apply(&allotted, 1, start, start);
-    assert_eq!(share.rate_bytes_per_s(start), allotted.minimum_bytes_per_s());
+    share.apply(&allocated, 1, start, start);
+    assert_eq!(share.rate_bytes_per_s(start), allocated.minimum_bytes_per_s());
     advance(SHARE_TTL - SECOND).await;
-    share.apply(&allotted, 1, Instant::now(), Instant::now());
+    share.apply(&allocated, 1, Instant::now(), Instant::now());
     advance(SECOND).await;
-    assert_eq!(share.rate_bytes_per_s(Instant::now()), allotted.share_bytes_per_s());
+    assert_eq!(share.rate_bytes_per_s(Instant::now()), allocated.share_bytes_per_s());
     advance(SHARE_TTL).await;
-    assert_eq!(share.rate_bytes_per_s(Instant::now()), allotted.minimum_bytes_per_s());
+    assert_eq!(share.rate_bytes_per_s(Instant::now()), allocated.minimum_bytes_per_s());
 }
 
 /// An answer of the key-value service arrives after a newer one and must be ignored.
@@ -109,7 +109,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn try_take_keeps_rate() {
+async fn try_acquire_keeps_rate() {
     let start = Instant::now();
     let mut pacer = Pacer::new(start);
     assert_eq!(pacer.try_acquire(1000, 500.0, start), Duration::ZERO);
@@ -121,7 +121,7 @@
 /// The rate grows while loads wait. If they were scheduled at the rate of their request, the last
 /// one would wait as long as before.
 #[tokio::test(start_paused = true)]
-async fn try_take_rate_changes_while_waiting() {
+async fn try_acquire_rate_changes_while_waiting() {
     let mut pacer = Pacer::new(Instant::now());
     assert_eq!(pacer.try_acquire(1000, 10.0, Instant::now()), Duration::ZERO);
     assert_eq!(pacer.try_acquire(1, 10.0, Instant::now()), SECOND * 100);
@@ -210,7 +210,7 @@
 /// rate. They must run one after another, and experts that a rank holds already must not be
 /// counted.
 #[tokio::test(start_paused = true)]
-async fn take_loads_one_rank_after_another() {
+async fn acquire_for_map_one_rank_after_another() {
     let budget = Arc::new(Budget::new(Arc::new(FakeKeyValue::new()), "0", LIMITS));
     let minimum = budget.rate_bytes_per_s();
     let loads = LoadLimiter {
@@ -220,13 +220,13 @@
     let map = |experts: [u16; 4]| ExpertMap {
         layers: vec![experts.chunks(2).map(<[u16]>::to_vec).collect()],
     };
-    let (held, next) = (map([0, 1, 2, 3]), map([0, 2, 1, 3]));
+    let (loaded, next) = (map([0, 1, 2, 3]), map([0, 2, 1, 3]));
     let start = Instant::now();
-    loads.acquire_for_map(0, Some(&held), &next).await;
+    loads.acquire_for_map(0, Some(&loaded), &next).await;
     assert_eq!(start.elapsed(), Duration::ZERO);
     loads.acquire_for_map(1, None, &next).await;
     assert_eq!(start.elapsed(), SECOND, "rank 0 loads one expert");
-    loads.acquire_for_map(0, Some(&held), &held).await;
+    loads.acquire_for_map(0, Some(&loaded), &loaded).await;
     assert_eq!(start.elapsed(), SECOND * 3, "rank 1 holds nothing and loads two");
 }
 
@@ -234,7 +234,7 @@
 /// the middle. If they read faster than the store's rate, it would refuse reads and the groups
 /// would be stopped for longer.
 #[tokio::test(start_paused = true)]
-async fn take_stand_in_store_refuses_nothing() {
+async fn acquire_fake_store_refuses_nothing() {
     const LOAD_BYTES: u64 = 1_000_000_000;
     const LOADS: u64 = 640;
     let kv = FakeKeyValue::new();
--- a/crates/group/tests/gate.rs
+++ b/crates/group/tests/gate.rs
@@ -95,7 +95,7 @@
 /// An agent dies between two orders, and the new process gets a late order of a coordinator that
 /// was replaced long ago.
 #[tokio::test(start_paused = true)]
-async fn open_takes_lowest_number_from_record() {
+async fn open_reads_lowest_number_from_record() {
     let kind = EngineKind::IgnoresFence;
     let (engine, kv) = (engine(kind), FakeKeyValue::new());
     let records = RecordStore::new(Arc::new(kv.clone()), "g1");
@@ -162,7 +162,7 @@
 /// The call is cancelled while the order is with the engine. The gate must still remember that the
 /// order may take effect.
 #[tokio::test(start_paused = true)]
-async fn handle_given_up_half_way() {
+async fn handle_cancelled_midway() {
     let kind = EngineKind::IgnoresFence;
     let (engine, kv) = (engine(kind), FakeKeyValue::new());
     let gate = open(&engine, kind, &kv).await;
@@ -193,7 +193,7 @@
 /// agent sent another load at once, the old one would take effect after it, and callers would get
 /// answers of a version that was replaced.
 #[tokio::test(start_paused = true)]
-async fn handle_load_of_dead_agent_under_way() {
+async fn handle_load_of_dead_agent_pending() {
     let kind = EngineKind::IgnoresFence;
     let (engine, kv) = (engine(kind), FakeKeyValue::new());
     engine.lose_order(LostOrder::Delayed(Duration::from_secs(20)));
@@ -211,7 +211,7 @@
 /// The key-value service is down when a load is ordered. If the load were sent without being
 /// stored, the next agent would not know of it.
 #[tokio::test(start_paused = true)]
-async fn handle_load_not_noted() {
+async fn handle_load_not_stored() {
     let kind = EngineKind::IgnoresFence;
     let (engine, kv) = (engine(kind), FakeKeyValue::new());
     let gate = open(&engine, kind, &kv).await;
@@ -237,7 +237,7 @@
 
 /// An engine refuses a load and the agent dies later. The next agent must not wait for that load.
 #[tokio::test(start_paused = true)]
-async fn open_note_of_refused_load_taken_back() {
+async fn open_refused_load_not_pending() {
     let kind = EngineKind::IgnoresFence;
     let (engine, kv) = (engine(kind), FakeKeyValue::new());
     let records = RecordStore::new(Arc::new(kv.clone()), "g1");
@@ -252,7 +252,7 @@
 /// Engines of a fleet restart a few thousand times a day, each time with a load. If stored loads
 /// were not removed, every new agent would read more and more of them.
 #[tokio::test(start_paused = true)]
-async fn handle_notes_do_not_pile_up() {
+async fn handle_pending_loads_removed() {
     let kind = EngineKind::IgnoresFence;
     let (engine, kv) = (engine(kind), FakeKeyValue::new());
     let gate = open(&engine, kind, &kv).await;
--- a/crates/group/tests/lease.rs
+++ b/crates/group/tests/lease.rs
@@ -21,7 +21,7 @@
 }
 
 /// Keeps the leases alive for this time and returns whether none was lost.
-async fn keeps(leases: &[Lease], time: Duration) -> bool {
+async fn none_lost(leases: &[Lease], time: Duration) -> bool {
     let all = leases.iter().map(|lease| Box::pin(lease.keep_alive()));
     timeout(time, select_all(all)).await.is_err()
 }
@@ -29,10 +29,10 @@
 /// Guards against one renewal per group: with several groups per entry, the renewals of a large
 /// fleet would use up the capacity that the key-value service needs for configuration and requests.
 #[tokio::test(start_paused = true)]
-async fn keep_renews_once_for_all_groups() {
+async fn keep_alive_renews_once_for_all_groups() {
     let kv = FakeKeyValue::new();
     let held = acquire_all(&process(&kv)).await;
-    assert!(keeps(&held, TTL * 20).await);
+    assert!(none_lost(&held, TTL * 20).await);
     let calls = kv.calls();
     assert_eq!(calls.grant_lease, 1);
     assert!((38..=41).contains(&calls.keep_alive), "{calls:?}");
@@ -42,42 +42,42 @@
 /// An entry is paused until its lease expires and another takes its groups over. When it resumes,
 /// it must not change any of them, and releasing them must not delete the other entry's keys.
 #[tokio::test(start_paused = true)]
-async fn keep_paused_past_lease() {
+async fn keep_alive_paused_past_lease() {
     let kv = FakeKeyValue::new();
-    let (sleeper, other) = (process(&kv), process(&kv));
-    let held = acquire_all(&sleeper).await;
+    let (paused, other) = (process(&kv), process(&kv));
+    let held = acquire_all(&paused).await;
     assert!(other.acquire("g1").await.unwrap().is_none());
     sleep(TTL * 2).await;
     let taken = acquire_all(&other).await;
     assert!(held.iter().all(|lease| !lease.may_change() && !lease.may_align()));
     join_all(held.iter().map(Lease::keep_alive)).await;
     join_all(held.into_iter().map(Lease::release)).await;
-    assert!(sleeper.acquire("g1").await.unwrap().is_none());
-    assert!(keeps(&taken, TTL * 2).await);
+    assert!(paused.acquire("g1").await.unwrap().is_none());
+    assert!(none_lost(&taken, TTL * 2).await);
     assert_eq!(kv.peek("groups/").entries.len(), GROUPS.len());
 }
 
 /// The key-value service is down for longer than the lease. Maps may not be changed, but crashed
 /// ranks may be aligned; once the service is back, all groups are acquired again.
 #[tokio::test(start_paused = true)]
-async fn keep_service_down_and_back() {
+async fn keep_alive_service_down_and_back() {
     let kv = FakeKeyValue::new();
     let leases = process(&kv);
     let held = acquire_all(&leases).await;
     kv.set_down(true);
-    assert!(keeps(&held, TTL * 4).await);
+    assert!(none_lost(&held, TTL * 4).await);
     assert!(held.iter().all(|lease| !lease.may_change() && lease.may_align()));
     kv.set_down(false);
     timeout(TTL, join_all(held.iter().map(Lease::keep_alive))).await.expect("the loss is noticed");
     drop(held);
     let held = acquire_all(&leases).await;
     assert!(held.iter().all(Lease::may_change));
-    assert!(keeps(&held, TTL * 4).await);
+    assert!(none_lost(&held, TTL * 4).await);
 }
 
 /// The lease is revoked by mistake. Coordination of all groups bound to it must end at once.
 #[tokio::test(start_paused = true)]
-async fn keep_lease_lost() {
+async fn keep_alive_lease_lost() {
     let kv = FakeKeyValue::new();
     let leases = process(&kv);
     let held = acquire_all(&leases).await;
@@ -102,12 +102,12 @@
             kv.lose_write_answers(1, lost);
         }
         held.remove(0).release().await;
-        assert!(keeps(&held, TTL).await, "{lost:?}");
+        assert!(none_lost(&held, TTL).await, "{lost:?}");
         let taken = other.acquire("g1").await.unwrap().expect("free again");
         assert!(other.acquire("g2").await.unwrap().is_none(), "{lost:?}");
         assert!(leases.acquire("g1").await.unwrap().is_none(), "{lost:?}");
         held.push(taken);
-        assert!(keeps(&held, TTL * 2).await, "{lost:?}");
+        assert!(none_lost(&held, TTL * 2).await, "{lost:?}");
     }
 }
 
@@ -120,7 +120,7 @@
     let held = [leases.acquire("g2").await.unwrap().expect("free")];
     kv.lose_answers(2, LostAnswer::AfterEffect);
     assert!(timeout(TTL / 30, leases.acquire("g1")).await.is_err());
-    assert!(keeps(&held, TTL * 2).await);
+    assert!(none_lost(&held, TTL * 2).await);
     assert!(other.acquire("g1").await.unwrap().is_some());
 }
 
--- a/crates/group/tests/support/mod.rs
+++ b/crates/group/tests/support/mod.rs
@@ -89,14 +89,14 @@
     name: &'static str,
     kind: EngineKind,
     sizes: Option<WeightSizes>,
-    wanted: watch::Sender<Option<DesiredServing>>,
+    desired_serving: watch::Sender<Option<DesiredServing>>,
     slots: Vec<Slot>,
     processes: Mutex<Vec<Process>>,
     desired: watch::Sender<Option<ExpertMap>>,
     messages: AtomicU64,
     refused_loads: AtomicU64,
     incarnations: AtomicU64,
-    plan: Mutex<Vec<(u64, Fault)>>,
+    schedule: Mutex<Vec<(u64, Fault)>>,
     stop: CancellationToken,
 }
 
@@ -127,7 +127,7 @@
     }
 
     /// Another group in the same key-value service.
-    pub async fn start_beside(kv: FakeKeyValue, group: &'static str) -> Arc<Self> {
+    pub async fn start_other_group(kv: FakeKeyValue, group: &'static str) -> Arc<Self> {
         Self::start_in(kv, group, EngineKind::ChecksFence, None, map(1), RANKS).await
     }
 
@@ -179,7 +179,7 @@
             name,
             kind,
             sizes,
-            wanted: watch::Sender::new(None),
+            desired_serving: watch::Sender::new(None),
             slots: engines.iter().map(slot).collect(),
             group: RankGroup::new(engines),
             processes: Mutex::default(),
@@ -187,7 +187,7 @@
             messages: AtomicU64::new(0),
             refused_loads: AtomicU64::new(0),
             incarnations: AtomicU64::new(0),
-            plan: Mutex::default(),
+            schedule: Mutex::default(),
             stop: CancellationToken::new(),
         });
         for rank in 0..ranks {
@@ -208,7 +208,8 @@
         let desired = self.desired.subscribe();
         let mut coordinator =
             Coordinator::new(Arc::clone(&kv), self.name, link, Timing::default(), desired);
-        coordinator = coordinator.with_rollout(Arc::clone(&kv), MODEL, self.wanted.subscribe());
+        coordinator =
+            coordinator.with_rollout(Arc::clone(&kv), MODEL, self.desired_serving.subscribe());
         if let Some(sizes) = self.sizes {
             let member = format!("p{}", self.processes.lock().unwrap().len());
             let budget = Arc::new(Budget::new(kv, &member, LIMITS));
@@ -242,8 +243,8 @@
     }
 
     /// Injects a fault now.
-    pub fn strike_now(self: &Arc<Self>, rank: usize, fault: Fault) {
-        self.strike(rank, fault);
+    pub fn inject_now(self: &Arc<Self>, rank: usize, fault: Fault) {
+        self.inject(rank, fault);
     }
 
     /// Makes a rank refuse to load maps and model versions.
@@ -256,19 +257,19 @@
         self.refused_loads.load(Ordering::SeqCst)
     }
 
-    pub fn want(&self, number: u16) {
+    pub fn set_desired_map(&self, number: u16) {
         self.desired.send_replace(Some(map(number)));
     }
 
     /// Injects `fault` at the `message`-th message from now.
-    pub fn plan(&self, message: u64, fault: Fault) {
+    pub fn schedule(&self, message: u64, fault: Fault) {
         let at = self.messages.load(Ordering::SeqCst) + message;
-        self.plan.lock().unwrap().push((at, fault));
+        self.schedule.lock().unwrap().push((at, fault));
     }
 
     /// Whether all scheduled faults have been injected.
-    pub fn has_struck(&self) -> bool {
-        self.plan.lock().unwrap().is_empty()
+    pub fn all_injected(&self) -> bool {
+        self.schedule.lock().unwrap().is_empty()
     }
 
     /// Whether the group runs a step within this time.
@@ -279,7 +280,7 @@
     }
 
     /// Stops all tasks of this world, so that they don't slow down the next one.
-    pub fn end(&self) {
+    pub fn shutdown(&self) {
         self.stop.cancel();
         self.processes.lock().unwrap().drain(..).for_each(|process| process.running.abort());
     }
@@ -291,10 +292,10 @@
     /// The status as the acting coordinator reports it.
     pub fn status(&self) -> GroupStatus {
         let processes = self.processes.lock().unwrap();
-        let leading = processes
+        let acting = processes
             .iter()
             .filter(|process| !*process.paused.borrow() && !process.running.is_finished());
-        let mut statuses = leading.map(|process| process.status.borrow().clone());
+        let mut statuses = acting.map(|process| process.status.borrow().clone());
         statuses.find(|status| status.activity != Activity::Following).unwrap_or_default()
     }
 
@@ -304,33 +305,33 @@
         assert!(self.group.mixed().is_empty(), "{case}: steps with two versions");
     }
 
-    fn strike(self: &Arc<Self>, rank: usize, fault: Fault) {
+    fn inject(self: &Arc<Self>, rank: usize, fault: Fault) {
         match fault {
             Fault::KillAgent => self.kill_agent(rank),
             Fault::PauseAgent => {
                 self.slots[rank].paused.send_replace(true);
-                self.later(move |world| {
+                self.after_outage(move |world| {
                     world.slots[rank].paused.send_replace(false);
                 });
             }
             Fault::CrashEngine => self.engine(rank).crash(),
             Fault::FreezeEngine => {
                 self.engine(rank).set_frozen(true);
-                self.later(move |world| world.engine(rank).set_frozen(false));
+                self.after_outage(move |world| world.engine(rank).set_frozen(false));
             }
             Fault::LoseOrder(lost) => self.engine(rank).lose_order(lost),
             Fault::ServiceDown => {
                 self.kv.set_down(true);
-                self.later(|world| world.kv.set_down(false));
+                self.after_outage(|world| world.kv.set_down(false));
             }
             Fault::ServiceSlow => {
                 self.kv.set_delay(Duration::from_millis(800));
-                self.later(|world| world.kv.set_delay(Duration::ZERO));
+                self.after_outage(|world| world.kv.set_delay(Duration::ZERO));
             }
             Fault::LoseServiceAnswers(lost) => self.kv.lose_answers(1, lost),
             Fault::PauseCoordinator => {
                 let all = self.processes.lock().unwrap();
-                let index = all.iter().position(is_leading);
+                let index = all.iter().position(is_acting);
                 drop(all);
                 let Some(index) = index else { return };
                 self.pause(index, true);
@@ -344,7 +345,7 @@
             }
             Fault::KillCoordinator => {
                 let all = self.processes.lock().unwrap();
-                if let Some(process) = all.iter().find(|process| is_leading(process)) {
+                if let Some(process) = all.iter().find(|process| is_acting(process)) {
                     process.running.abort();
                 }
             }
@@ -369,7 +370,7 @@
         });
     }
 
-    fn later<F>(self: &Arc<Self>, action: F)
+    fn after_outage<F>(self: &Arc<Self>, action: F)
     where
         F: FnOnce(&World) + Send + 'static,
     {
@@ -380,11 +381,11 @@
         });
     }
 
-    fn next_fault(&self) -> Option<Fault> {
+    fn due_fault(&self) -> Option<Fault> {
         let number = self.messages.fetch_add(1, Ordering::SeqCst);
-        let mut plan = self.plan.lock().unwrap();
-        let index = plan.iter().position(|(at, _)| *at <= number)?;
-        Some(plan.remove(index).1)
+        let mut schedule = self.schedule.lock().unwrap();
+        let index = schedule.iter().position(|(at, _)| *at <= number)?;
+        Some(schedule.remove(index).1)
     }
 
     async fn deliver(&self, rank: usize, request: RankRequest) -> Result<RankState, RankError> {
@@ -423,7 +424,7 @@
     }
 }
 
-fn is_leading(process: &Process) -> bool {
+fn is_acting(process: &Process) -> bool {
     process.status.borrow().activity != Activity::Following && !*process.paused.borrow()
 }
 
@@ -439,9 +440,9 @@
     ) -> BoxFuture<'_, Result<RankState, RankError>> {
         let world = Arc::clone(&self.0);
         Box::pin(async move {
-            let fault = world.next_fault();
+            let fault = world.due_fault();
             if let Some(fault) = fault {
-                world.strike(rank, fault);
+                world.inject(rank, fault);
             }
             match fault {
                 Some(Fault::LoseRequest) => std::future::pending().await,
--- a/crates/group/tests/support/traffic.rs
+++ b/crates/group/tests/support/traffic.rs
@@ -1,6 +1,6 @@
 //! Simulated requests to ranks, and a check that each answer comes from one model version.
 
-use super::{Slot, World, is_leading};
+use super::{Slot, World, is_acting};
 use flamingowheel_backing::fake::FakeEngine;
 use flamingowheel_group::intake::{Intake, IntakeState};
 use flamingowheel_group::serve::DesiredServing;
@@ -17,7 +17,7 @@
     mixed: AtomicU32,
     finished: AtomicU32,
     /// Counts agent processes; requests of earlier ones are not counted.
-    life: AtomicU32,
+    generation: AtomicU32,
 }
 
 impl Default for Traffic {
@@ -27,7 +27,7 @@
             in_progress: AtomicU32::new(0),
             mixed: AtomicU32::new(0),
             finished: AtomicU32::new(0),
-            life: AtomicU32::new(0),
+            generation: AtomicU32::new(0),
         }
     }
 }
@@ -35,7 +35,7 @@
 impl Traffic {
     /// A new agent process has started.
     pub fn restart(&self) {
-        self.life.fetch_add(1, Ordering::SeqCst);
+        self.generation.fetch_add(1, Ordering::SeqCst);
         self.in_progress.store(0, Ordering::SeqCst);
         self.open.store(true, Ordering::SeqCst);
     }
@@ -54,8 +54,8 @@
     pub async fn run(&self, engine: FakeEngine, length: Duration, stop: CancellationToken) {
         while !stop.is_cancelled() {
             // An engine that was started held and has no map begins no request.
-            let is_up = *engine.up().borrow() && engine.peek_state().map_version > 0;
-            if self.open.load(Ordering::SeqCst) && is_up {
+            let is_ready = *engine.up().borrow() && engine.peek_state().map_version > 0;
+            if self.open.load(Ordering::SeqCst) && is_ready {
                 self.run_one(&engine, length).await;
             }
             sleep(Duration::from_millis(20)).await;
@@ -64,11 +64,11 @@
 
     /// Runs one request, which ends after `length`.
     pub async fn run_one(&self, engine: &FakeEngine, length: Duration) {
-        let life = self.life.load(Ordering::SeqCst);
+        let generation = self.generation.load(Ordering::SeqCst);
         let began = engine.peek_state();
         self.in_progress.fetch_add(1, Ordering::SeqCst);
         sleep(length).await;
-        if self.life.load(Ordering::SeqCst) != life {
+        if self.generation.load(Ordering::SeqCst) != generation {
             return;
         }
         self.in_progress.fetch_sub(1, Ordering::SeqCst);
@@ -98,10 +98,10 @@
 
 impl World {
     /// Sets the model version and adapters that operators accepted.
-    pub fn accept(&self, version: &str, adapters: &[&str]) {
+    pub fn set_desired_serving(&self, version: &str, adapters: &[&str]) {
         let version = Some(version.to_owned());
         let adapters = adapters.iter().map(|name| (*name).to_owned()).collect();
-        self.wanted.send_replace(Some(DesiredServing { version, adapters }));
+        self.desired_serving.send_replace(Some(DesiredServing { version, adapters }));
     }
 
     /// The simulated requests to a rank.
@@ -129,10 +129,10 @@
     }
 
     /// Ends the standby coordinators.
-    pub fn end_reserve(&self) {
+    pub fn end_standby(&self) {
         let processes = self.processes.lock().unwrap();
-        let reserve = processes.iter().filter(|process| !is_leading(process));
-        reserve.for_each(|process| process.running.abort());
+        let standby = processes.iter().filter(|process| !is_acting(process));
+        standby.for_each(|process| process.running.abort());
     }
 
     /// Number of messages from coordinators to agents so far.
@@ -147,7 +147,7 @@
     }
 
     /// Whether the intake of some rank is open.
-    pub fn takes_work(&self) -> bool {
+    pub fn any_intake_open(&self) -> bool {
         self.slots.iter().any(|slot| slot.work.state().is_open)
     }
 
--- a/crates/group/tests/switch.rs
+++ b/crates/group/tests/switch.rs
@@ -17,23 +17,23 @@
 const MINUTE: Duration = Duration::from_secs(60);
 
 /// Injects the fault at each message of a switch, for engines of both kinds.
-async fn strike_everywhere(fault: Fault, fault_lasts: Duration) {
-    let mut struck = 0;
+async fn inject_at_every_message(fault: Fault, fault_lasts: Duration) {
+    let mut injected = 0;
     for kind in KINDS {
         for message in 0..MESSAGES {
             let case = format!("{fault:?} at message {message}, {kind:?}");
             let world = World::start(kind).await;
-            world.plan(message, fault);
-            world.want(2);
+            world.schedule(message, fault);
+            world.set_desired_map(2);
             sleep(fault_lasts + RECOVERY).await;
-            struck += u32::from(world.has_struck());
-            check_runs_or_named(&world, &case).await;
+            injected += u32::from(world.all_injected());
+            check_runs_or_reported(&world, &case).await;
         }
     }
-    assert!(struck > 60, "the fault struck only {struck} times");
+    assert!(injected > 60, "the fault was injected only {injected} times");
 }
 
-async fn check_runs_or_named(world: &World, case: &str) {
+async fn check_runs_or_reported(world: &World, case: &str) {
     let runs = world.runs_within(Duration::from_secs(1)).await;
     let status = world.status();
     world.check_steps(case);
@@ -43,9 +43,9 @@
             assert_eq!(world.engine(rank).peek_map(), map(2), "{case}, rank {rank}");
         }
     } else {
-        assert!(!status.out_of_service.is_empty(), "{case}: stands still, {status:?}");
+        assert!(!status.out_of_service.is_empty(), "{case}: stopped, {status:?}");
     }
-    world.end();
+    world.shutdown();
 }
 
 /// Switch without faults: it must succeed at the first attempt.
@@ -53,14 +53,18 @@
 async fn switch_without_fault() {
     for kind in KINDS {
         let world = World::start(kind).await;
-        world.want(2);
+        world.set_desired_map(2);
         for _ in 0..100 {
             sleep(Duration::from_millis(10)).await;
             let activity = world.status().activity;
-            assert_ne!(activity, Activity::Aligning, "{kind:?}: the switch took a second try");
+            assert_ne!(
+                activity,
+                Activity::Aligning,
+                "{kind:?}: the switch needed a second attempt"
+            );
         }
         assert_eq!(world.engine(0).peek_map(), map(2), "{kind:?}");
-        check_runs_or_named(&world, "no fault").await;
+        check_runs_or_reported(&world, "no fault").await;
     }
 }
 
@@ -70,79 +74,81 @@
 async fn switch_loads_paced() {
     // At the minimum of 50 bytes/s each rank's load takes 0.9 s.
     let world = World::start_with(EngineKind::ChecksFence, Some(45)).await;
-    world.want(2);
+    world.set_desired_map(2);
     sleep(Duration::from_millis(1700)).await;
     assert_eq!(world.engine(0).peek_map(), map(1), "the third rank must not have loaded yet");
     assert_eq!(world.status().activity, Activity::Staging);
     assert!(world.runs_within(Duration::from_millis(100)).await);
     sleep(Duration::from_secs(2)).await;
-    check_runs_or_named(&world, "paced").await;
+    check_runs_or_reported(&world, "paced").await;
 }
 
 /// The network drops a request or an answer, or duplicates a request.
 #[tokio::test(start_paused = true)]
 async fn switch_message_lost_or_doubled() {
-    strike_everywhere(Fault::LoseRequest, Duration::ZERO).await;
-    strike_everywhere(Fault::LoseAnswer, Duration::ZERO).await;
-    strike_everywhere(Fault::Duplicate, Duration::ZERO).await;
+    inject_at_every_message(Fault::LoseRequest, Duration::ZERO).await;
+    inject_at_every_message(Fault::LoseAnswer, Duration::ZERO).await;
+    inject_at_every_message(Fault::Duplicate, Duration::ZERO).await;
 }
 
 /// An agent dies and restarts two seconds later with no memory of earlier orders.
 #[tokio::test(start_paused = true)]
 async fn switch_agent_killed() {
-    strike_everywhere(Fault::KillAgent, Duration::from_secs(2)).await;
+    inject_at_every_message(Fault::KillAgent, Duration::from_secs(2)).await;
 }
 
 /// An agent is paused for some seconds in the middle of an order and then continues with it.
 #[tokio::test(start_paused = true)]
 async fn switch_agent_paused() {
-    strike_everywhere(Fault::PauseAgent, OUTAGE).await;
+    inject_at_every_message(Fault::PauseAgent, OUTAGE).await;
 }
 
 /// An engine crashes and restarts with no map. If it stepped without one, the group would produce
 /// wrong tokens.
 #[tokio::test(start_paused = true)]
 async fn switch_engine_crashed() {
-    strike_everywhere(Fault::CrashEngine, Duration::from_secs(2)).await;
+    inject_at_every_message(Fault::CrashEngine, Duration::from_secs(2)).await;
 }
 
 /// An engine freezes for some seconds and then continues.
 #[tokio::test(start_paused = true)]
 async fn switch_engine_frozen() {
-    strike_everywhere(Fault::FreezeEngine, OUTAGE).await;
+    inject_at_every_message(Fault::FreezeEngine, OUTAGE).await;
 }
 
 /// The key-value service goes down during the switch, or answers too late.
 #[tokio::test(start_paused = true)]
 async fn switch_service_down_or_slow() {
-    strike_everywhere(Fault::ServiceDown, OUTAGE).await;
-    strike_everywhere(Fault::ServiceSlow, OUTAGE).await;
+    inject_at_every_message(Fault::ServiceDown, OUTAGE).await;
+    inject_at_every_message(Fault::ServiceSlow, OUTAGE).await;
 }
 
 /// A write to the key-value service is lost before or after it took effect.
 #[tokio::test(start_paused = true)]
 async fn switch_service_answer_lost() {
-    strike_everywhere(Fault::LoseServiceAnswers(LostAnswer::AfterEffect), Duration::ZERO).await;
-    strike_everywhere(Fault::LoseServiceAnswers(LostAnswer::BeforeEffect), Duration::ZERO).await;
+    inject_at_every_message(Fault::LoseServiceAnswers(LostAnswer::AfterEffect), Duration::ZERO)
+        .await;
+    inject_at_every_message(Fault::LoseServiceAnswers(LostAnswer::BeforeEffect), Duration::ZERO)
+        .await;
 }
 
 /// The coordinator dies; another must complete the switch or roll it back.
 #[tokio::test(start_paused = true)]
 async fn switch_coordinator_killed() {
-    strike_everywhere(Fault::KillCoordinator, Duration::ZERO).await;
+    inject_at_every_message(Fault::KillCoordinator, Duration::ZERO).await;
 }
 
 /// The coordinator is paused until its lease expires, and continues with the switch after another
 /// has taken over.
 #[tokio::test(start_paused = true)]
 async fn switch_coordinator_paused() {
-    strike_everywhere(Fault::PauseCoordinator, OUTAGE * 3).await;
+    inject_at_every_message(Fault::PauseCoordinator, OUTAGE * 3).await;
 }
 
 /// A coordinator loses its lease without noticing, so that two coordinators send orders at once.
 #[tokio::test(start_paused = true)]
 async fn switch_two_coordinators() {
-    strike_everywhere(Fault::ExpireLease, Duration::ZERO).await;
+    inject_at_every_message(Fault::ExpireLease, Duration::ZERO).await;
 }
 
 /// An engine's answer to an order is lost, or the order itself. With an engine that checks no
@@ -150,8 +156,8 @@
 /// service.
 #[tokio::test(start_paused = true)]
 async fn switch_engine_order_lost() {
-    strike_everywhere(Fault::LoseOrder(LostOrder::AfterEffect), Duration::ZERO).await;
-    strike_everywhere(Fault::LoseOrder(LostOrder::BeforeEffect), Duration::ZERO).await;
+    inject_at_every_message(Fault::LoseOrder(LostOrder::AfterEffect), Duration::ZERO).await;
+    inject_at_every_message(Fault::LoseOrder(LostOrder::BeforeEffect), Duration::ZERO).await;
 }
 
 /// An order is delayed by a minute, on the network or in the engine, and arrives after the group
@@ -163,19 +169,19 @@
             for message in 0..MESSAGES {
                 let case = format!("{fault:?} at message {message}, {kind:?}");
                 let world = World::start(kind).await;
-                world.plan(message, fault);
+                world.schedule(message, fault);
                 for number in [2, 3, 4] {
-                    world.want(number);
+                    world.set_desired_map(number);
                     sleep(MINUTE / 3).await;
                 }
                 // The late order arrives about now, during further switches.
                 for number in 5..12 {
-                    world.want(number);
+                    world.set_desired_map(number);
                     sleep(Duration::from_millis(700)).await;
                 }
-                world.want(2);
+                world.set_desired_map(2);
                 sleep(RECOVERY).await;
-                check_runs_or_named(&world, &case).await;
+                check_runs_or_reported(&world, &case).await;
             }
         }
     }
@@ -189,16 +195,16 @@
         let world = World::start(kind).await;
         world.kv.set_down(true);
         sleep(MINUTE).await;
-        world.strike_now(1, Fault::CrashEngine);
+        world.inject_now(1, Fault::CrashEngine);
         sleep(RECOVERY + Duration::from_secs(2)).await;
         assert!(world.runs_within(Duration::from_secs(1)).await, "{kind:?}");
-        world.want(2);
-        world.strike_now(2, Fault::KillAgent);
+        world.set_desired_map(2);
+        world.inject_now(2, Fault::KillAgent);
         sleep(MINUTE).await;
         assert_eq!(world.engine(0).peek_map(), map(1), "a map was changed during the outage");
         world.kv.set_down(false);
         sleep(RECOVERY).await;
-        check_runs_or_named(&world, "service back").await;
+        check_runs_or_reported(&world, "service back").await;
         assert_eq!(world.engine(0).peek_map(), map(2));
     }
 }
@@ -212,7 +218,7 @@
     let before = revision();
     sleep(RECOVERY).await;
     assert_eq!(revision(), before, "a quiet group needs no writes");
-    world.strike_now(0, Fault::KillCoordinator);
+    world.inject_now(0, Fault::KillCoordinator);
     sleep(RECOVERY).await;
     assert!(revision() > before);
     let highest = world.engine(0).peek_state().highest_fence;
@@ -252,11 +258,11 @@
                 let (at, gap) = (place % 45, place % 13);
                 let case = format!("{first:?} at {at}, {second:?} {gap} later, {kind:?}");
                 let world = World::start(kind).await;
-                world.plan(at, first);
-                world.plan(at + gap, second);
-                world.want(2);
+                world.schedule(at, first);
+                world.schedule(at + gap, second);
+                world.set_desired_map(2);
                 sleep(OUTAGE * 4 + RECOVERY).await;
-                check_runs_or_named(&world, &case).await;
+                check_runs_or_reported(&world, &case).await;
             }
         }
     }
@@ -269,13 +275,13 @@
 async fn switch_failed_before_commit_tried_again() {
     let world = World::start(EngineKind::ChecksFence).await;
     world.refuse_loads(1, true);
-    world.want(2);
+    world.set_desired_map(2);
     sleep(MINUTE * 4).await;
     assert_eq!(world.engine(0).peek_map(), map(1));
     assert!(world.runs_within(Duration::from_secs(1)).await);
-    let tries = world.refused_loads();
+    let attempts = world.refused_loads();
     // Without backoff there would be several hundred.
-    assert!((4..=12).contains(&tries), "{tries} tries in four minutes");
+    assert!((4..=12).contains(&attempts), "{attempts} attempts in four minutes");
     world.refuse_loads(1, false);
     sleep(MINUTE + Duration::from_secs(5)).await;
     assert_eq!(world.engine(0).peek_map(), map(2));
--- a/crates/group/tests/verify.rs
+++ b/crates/group/tests/verify.rs
@@ -17,14 +17,14 @@
 /// Ranks that are held and confirm every order. If `forgets` is set, the last one loses its map
 /// right after confirming it.
 #[derive(Default)]
-struct Forgetful {
-    forgets: bool,
+struct FakeRanks {
+    loses_map: bool,
     resumed_under: Mutex<Fence>,
 }
 
 const RANKS: usize = 2;
 
-impl Ranks for Forgetful {
+impl Ranks for FakeRanks {
     fn count(&self) -> usize {
         RANKS
     }
@@ -38,9 +38,9 @@
             *self.resumed_under.lock().unwrap() = request.fence;
         }
         let ordered = matches!(request.target, Some(OrderTarget::SwitchMap { .. }));
-        let forgot = self.forgets && rank == RANKS - 1 && !ordered;
+        let has_lost_map = self.loses_map && rank == RANKS - 1 && !ordered;
         let engine = EngineState {
-            map_version: u64::from(!forgot),
+            map_version: u64::from(!has_lost_map),
             held_after_step: Some(0),
             ..EngineState::default()
         };
@@ -64,7 +64,7 @@
     Session { ranks, records, lease, timing, load_limiter: None, may_load: true }
 }
 
-async fn read_back(ranks: Forgetful) -> Result<(), GroupError> {
+async fn read_back(ranks: FakeRanks) -> Result<(), GroupError> {
     let kv: Arc<dyn KeyValue> = Arc::new(FakeKeyValue::new());
     let records = RecordStore::new(Arc::clone(&kv), "g1");
     let stored = records.create(GroupRecord::first(ExpertMap::default(), RANKS)).await.unwrap();
@@ -80,19 +80,22 @@
 /// An engine confirms the switch and crashes right after. A coordinator that relied on the answer
 /// would resume the group while one rank has no map.
 #[tokio::test(start_paused = true)]
-async fn read_back_rank_forgot_its_map() {
-    assert_eq!(read_back(Forgetful::default()).await, Ok(()));
+async fn read_back_rank_lost_map() {
+    assert_eq!(read_back(FakeRanks::default()).await, Ok(()));
     let error = RankError::WrongVersion { version: 0 };
     let expected = GroupError::Rank { rank: RANKS - 1, error };
-    assert_eq!(read_back(Forgetful { forgets: true, ..Forgetful::default() }).await, Err(expected));
+    assert_eq!(
+        read_back(FakeRanks { loses_map: true, ..FakeRanks::default() }).await,
+        Err(expected)
+    );
 }
 
 type Call<'a> = BoxFuture<'a, Result<RankState, RankError>>;
 
 /// Ranks whose answers are computed by a function.
-struct By<Answer>(Answer);
+struct RanksFn<Answer>(Answer);
 
-impl<Answer> Ranks for By<Answer>
+impl<Answer> Ranks for RanksFn<Answer>
 where
     Answer: Fn(usize, &RankRequest) -> Result<RankState, RankError> + Send + Sync + 'static,
 {
@@ -119,7 +122,7 @@
     let held = Arc::new(Mutex::new(false));
     let holding = Arc::clone(&held);
     // The first rank does not answer and the second steps without a map.
-    let ranks = By(move |rank, request: &RankRequest| {
+    let ranks = RanksFn(move |rank, request: &RankRequest| {
         if rank == 0 {
             return Err(RankError::NoAnswer);
         }
@@ -135,7 +138,7 @@
     assert!(*held.lock().unwrap());
 }
 
-async fn opened(phase: Phase) -> Vec<usize> {
+async fn reopened_ranks(phase: Phase) -> Vec<usize> {
     let kv: Arc<dyn KeyValue> = Arc::new(FakeKeyValue::new());
     let records = RecordStore::new(Arc::clone(&kv), "g1");
     let first = GroupRecord::first(ExpertMap::default(), RANKS);
@@ -144,14 +147,14 @@
     let lease =
         Leases::new(Arc::clone(&kv), timing.lease_ttl).acquire("g1").await.unwrap().unwrap();
     let opened = Arc::new(Mutex::new(Vec::new()));
-    let noted = Arc::clone(&opened);
+    let recorded = Arc::clone(&opened);
     // All ranks step with the map in force; the first does not answer, the others are closed.
-    let ranks = By(move |rank, request: &RankRequest| {
+    let ranks = RanksFn(move |rank, request: &RankRequest| {
         if rank == 0 {
             return Err(RankError::NoAnswer);
         }
         if request.open == Some(true) {
-            noted.lock().unwrap().push(rank);
+            recorded.lock().unwrap().push(rank);
         }
         let engine = EngineState { map_version: 1, ..EngineState::default() };
         let work = IntakeState { is_open: false, in_progress: 0 };
@@ -165,16 +168,16 @@
 /// An agent is lost for good right after its group has changed its version. The group steps on, so
 /// the other agents must admit requests again; during the change they must not.
 #[tokio::test(start_paused = true)]
-async fn align_opens_the_others_when_a_change_is_over() {
-    assert_eq!(opened(Phase::Settled).await, [1]);
-    assert!(opened(Phase::Rolling).await.is_empty());
+async fn align_reopens_others_after_change() {
+    assert_eq!(reopened_ranks(Phase::Settled).await, [1]);
+    assert!(reopened_ranks(Phase::Rolling).await.is_empty());
 }
 
 /// A coordinator died while it held ranks for a new map. Its successor rolls the change back, in
 /// the record first: ranks resume under that write's fencing number, so that a late order of the
 /// change can't hold them again.
 #[tokio::test(start_paused = true)]
-async fn align_drops_uncommitted_change() {
+async fn align_rolls_back_uncommitted_change() {
     let kv: Arc<dyn KeyValue> = Arc::new(FakeKeyValue::new());
     let records = RecordStore::new(Arc::clone(&kv), "g1");
     let first = records.create(GroupRecord::first(ExpertMap::default(), RANKS)).await.unwrap();
@@ -184,7 +187,7 @@
     let timing = Timing::default();
     let lease =
         Leases::new(Arc::clone(&kv), timing.lease_ttl).acquire("g1").await.unwrap().unwrap();
-    let ranks = Forgetful::default();
+    let ranks = FakeRanks::default();
     let session = session(&ranks, &records, &lease, &timing);
     let (stored, result) = align(&session, stored).await;
     assert!(matches!(result, Ok(Alignment::Running)), "{result:?}");
