--- a/crates/policy/benches/experts.rs
+++ b/crates/policy/benches/experts.rs
@@ -1,7 +1,7 @@
-//! Time of a plan and the skew that it reaches, by the number of ranks.
+//! Time of a rebalancing step and the skew that it reaches, by group size.
 //!
-//! Prints, for each size, the skew after a shift of demand, that after one step and after all steps, the
-//! copies and the milliseconds of a step.
+//! Prints for each size the skew after a shift of demand, after one step and after all steps, the
+//! number of steps and copies, and the milliseconds per step.
 
 #![allow(clippy::print_stdout, reason = "the table is the output")]
 
@@ -11,7 +11,7 @@
 use rand_chacha::ChaCha8Rng;
 use std::time::Instant;
 
-/// Sets, experts, ranks, replicas a rank, new experts a rank and set.
+/// Sets, experts, ranks, replicas per rank, copies per rank and set.
 const SIZES: [(usize, usize, usize, usize, usize); 5] = [
     (3, 96, 12, 11, 4),
     (16, 96, 24, 5, 2),
@@ -22,9 +22,9 @@
 const SEEDS: u64 = 5;
 const TOPICS: usize = 9;
 const CHOICES: f64 = 200_000.0;
-/// Exponent of the popularity of a topic's experts.
+/// Exponent of the Zipf distribution of a topic's experts.
 const POPULARITY: f64 = 0.9;
-const MOST_STEPS: usize = 12;
+const MAX_STEPS: usize = 12;
 
 fn main() {
     println!("ranks experts before  one_step  all_steps steps copies  ms_a_step");
@@ -49,7 +49,7 @@
     let limits = StepLimits::for_pressure(0.8, spare, times);
     let mut map = shape.first_map();
     let old = demand(shape, &mut rng);
-    for _ in 0..MOST_STEPS {
+    for _ in 0..MAX_STEPS {
         let Some(next) = step(&map, &old, &paces, limits) else { break };
         map = next.map;
     }
@@ -57,7 +57,7 @@
     let before = skew(&map, &shifted, &paces);
     let (mut one, mut steps, mut copies) = (before, 0, 0);
     let begun = Instant::now();
-    for _ in 0..MOST_STEPS {
+    for _ in 0..MAX_STEPS {
         let Some(next) = step(&map, &shifted, &paces, limits) else { break };
         map = next.map;
         copies += next.copies;
@@ -71,7 +71,7 @@
     [before, one, all, f64::from(steps), copies as f64, ms]
 }
 
-/// Demand of a few topics, each of which likes experts of its own in each set.
+/// Demand from a few topics, each of which prefers different experts in each set.
 fn demand(shape: Shape, rng: &mut ChaCha8Rng) -> Demand {
     let mut counts = Vec::new();
     for _ in 0..shape.sets {
--- a/crates/policy/benches/model/baseline.rs
+++ b/crates/policy/benches/model/baseline.rs
@@ -1,4 +1,4 @@
-//! The simple policies that the shipping one is compared with.
+//! Simple baseline policies for comparison with the shipping policy.
 
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
@@ -13,12 +13,12 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Baseline {
     pub rule: Rule,
-    /// The agent refuses beyond this many waiting; `None`: it queues without bound.
+    /// The agent refuses requests beyond this queue length; `None` for an unbounded queue.
     pub early_queue: Option<usize>,
     pub max_tries: usize,
 }
 
-/// The last report of each server and the own sends since.
+/// The last report of each server and the number of requests sent since.
 #[derive(Clone)]
 pub struct BaselineBook {
     reported: Vec<u16>,
@@ -43,7 +43,7 @@
         self.sent_since[server] = self.sent_since[server].saturating_sub(1);
     }
 
-    /// A server that refused already is not drawn again.
+    /// Chooses a server by the baseline's rule; servers in `tried` are not drawn again.
     pub fn choose(&self, baseline: &Baseline, tried: &[usize], rng: &mut ChaCha8Rng) -> usize {
         let servers = self.reported.len();
         let mut draw = || {
@@ -56,16 +56,16 @@
         };
         match baseline.rule {
             Rule::Random => draw(),
-            Rule::LeastByReport => self.least(0..servers, false, rng),
+            Rule::LeastByReport => self.least_loaded(0..servers, false, rng),
             Rule::BestOf { candidates, own_sends } => {
                 let drawn: Vec<usize> = (0..candidates).map(|_| draw()).collect();
-                self.least(drawn.into_iter(), own_sends, rng)
+                self.least_loaded(drawn.into_iter(), own_sends, rng)
             }
         }
     }
 
-    /// The least loaded, ties broken at random.
-    fn least<I>(&self, servers: I, own_sends: bool, rng: &mut ChaCha8Rng) -> usize
+    /// The least_loaded loaded server; ties are broken at random.
+    fn least_loaded<I>(&self, servers: I, own_sends: bool, rng: &mut ChaCha8Rng) -> usize
     where
         I: Iterator<Item = usize>,
     {
--- a/crates/policy/benches/model/config.rs
+++ b/crates/policy/benches/model/config.rs
@@ -1,4 +1,4 @@
-//! What the model is set to, and what it counts.
+//! Configuration and results of the model.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -9,14 +9,14 @@
 
 use super::baseline::Baseline;
 
-/// Who chooses the backend server.
+/// Policy that chooses the backend server.
 #[derive(Clone, Copy, Debug)]
 pub enum Chooser {
     Baseline(Baseline),
     Shipping(RoutingConfig),
 }
 
-/// A class of requests.
+/// A class of requests with the same priority.
 #[derive(Clone, Copy, Debug)]
 pub struct Class {
     pub share: f64,
@@ -39,7 +39,7 @@
     pub servers: usize,
     pub load: f64,
     pub service: Duration,
-    /// Work before the first token, a part of the service.
+    /// Work before the first token; included in `service`.
     pub prefill: Duration,
     pub lag: Duration,
     pub report_every: Duration,
@@ -49,32 +49,32 @@
     pub admission: AdmissionConfig,
     pub classes: Vec<Class>,
     pub outage: Option<Outage>,
-    /// Share of requests that all have one body.
+    /// Share of requests that all have the same body.
     pub same_body_share: f64,
-    /// Draw candidates by the body's fingerprint rather than anew for every request.
+    /// Rank candidates by the body's fingerprint rather than randomly for every request.
     pub seeded: bool,
-    /// Prompts with shared prefixes; their prefill comes on top of the service.
+    /// Prompts with shared prefixes; their prefill is added to `service`.
     pub prompts: Option<PromptsConfig>,
 }
 
-/// Requests of conversations whose prompts begin alike.
+/// Requests whose prompts share prefixes, as in conversations.
 #[derive(Clone, Copy, Debug)]
 pub struct PromptsConfig {
-    /// Different shared beginnings; the n-th is asked for in proportion to 1/n.
+    /// Number of different prefixes; the n-th has a frequency proportional to 1/n.
     pub prefixes: usize,
-    /// Blocks of a shared beginning.
+    /// Blocks of a shared prefix.
     pub prefix_blocks: usize,
-    /// Blocks of a prompt's own end.
+    /// Blocks of a prompt after the prefix.
     pub own_blocks: usize,
     /// Blocks that a backend server's cache holds.
     pub cache_blocks: usize,
-    /// Time between two messages about a cache.
-    pub told_every: Duration,
-    /// Whether entries are told at all.
-    pub told: bool,
+    /// Time between two messages with cache events.
+    pub cache_event_interval: Duration,
+    /// Whether cache events are sent to the entries.
+    pub sends_cache_events: bool,
 }
 
-/// What one class met.
+/// Results of one class.
 pub struct ClassFigures {
     pub wait_us: Histogram<u64>,
     pub first_token_us: Histogram<u64>,
@@ -99,13 +99,13 @@
 pub struct Figures {
     pub classes: Vec<ClassFigures>,
     pub tries: u64,
-    /// Work finished in the measured time, in seconds of a place.
+    /// Work finished in the measured time, in seconds of one place.
     pub work_done_s: f64,
-    /// How often the one same body ran on each backend server.
+    /// How often the common body ran on each backend server.
     pub same_body_runs: Vec<u64>,
-    /// Blocks of the prompts that were started.
+    /// Blocks of all started prompts.
     pub prompt_blocks: u64,
-    /// Those of them that were cached where they were started.
+    /// Blocks of started prompts that were cached on their server.
     pub cached_blocks: u64,
 }
 
@@ -123,7 +123,7 @@
         refused as f64 / self.arrived() as f64
     }
 
-    /// Share of the same body's runs that the eight servers with the most of them had.
+    /// Share of the common body's runs on the eight servers with most of them.
     pub fn same_body_share_of_top_8(&self) -> f64 {
         let mut runs = self.same_body_runs.clone();
         runs.sort_unstable_by_key(|runs| Reverse(*runs));
@@ -131,7 +131,7 @@
         runs.iter().take(8).sum::<u64>() as f64 / all.max(1) as f64
     }
 
-    /// Share of all prefill that caches saved.
+    /// Share of all prefill that was saved by caches.
     pub fn prefill_saved_share(&self) -> f64 {
         self.cached_blocks as f64 / self.prompt_blocks.max(1) as f64
     }
--- a/crates/policy/benches/model/limits.rs
+++ b/crates/policy/benches/model/limits.rs
@@ -11,29 +11,29 @@
 const STEP: Duration = Duration::from_millis(10);
 const LIMITS: Limits = Limits { requests_per_s: 200.0, tokens_per_s: 1e9, in_flight: 10_000 };
 
-/// How the subset is used.
+/// Parameters of a simulation.
 pub struct LimitsConfig {
     pub seed: u64,
     pub members: u64,
-    /// Offered to all entries together, relative to the limit.
+    /// Load offered to all entries together, relative to the limit.
     pub load: f64,
-    /// Entries that get all of it at a time; every 20 s others.
+    /// Number of entries that get the whole load at a time; they change every 20 s.
     pub busy: u64,
     pub loss: f64,
     pub delay: Duration,
 }
 
 pub struct LimitsFigures {
-    /// Admitted relative to the least of limit and demand.
+    /// Admitted requests, relative to the smaller of limit and demand.
     pub used: f64,
-    /// Most admitted in any window beyond `limit * window`, relative to one second of the limit.
+    /// Largest excess over `limit * window` in any window, relative to one second of the limit.
     pub overshoot_s: f64,
-    /// Messages a second of all members.
+    /// Messages per second of all members.
     pub messages_per_s: f64,
 }
 
 enum Message {
-    Ask(LoanRequest),
+    LoanRequest(LoanRequest),
     Loan(Loan),
 }
 
@@ -77,7 +77,7 @@
         };
         for (member, key) in members.iter_mut().zip(&keys) {
             if let Some((lender, request)) = member.next_loan_request(now) {
-                messages.extend(send((now, *key, lender, Message::Ask(request))));
+                messages.extend(send((now, *key, lender, Message::LoanRequest(request))));
             }
         }
         for _ in 0..messages.len() {
@@ -86,7 +86,7 @@
             match message {
                 _ if at > now => messages.push_back((at, from, to, message)),
                 Message::Loan(loan) => member.on_loan(from, &loan, now),
-                Message::Ask(request) => {
+                Message::LoanRequest(request) => {
                     let loan = member.lend(from, &request, now);
                     messages.extend(send((now, to, from, Message::Loan(loan))));
                 }
--- a/crates/policy/benches/model/mod.rs
+++ b/crates/policy/benches/model/mod.rs
@@ -1,7 +1,7 @@
-//! A small discrete-event model of entries before backend servers. It drives the shipping policy
-//! code: [`choose`], [`LoadTracker`], [`Admission`] and [`RetryBudget`] are the ones of the daemon.
+//! A small discrete-event model of entries and backend servers. It runs the shipping policy code:
+//! [`choose`], [`LoadTracker`], [`Admission`] and [`RetryBudget`] are the same as in the daemon.
 
-// Each bench uses its own part of the model.
+// Each benchmark uses a different part of the model.
 #![allow(dead_code)]
 
 pub mod args;
@@ -28,9 +28,9 @@
 use config::ClassFigures;
 pub use config::{Chooser, Class, Figures, ModelConfig};
 use prompts::Prompts;
-use server::{Server, Started};
+use server::{RunningRequest, Server};
 
-/// One way between an entry and an agent.
+/// One-way network delay between an entry and an agent.
 const NETWORK: Duration = Duration::from_micros(500);
 /// Time between the tokens of a stream.
 const CHUNK_EVERY: Duration = Duration::from_millis(52);
@@ -43,8 +43,8 @@
     Offer { request: RequestId, server: usize, last_try: bool },
     Finish { server: usize, generation: u64 },
     Chunk { request: RequestId },
-    TakeReport { server: usize },
-    TellCache { server: usize },
+    LoadReport { server: usize },
+    SendCacheEvents { server: usize },
     OutageStarts,
     OutageEnds,
 }
@@ -65,7 +65,7 @@
 
 struct Entry {
     prefixes: PrefixIndex,
-    book: LoadTracker,
+    loads: LoadTracker,
     baseline: BaselineBook,
     budget: RetryBudget,
 }
@@ -81,8 +81,8 @@
     servers: Vec<Server>,
     keys: Vec<ServerKey>,
     prompts: Option<Prompts>,
-    /// Cache events that entries have not heard yet, of each server.
-    untold: Vec<Vec<CacheEvent>>,
+    /// Cache events not yet sent to the entries, by server.
+    unsent_cache_events: Vec<Vec<CacheEvent>>,
     figures: Figures,
 }
 
@@ -90,13 +90,13 @@
     pub fn new(config: ModelConfig) -> Self {
         let keys: Vec<ServerKey> =
             (0..config.servers).map(|n| ServerKey::from_name(&format!("server-{n}"))).collect();
-        let mut book = LoadTracker::default();
+        let mut loads = LoadTracker::default();
         for key in &keys {
-            book.insert(*key);
+            loads.insert(*key);
         }
         let entry = || Entry {
             prefixes: PrefixIndex::new(PrefixConfig { max_pending: 0, ..PrefixConfig::default() }),
-            book: book.clone(),
+            loads: loads.clone(),
             baseline: BaselineBook::new(config.servers),
             budget: RetryBudget::new(RetryConfig::default()),
         };
@@ -119,27 +119,27 @@
             servers: (0..config.servers).map(|_| Server::new(config.admission)).collect(),
             keys,
             prompts,
-            untold: vec![Vec::new(); config.servers],
+            unsent_cache_events: vec![Vec::new(); config.servers],
             figures,
             config,
         }
     }
 
     pub fn run(mut self) -> Figures {
-        self.at(Duration::ZERO, Event::Arrival);
+        self.schedule_at(Duration::ZERO, Event::Arrival);
         for server in 0..self.config.servers {
             let offset = self.config.report_every.mul_f64(self.rng.random());
-            self.at(offset, Event::TakeReport { server });
+            self.schedule_at(offset, Event::LoadReport { server });
         }
         if let Some(prompts) = self.config.prompts {
             for server in 0..self.config.servers {
-                let offset = prompts.told_every.mul_f64(self.rng.random());
-                self.at(offset, Event::TellCache { server });
+                let offset = prompts.cache_event_interval.mul_f64(self.rng.random());
+                self.schedule_at(offset, Event::SendCacheEvents { server });
             }
         }
         if let Some(outage) = self.config.outage {
-            self.at(outage.from, Event::OutageStarts);
-            self.at(outage.until, Event::OutageEnds);
+            self.schedule_at(outage.from, Event::OutageStarts);
+            self.schedule_at(outage.until, Event::OutageEnds);
         }
         let end = self.config.warm_up + self.config.duration;
         while let Some(Reverse((at, _, event))) = self.events.pop() {
@@ -152,13 +152,13 @@
         self.figures
     }
 
-    fn at(&mut self, at: Duration, event: Event) {
+    fn schedule_at(&mut self, at: Duration, event: Event) {
         self.sequence += 1;
         self.events.push(Reverse((at, self.sequence, event)));
     }
 
-    fn after(&mut self, delay: Duration, event: Event) {
-        self.at(self.now + delay, event);
+    fn schedule_after(&mut self, delay: Duration, event: Event) {
+        self.schedule_at(self.now + delay, event);
     }
 
     fn exponential(&mut self, mean: Duration) -> Duration {
@@ -172,8 +172,8 @@
             Event::Offer { request, server, last_try } => self.offer(request, server, last_try),
             Event::Finish { server, generation } => self.finish(server, generation),
             Event::Chunk { request } => self.chunk(request),
-            Event::TakeReport { server } => self.report(server),
-            Event::TellCache { server } => self.tell_cache(server),
+            Event::LoadReport { server } => self.report(server),
+            Event::SendCacheEvents { server } => self.send_cache_events(server),
             Event::OutageStarts => self.start_outage(),
             Event::OutageEnds => self.servers.iter_mut().for_each(|server| server.down = false),
         }
@@ -183,7 +183,7 @@
         let places = self.config.servers as f64 * f64::from(self.config.admission.places);
         let mean = self.config.service.div_f64(places * self.config.load);
         let next = self.exponential(mean);
-        self.after(next, Event::Arrival);
+        self.schedule_after(next, Event::Arrival);
         let work = self.exponential(self.config.service - self.config.prefill);
         let same_body = self.rng.random::<f64>() < self.config.same_body_share;
         let fingerprint = if same_body && self.config.seeded { 1 } else { self.rng.random() };
@@ -229,9 +229,9 @@
         let request = &self.requests[id];
         self.figures.tries += u64::from(request.counted);
         let entry = &mut self.entries[request.entry];
-        entry.book.on_sent(self.keys[server], self.now);
+        entry.loads.on_sent(self.keys[server], self.now);
         entry.baseline.on_sent(server);
-        self.after(NETWORK, Event::Offer { request: id, server, last_try });
+        self.schedule_after(NETWORK, Event::Offer { request: id, server, last_try });
     }
 
     fn choose(&mut self, id: RequestId) -> Option<(usize, bool)> {
@@ -257,7 +257,7 @@
         let route = RouteRequest { fingerprint: request.fingerprint, tried: &request.tried };
         let extra = entry.prefixes.extra_prefill(&self.keys, &request.prompt, self.now);
         let extra_cost = |server| Some(extra.of(server));
-        let choice = choose(&routing, &route, &self.keys, &entry.book, self.now, extra_cost);
+        let choice = choose(&routing, &route, &self.keys, &entry.loads, self.now, extra_cost);
         let choice = choice.ok()?;
         Some((self.index_of(choice.server)?, choice.last_try))
     }
@@ -284,7 +284,7 @@
         match self.servers[server].admission.offer(offer) {
             AdmissionDecision::Start => self.start(id, server),
             AdmissionDecision::Queued { shed } => {
-                self.carry_load(id, server);
+                self.report_load(id, server);
                 if let Some(shed) = shed {
                     self.refuse(shed);
                 }
@@ -294,22 +294,22 @@
     }
 
     fn full(&mut self, id: RequestId, server: usize) {
-        self.carry_load(id, server);
+        self.report_load(id, server);
         self.requests[id].tried.push(self.keys[server]);
-        // The way back and the next try's way out: the second is added by the next offer.
+        // Adds the delay of the refusal; that of the next try is added with its offer.
         self.now += NETWORK;
         self.route(id);
         self.now -= NETWORK;
     }
 
-    /// A frame from the agent to the request's entry carries the load as of now.
-    fn carry_load(&mut self, id: RequestId, server: usize) {
+    /// Reports the current load to the request's entry, as every frame from the agent does.
+    fn report_load(&mut self, id: RequestId, server: usize) {
         if matches!(self.config.chooser, Chooser::Baseline(_)) {
             return;
         }
         let load = self.servers[server].load();
         let entry = &mut self.entries[self.requests[id].entry];
-        entry.book.on_current_load(self.keys[server], load, self.now);
+        entry.loads.on_current_load(self.keys[server], load, self.now);
     }
 
     fn start(&mut self, id: RequestId, server: usize) {
@@ -329,24 +329,24 @@
             let (cached, events) = prompts.start(server, &request.prompt);
             prefill = prompts.prefill(request.prompt.len() - cached);
             request.work += prefill;
-            self.untold[server].extend(events);
+            self.unsent_cache_events[server].extend(events);
             if request.counted {
                 self.figures.prompt_blocks += request.prompt.len() as u64;
                 self.figures.cached_blocks += cached as u64;
             }
         }
         let work = request.work;
-        self.servers[server].start(Started { id, left: work, to_first_token: prefill });
-        self.carry_load(id, server);
-        self.schedule(server);
+        self.servers[server].start(RunningRequest { id, remaining: work, to_first_token: prefill });
+        self.report_load(id, server);
+        self.schedule_finish(server);
         if matches!(self.config.chooser, Chooser::Shipping(_)) {
-            self.after(CHUNK_EVERY, Event::Chunk { request: id });
+            self.schedule_after(CHUNK_EVERY, Event::Chunk { request: id });
         }
     }
 
-    fn schedule(&mut self, server: usize) {
+    fn schedule_finish(&mut self, server: usize) {
         if let Some((after, generation)) = self.servers[server].next_event() {
-            self.after(after, Event::Finish { server, generation });
+            self.schedule_after(after, Event::Finish { server, generation });
         }
     }
 
@@ -355,7 +355,7 @@
             return;
         }
         self.servers[server].advance(self.now);
-        for id in self.servers[server].take_first_tokens() {
+        for id in self.servers[server].drain_first_tokens() {
             let request = &self.requests[id];
             if request.counted {
                 let waited = (self.now - request.arrived).as_micros() as u64;
@@ -363,13 +363,13 @@
                 class.first_token_us.record(waited).expect("the histogram resizes");
             }
         }
-        for id in self.servers[server].take_finished() {
+        for id in self.servers[server].drain_finished() {
             self.end(id, server);
         }
         while let Some(next) = self.servers[server].admission.start_next() {
             self.start(next, server);
         }
-        self.schedule(server);
+        self.schedule_finish(server);
     }
 
     fn end(&mut self, id: RequestId, server: usize) {
@@ -382,47 +382,47 @@
         let held = self.now - request.started;
         let entry = &mut self.entries[request.entry];
         entry.budget.on_success();
-        entry.book.on_ended(self.keys[server], self.now);
+        entry.loads.on_ended(self.keys[server], self.now);
         entry.baseline.on_ended(server);
         if let Some(next) = self.servers[server].admission.finish(held) {
             self.start(next, server);
         }
-        self.carry_load(id, server);
+        self.report_load(id, server);
     }
 
     fn chunk(&mut self, id: RequestId) {
         let Some(server) = self.requests[id].server else { return };
         let load = self.servers[server].load();
         let entry = &mut self.entries[self.requests[id].entry];
-        entry.book.on_hint(self.keys[server], load.hint(), self.now);
-        self.after(CHUNK_EVERY, Event::Chunk { request: id });
+        entry.loads.on_hint(self.keys[server], load.hint(), self.now);
+        self.schedule_after(CHUNK_EVERY, Event::Chunk { request: id });
     }
 
-    /// The report reaches every entry one lag after it was true.
+    /// Delivers a load report to every entry after the configured lag.
     fn report(&mut self, server: usize) {
         let late = self.servers[server].delayed_report(self.config.lag, self.now);
         if let Some((load, as_of)) = late {
             for entry in &mut self.entries {
-                entry.book.on_report(self.keys[server], load, as_of);
+                entry.loads.on_report(self.keys[server], load, as_of);
                 entry.baseline.on_report(server, load.occupied());
             }
         }
         self.servers[server].expire(self.now).into_iter().for_each(|id| self.refuse(id));
-        self.after(self.config.report_every, Event::TakeReport { server });
+        self.schedule_after(self.config.report_every, Event::LoadReport { server });
     }
 
-    /// What has changed since the last time reaches every entry, if they are told at all.
-    fn tell_cache(&mut self, server: usize) {
+    /// Sends the cache events since the last call to every entry, if configured.
+    fn send_cache_events(&mut self, server: usize) {
         let Some(prompts) = self.config.prompts else { return };
-        let events = std::mem::take(&mut self.untold[server]);
-        if prompts.told {
+        let events = std::mem::take(&mut self.unsent_cache_events[server]);
+        if prompts.sends_cache_events {
             for entry in &mut self.entries {
                 for event in &events {
                     entry.prefixes.on_event(self.keys[server], event.clone(), self.now);
                 }
             }
         }
-        self.after(prompts.told_every, Event::TellCache { server });
+        self.schedule_after(prompts.cache_event_interval, Event::SendCacheEvents { server });
     }
 
     fn start_outage(&mut self) {
@@ -441,10 +441,11 @@
         }
     }
 
-    /// Every request of the model is idempotent; half of the failed ones had delivered a part.
+    /// All requests of the model are idempotent; half of the failed ones had delivered part of the
+    /// answer.
     fn fail(&mut self, id: RequestId, server: usize, last_outcome: TryOutcome) {
         let answer_started = last_outcome == TryOutcome::Unknown && self.rng.random::<f64>() < 0.5;
-        self.carry_load(id, server);
+        self.report_load(id, server);
         let request = &mut self.requests[id];
         request.tried.push(self.keys[server]);
         if last_outcome == TryOutcome::NotRun {
--- a/crates/policy/benches/model/prompts.rs
+++ b/crates/policy/benches/model/prompts.rs
@@ -1,4 +1,4 @@
-//! Prompts with shared beginnings, and the backend servers' prefix caches.
+//! Prompts with shared prefixes, and the backend servers' prefix caches.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -10,13 +10,13 @@
 
 pub struct Prompts {
     config: PromptsConfig,
-    /// Up to which draw the n-th beginning is meant.
-    bounds: Vec<f64>,
+    /// Cumulative probability of each prefix.
+    cumulative: Vec<f64>,
     caches: Vec<Cache>,
-    next_own: u64,
+    next_own_block: u64,
 }
 
-/// A cache that evicts the blocks used longest ago.
+/// A cache with LRU eviction.
 #[derive(Default)]
 struct Cache {
     by_use: BTreeMap<u64, BlockHash>,
@@ -29,13 +29,13 @@
     pub fn new(config: PromptsConfig, servers: usize) -> Self {
         let all: f64 = (1..=config.prefixes).map(|n| 1.0 / n as f64).sum();
         let mut sum = 0.0;
-        let bounds = (1..=config.prefixes).map(|n| {
+        let cumulative = (1..=config.prefixes).map(|n| {
             sum += 1.0 / n as f64 / all;
             sum
         });
-        let bounds = bounds.collect();
+        let cumulative = cumulative.collect();
         let caches = (0..servers).map(|_| Cache::default()).collect();
-        Self { config, bounds, caches, next_own: 1 << 32 }
+        Self { config, cumulative, caches, next_own_block: 1 << 32 }
     }
 
     pub fn draw<R>(&mut self, rng: &mut R) -> Vec<BlockHash>
@@ -43,20 +43,21 @@
         R: Rng,
     {
         let draw: f64 = rng.random();
-        let prefix = self.bounds.iter().position(|bound| draw < *bound).unwrap_or(0);
+        let prefix = self.cumulative.iter().position(|bound| draw < *bound).unwrap_or(0);
         let first = (prefix * self.config.prefix_blocks) as u64;
         let shared = first..first + self.config.prefix_blocks as u64;
-        let own = self.next_own..self.next_own + self.config.own_blocks as u64;
-        self.next_own = own.end;
+        let own = self.next_own_block..self.next_own_block + self.config.own_blocks as u64;
+        self.next_own_block = own.end;
         shared.chain(own).map(BlockHash).collect()
     }
 
-    /// Starts a prompt; gives how many of its blocks were cached, and what changed by it.
+    /// Starts a prompt. Returns how many of its blocks were cached, and the cache events that it
+    /// causes.
     pub fn start(&mut self, server: usize, prompt: &[BlockHash]) -> (usize, Vec<CacheEvent>) {
         let cache = &mut self.caches[server];
         let cached = prompt.iter().take_while(|block| cache.uses.contains_key(block)).count();
         let mut stored = Vec::new();
-        // The last block is used first, so that an eviction shortens a prompt from its end.
+        // Blocks are used from last to first, so that eviction shortens a prompt from its end.
         for block in prompt.iter().rev() {
             if cache.use_block(*block) {
                 stored.push(*block);
@@ -73,7 +74,7 @@
 }
 
 impl Cache {
-    /// Whether the block is new.
+    /// Marks a block as used; returns whether it is new in the cache.
     fn use_block(&mut self, block: BlockHash) -> bool {
         self.next_use += 1;
         self.by_use.insert(self.next_use, block);
--- a/crates/policy/benches/model/server.rs
+++ b/crates/policy/benches/model/server.rs
@@ -1,5 +1,5 @@
-//! A backend server of the model: the shipping admission before an engine whose places share its
-//! speed once more requests run than it has places.
+//! Model of a backend server: the shipping admission in front of an engine. If more requests run
+//! than the engine has places, they share its speed.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -7,13 +7,14 @@
 use flamingowheel_policy::admission::{Admission, AdmissionConfig};
 use flamingowheel_policy::load::Load;
 
-/// Work below this counts as done, so that rounding can't schedule events for ever.
-const DONE: Duration = Duration::from_nanos(100);
+/// Remaining work below this counts as done, so that rounding errors can't cause an endless loop of
+/// events.
+const DONE_TOLERANCE: Duration = Duration::from_nanos(100);
 
 #[derive(Clone, Copy)]
-pub struct Started {
+pub struct RunningRequest {
     pub id: usize,
-    pub left: Duration,
+    pub remaining: Duration,
     pub to_first_token: Duration,
 }
 
@@ -22,7 +23,7 @@
     pub generation: u64,
     pub down: bool,
     config: AdmissionConfig,
-    running: Vec<Started>,
+    running: Vec<RunningRequest>,
     first_tokens: Vec<usize>,
     updated: Duration,
     reports: VecDeque<(Load, Duration)>,
@@ -42,8 +43,8 @@
         }
     }
 
-    pub fn start(&mut self, started: Started) {
-        self.running.push(started);
+    pub fn start(&mut self, request: RunningRequest) {
+        self.running.push(request);
     }
 
     pub fn load(&self) -> Load {
@@ -58,45 +59,45 @@
     pub fn advance(&mut self, now: Duration) {
         let done = (now - self.updated).mul_f64(self.speed());
         self.updated = now;
-        for started in &mut self.running {
-            started.left = started.left.saturating_sub(done);
-            let had_none = !started.to_first_token.is_zero();
-            started.to_first_token = started.to_first_token.saturating_sub(done);
-            if had_none && started.to_first_token <= DONE {
-                started.to_first_token = Duration::ZERO;
-                self.first_tokens.push(started.id);
+        for request in &mut self.running {
+            request.remaining = request.remaining.saturating_sub(done);
+            let had_no_token = !request.to_first_token.is_zero();
+            request.to_first_token = request.to_first_token.saturating_sub(done);
+            if had_no_token && request.to_first_token <= DONE_TOLERANCE {
+                request.to_first_token = Duration::ZERO;
+                self.first_tokens.push(request.id);
             }
         }
     }
 
-    /// Time to the next first token or end, at the speed of now.
+    /// Time until the next first token or end of a request, at the current speed.
     pub fn next_event(&mut self) -> Option<(Duration, u64)> {
         self.generation += 1;
-        let next = self.running.iter().map(|started| match started.to_first_token.is_zero() {
-            true => started.left,
-            false => started.to_first_token,
+        let next = self.running.iter().map(|request| match request.to_first_token.is_zero() {
+            true => request.remaining,
+            false => request.to_first_token,
         });
         let speed = self.speed();
-        next.min().map(|left| (left.div_f64(speed) + DONE, self.generation))
+        next.min().map(|remaining| (remaining.div_f64(speed) + DONE_TOLERANCE, self.generation))
     }
 
-    pub fn take_first_tokens(&mut self) -> Vec<usize> {
+    pub fn drain_first_tokens(&mut self) -> Vec<usize> {
         std::mem::take(&mut self.first_tokens)
     }
 
-    pub fn take_finished(&mut self) -> Vec<usize> {
+    pub fn drain_finished(&mut self) -> Vec<usize> {
         let mut finished = Vec::new();
-        self.running.retain(|started| {
-            let is_done = started.left <= DONE;
+        self.running.retain(|request| {
+            let is_done = request.remaining <= DONE_TOLERANCE;
             if is_done {
-                finished.push(started.id);
+                finished.push(request.id);
             }
             !is_done
         });
         finished
     }
 
-    /// Stores the load of now and returns the newest one that is at least `lag` old.
+    /// Stores the current load and returns the newest one that is at least `lag` old.
     pub fn delayed_report(&mut self, lag: Duration, now: Duration) -> Option<(Load, Duration)> {
         self.reports.push_back((self.load(), now));
         let mut newest = None;
@@ -110,11 +111,11 @@
         self.admission.expire(now)
     }
 
-    /// Loses everything; returns what ran and what waited.
+    /// Drops all requests; returns the running and the waiting ones.
     pub fn crash(&mut self) -> (Vec<usize>, Vec<usize>) {
         self.down = true;
         self.generation += 1;
-        let running = self.running.drain(..).map(|started| started.id).collect();
+        let running = self.running.drain(..).map(|request| request.id).collect();
         let waiting = self.admission.expire(Duration::MAX);
         self.first_tokens.clear();
         self.admission = Admission::new(self.config);
--- a/crates/policy/benches/overload.rs
+++ b/crates/policy/benches/overload.rs
@@ -1,4 +1,4 @@
-//! Overload and outage, by the model of the routing bench, and the limits' overshoot.
+//! Overload and outage in the model of the routing benchmark, and the overshoot of limits.
 #![allow(clippy::print_stdout, clippy::print_stderr, missing_docs)]
 
 mod model;
@@ -65,7 +65,7 @@
     }
 }
 
-/// Work that finished for callers, relative to what all places can do.
+/// Finished work, relative to the capacity of all places.
 fn goodput(figures: &Figures) -> f64 {
     let places = SERVERS as f64 * f64::from(AdmissionConfig::default().places);
     figures.work_done_s / (places * DURATION.as_secs_f64())
@@ -75,8 +75,8 @@
     figures.classes[class].first_token_us.value_at_quantile(0.95) as f64 / 1e6
 }
 
-/// A third of the backend servers goes down for a minute, at a load that the rest can carry and
-/// at one that it can't.
+/// A third of the backend servers is down for a minute, at a load that the others can handle and at
+/// one that they can't.
 fn outage(seed: u64) {
     for load in [0.6, 0.9] {
         let mut config = config(seed, load);
@@ -95,7 +95,7 @@
     }
 }
 
-/// A limit over eight entries, as demand moves between them.
+/// A limit that is split over eight entries, with demand that moves between them.
 fn limits(seed: u64) {
     let ms = Duration::from_millis;
     let cases = [
--- a/crates/policy/benches/rebalance.rs
+++ b/crates/policy/benches/rebalance.rs
@@ -1,4 +1,4 @@
-//! Drives the shipping rebalancer and its baselines over the same traces.
+//! Runs the shipping rebalancer and its baselines on the same traces.
 #![allow(clippy::print_stdout)]
 
 #[path = "rebalance/trace.rs"]
@@ -13,8 +13,8 @@
 const PLAN_EVERY_STEPS: usize = 4;
 const DECAY_SHARE: f64 = 0.3;
 const LAYERS: usize = 58;
-const SLOW_GOAL: f64 = 1.3;
-/// Steps a group stands still for one switch, and for each weight its busiest rank loads.
+const SLOW_RANK_SKEW_GOAL: f64 = 1.3;
+/// Steps for which a group pauses per switch, and per weight that its busiest rank loads.
 const STEPS_PER_SWITCH: f64 = 1.0;
 const STEPS_PER_LOAD: f64 = 0.125;
 
@@ -25,15 +25,15 @@
     Planned(Params),
 }
 
-/// What a policy did on a trace.
+/// Results of a policy on a trace.
 #[derive(Default)]
-struct Outcome {
+struct PolicyResult {
     skews: Vec<f64>,
     moved: usize,
     steps_lost: f64,
 }
 
-impl Outcome {
+impl PolicyResult {
     fn quantile(&self, share: f64) -> f64 {
         let mut sorted = self.skews.clone();
         sorted.sort_by(f64::total_cmp);
@@ -63,21 +63,21 @@
     loads
 }
 
-fn run(trace: &Trace, spare: usize, policy: Policy) -> Outcome {
+fn run(trace: &Trace, spare: usize, policy: Policy) -> PolicyResult {
     let slots = EXPERTS / RANKS + spare;
     let mut loads = observed_before(trace);
     let mut placement = repack(loads.means(), &trace.speeds[0], slots);
-    let mut outcome = Outcome::default();
+    let mut result = PolicyResult::default();
     for step in 0..STEPS {
         if step > 0 && step % PLAN_EVERY_STEPS == 0 {
             let target = decide(policy, &placement, &loads, &trace.speeds[step - 1], slots);
-            outcome.switch(&placement, &target);
+            result.switch(&placement, &target);
             placement = target;
         }
-        outcome.skews.push(skew(&placement, &trace.loads[step], &trace.speeds[step]));
+        result.skews.push(skew(&placement, &trace.loads[step], &trace.speeds[step]));
         loads.observe(&trace.loads[step]);
     }
-    outcome
+    result
 }
 
 fn decide(
@@ -108,43 +108,44 @@
     ]
 }
 
-fn print_outcome(name: &str, outcome: &Outcome) {
-    println!("{name}.skew_p50={:.3}", outcome.quantile(0.50));
-    println!("{name}.skew_p95={:.3}", outcome.quantile(0.95));
-    println!("{name}.skew_p99={:.3}", outcome.quantile(0.99));
-    println!("{name}.moved={}", outcome.moved);
-    println!("{name}.steps_lost={:.1}", outcome.steps_lost);
+fn print_result(name: &str, result: &PolicyResult) {
+    println!("{name}.skew_p50={:.3}", result.quantile(0.50));
+    println!("{name}.skew_p95={:.3}", result.quantile(0.95));
+    println!("{name}.skew_p99={:.3}", result.quantile(0.99));
+    println!("{name}.moved={}", result.moved);
+    println!("{name}.steps_lost={:.1}", result.steps_lost);
 }
 
-fn print_against_repack(name: &str, outcome: &Outcome, repack: &Outcome) {
-    println!("{name}.mean_skew_vs_repack={:.4}", outcome.mean() / repack.mean());
-    println!("{name}.p95_vs_repack={:.4}", outcome.quantile(0.95) / repack.quantile(0.95));
-    println!("{name}.moved_vs_repack={:.4}", outcome.moved as f64 / repack.moved as f64);
+fn print_against_repack(name: &str, result: &PolicyResult, repack: &PolicyResult) {
+    println!("{name}.mean_skew_vs_repack={:.4}", result.mean() / repack.mean());
+    println!("{name}.p95_vs_repack={:.4}", result.quantile(0.95) / repack.quantile(0.95));
+    println!("{name}.moved_vs_repack={:.4}", result.moved as f64 / repack.moved as f64);
 }
 
-/// Plans after the rank slowed until a whole plan interval has a median skew under the goal.
-fn print_slow_rank(name: &str, outcome: &Outcome) {
-    let after = &outcome.skews[SLOW_FROM..];
-    let calm = |interval: &[f64]| {
+/// Prints the number of plans after the slowdown until a plan interval has a median skew below the
+/// goal.
+fn print_slow_rank(name: &str, result: &PolicyResult) {
+    let after = &result.skews[SLOW_FROM..];
+    let is_below_goal = |interval: &[f64]| {
         let mut sorted = interval.to_vec();
         sorted.sort_by(f64::total_cmp);
-        sorted[sorted.len() / 2] < SLOW_GOAL
+        sorted[sorted.len() / 2] < SLOW_RANK_SKEW_GOAL
     };
-    match after.chunks(PLAN_EVERY_STEPS).position(calm) {
+    match after.chunks(PLAN_EVERY_STEPS).position(is_below_goal) {
         Some(plans) => println!("{name}.plans_until_skew_below_1.3={plans}"),
         None => println!("{name}.plans_until_skew_below_1.3=never"),
     }
 }
 
 fn compare(trace: &Trace, spare: usize) {
-    let outcomes = policies().map(|(name, policy)| (name, run(trace, spare, policy)));
-    for (name, outcome) in &outcomes {
+    let results = policies().map(|(name, policy)| (name, run(trace, spare, policy)));
+    for (name, result) in &results {
         let name = format!("{}.spare_{spare}.{name}", trace.name);
-        print_outcome(&name, outcome);
+        print_result(&name, result);
         match trace.name {
-            "daily_drift" => print_against_repack(&name, outcome, &outcomes[1].1),
-            "slow_rank" => print_slow_rank(&name, outcome),
-            "noise" => println!("{name}.moved_on_noise={}", outcome.moved),
+            "daily_drift" => print_against_repack(&name, result, &results[1].1),
+            "slow_rank" => print_slow_rank(&name, result),
+            "noise" => println!("{name}.moved_on_noise={}", result.moved),
             _ => {}
         }
     }
@@ -161,7 +162,7 @@
     layers(seed);
 }
 
-/// All layers of a model drift under one shared budget of moves.
+/// Drift in all layers of a model with one shared budget of moves.
 fn layers(seed: u64) {
     let traces: Vec<Trace> =
         (0..LAYERS).map(|layer| trace::drifting(seed + 1000 + layer as u64)).collect();
@@ -171,7 +172,7 @@
     let mut loads: Vec<DecayedLoads> = traces.iter().map(observed_before).collect();
     let mut current: Vec<Placement> =
         loads.iter().map(|loads| repack(loads.means(), &speeds, slots)).collect();
-    let (mut times_ms, mut skews, mut moved, mut most) = (Vec::new(), Vec::new(), 0, 0);
+    let (mut times_ms, mut skews, mut moved, mut max_moved) = (Vec::new(), Vec::new(), 0, 0);
     for step in 0..STEPS {
         if step > 0 && step % PLAN_EVERY_STEPS == 0 {
             let request =
@@ -180,7 +181,7 @@
             let plan = plan(&request).expect("the trace is valid");
             times_ms.push(started.elapsed().as_secs_f64() * 1e3);
             moved += plan.move_count();
-            most = most.max(plan.move_count());
+            max_moved = max_moved.max(plan.move_count());
             for layer in plan.layers {
                 current[layer.layer] = layer.target;
             }
@@ -192,10 +193,10 @@
         }
     }
     times_ms.sort_by(f64::total_cmp);
-    let outcome = Outcome { skews, moved, steps_lost: 0.0 };
-    println!("layers_58.skew_weighted.mean_skew={:.4}", outcome.mean());
+    let result = PolicyResult { skews, moved, steps_lost: 0.0 };
+    println!("layers_58.skew_weighted.mean_skew={:.4}", result.mean());
     println!("layers_58.skew_weighted.moved={moved}");
-    println!("layers_58.skew_weighted.most_moved_by_a_plan={most}");
+    println!("layers_58.skew_weighted.most_moved_by_a_plan={max_moved}");
     println!("plan_ms_58_layers_median={:.1}", times_ms[times_ms.len() / 2]);
     println!("plan_ms_58_layers={:.1}", times_ms[times_ms.len() - 1]);
 }
--- a/crates/policy/benches/rebalance/trace.rs
+++ b/crates/policy/benches/rebalance/trace.rs
@@ -1,4 +1,4 @@
-//! Popularity of the experts step by step.
+//! Traces of expert loads and rank speeds, step by step.
 
 use rand::seq::SliceRandom;
 use rand::{Rng, RngExt, SeedableRng};
@@ -22,14 +22,14 @@
     pub speeds: Vec<Vec<f64>>,
 }
 
-/// Share of the second order in the mix at a step.
+/// Share of the second popularity order in the mix at a step.
 type Mix = fn(usize) -> f64;
 
 fn drift(step: usize) -> f64 {
     0.5 * (1.0 - (std::f64::consts::TAU * step as f64 / PERIOD_STEPS).cos())
 }
 
-/// The night's batch takes over within a few steps, lasts and ends as fast.
+/// An overnight batch that ramps up within a few steps, lasts, and ramps down as fast.
 fn batch(step: usize) -> f64 {
     const RAMP_STEPS: f64 = 8.0;
     let at = (step % 144) as f64;
@@ -42,7 +42,7 @@
     if step < STEPS / 2 { 0.0 } else { 1.0 }
 }
 
-fn still(_step: usize) -> f64 {
+fn constant(_step: usize) -> f64 {
     0.0
 }
 
@@ -52,8 +52,8 @@
         ("daily_drift", drift, false),
         ("overnight_batch", batch, false),
         ("jump", jump, false),
-        ("slow_rank", still, true),
-        ("noise", still, false),
+        ("slow_rank", constant, true),
+        ("noise", constant, false),
     ];
     let build = |(index, (name, mix, slow)): (usize, (&'static str, Mix, bool))| {
         let seed = seed.wrapping_mul(31).wrapping_add(index as u64);
@@ -62,7 +62,7 @@
     kinds.into_iter().enumerate().map(build).collect()
 }
 
-/// One more drifting layer.
+/// A trace of one more drifting layer.
 pub fn drifting(seed: u64) -> Trace {
     trace("layer", seed, drift)
 }
@@ -99,7 +99,7 @@
     Random: Rng,
 {
     let mut loads: Vec<f64> =
-        (1..=EXPERTS).map(|place| (place as f64).powf(-ZIPF_EXPONENT)).collect();
+        (1..=EXPERTS).map(|position| (position as f64).powf(-ZIPF_EXPONENT)).collect();
     loads.shuffle(random);
     loads
 }
--- a/crates/policy/benches/routing.rs
+++ b/crates/policy/benches/routing.rs
@@ -1,4 +1,4 @@
-//! Routing under lagging load reports: baselines and the shipping policy, by the same model.
+//! Routing with lagging load reports: baselines and the shipping policy in the same model.
 #![allow(clippy::print_stdout, clippy::print_stderr, missing_docs)]
 
 mod model;
@@ -67,7 +67,8 @@
     best_of_2
 }
 
-/// What drawing candidates by the body's fingerprint costs and saves, 5 in 100 bodies being one.
+/// Cost and benefit of ranking candidates by the body's fingerprint, with 5 % of requests having
+/// the same body.
 fn same_body(seed: u64) {
     for (name, seeded) in [("same_body_seeded", true), ("same_body_drawn_anew", false)] {
         let same =
@@ -78,20 +79,20 @@
     }
 }
 
-/// Prefill that caches save with and without knowledge of them, on one trace of prompts that begin
-/// alike: 200 beginnings of 24 blocks, 8 blocks of their own, caches of 40 whole prompts.
+/// Prefill saved by caches with and without cache events, on the same trace of prompts with shared
+/// prefixes: 200 prefixes of 24 blocks, 8 further blocks per prompt, caches of 40 whole prompts.
 fn shared_prefixes(seed: u64) {
     for load in [0.5, 0.9] {
-        for (name, told) in [("without", false), ("with", true)] {
+        for (name, sends_cache_events) in [("without", false), ("with", true)] {
             let prompts = PromptsConfig {
                 prefixes: 200,
                 prefix_blocks: 24,
                 own_blocks: 8,
                 cache_blocks: 40 * 32,
-                told_every: Duration::from_millis(500),
-                told,
+                cache_event_interval: Duration::from_millis(500),
+                sends_cache_events,
             };
-            // Prefill of a whole prompt adds 320 ms to a service of 2 s; the load counts it in full.
+            // Prefill of a whole prompt adds 320 ms to a service time of 2 s; the load includes it.
             let load_with_prefill = load * 2.0 / 2.32;
             let config = ModelConfig {
                 prompts: Some(prompts),
@@ -111,41 +112,41 @@
     }
 }
 
-/// Time of one decision over a cell of 64 backend servers with fresh knowledge of a half.
+/// Time of one decision over a cell of 64 backend servers, half of them with fresh loads.
 fn choose_ns() -> f64 {
     const ROUNDS: u32 = 200_000;
     let keys: Vec<ServerKey> = (0..SERVERS as u64).map(ServerKey).collect();
     let now = Duration::from_secs(10);
-    let mut book = LoadTracker::default();
+    let mut tracker = LoadTracker::default();
     for (index, key) in keys.iter().enumerate() {
-        book.insert(*key);
+        tracker.insert(*key);
         let load = Load { running: 7, waiting: 0, places: 8, service_ms: 2_000 };
         let as_of = if index % 2 == 0 { now } else { now - Duration::from_secs(2) };
-        book.on_report(*key, load, as_of);
+        tracker.on_report(*key, load, as_of);
     }
     let config = RoutingConfig::default();
     let start = Instant::now();
     for round in 0..ROUNDS {
         let fingerprint = Fingerprint(u128::from(round));
         let request = RouteRequest { fingerprint, tried: &[] };
-        let choice = choose(&config, &request, &keys, &book, now, |_| Some(Duration::ZERO));
+        let choice = choose(&config, &request, &keys, &tracker, now, |_| Some(Duration::ZERO));
         std::hint::black_box(choice.is_ok());
     }
     start.elapsed().as_nanos() as f64 / f64::from(ROUNDS)
 }
 
-/// The same for a prompt of 32 blocks of which every eighth backend server has 24.
+/// Like [`choose_ns`], for a prompt of 32 blocks of which every eighth backend server has 24.
 fn prefix_choose_ns() -> f64 {
     const ROUNDS: u32 = 50_000;
     let keys: Vec<ServerKey> = (0..SERVERS as u64).map(ServerKey).collect();
     let now = Duration::from_secs(10);
     let prompt: Vec<BlockHash> = (0..32).map(BlockHash).collect();
-    let (mut book, mut prefixes) =
+    let (mut tracker, mut prefixes) =
         (LoadTracker::default(), PrefixIndex::new(PrefixConfig::default()));
     for (index, key) in keys.iter().enumerate() {
-        book.insert(*key);
+        tracker.insert(*key);
         let load = Load { running: 7, waiting: 0, places: 8, service_ms: 2_000 };
-        book.on_report(*key, load, now);
+        tracker.on_report(*key, load, now);
         if index % 8 == 0 {
             let change = CacheChange::Stored(prompt[..24].to_vec());
             prefixes.on_event(*key, CacheEvent { number: 1, change }, now);
@@ -157,7 +158,7 @@
         let request = RouteRequest { fingerprint: Fingerprint(u128::from(round)), tried: &[] };
         let extra = prefixes.extra_prefill(&keys, &prompt, now);
         let extra_cost = |server| Some(extra.of(server));
-        let choice = choose(&config, &request, &keys, &book, now, extra_cost);
+        let choice = choose(&config, &request, &keys, &tracker, now, extra_cost);
         std::hint::black_box(choice.is_ok());
     }
     start.elapsed().as_nanos() as f64 / f64::from(ROUNDS)
--- a/crates/policy/tests/experts.rs
+++ b/crates/policy/tests/experts.rs
@@ -1,18 +1,18 @@
-//! Small steps to an even expert map.
+//! Small steps to a balanced expert map, and detection of demand shifts.
 
 use flamingowheel_policy::experts::{ChangeTimes, Demand, Map, Shape, StepLimits, skew, step};
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
 const SHAPE: Shape = Shape { sets: 2, experts: 64, ranks: 8, replicas_per_rank: 11 };
-const EVEN_PACES: [f64; 8] = [1.0; 8];
-/// Links that copy an expert in less than a pass.
-const QUICK_COPIES: ChangeTimes = ChangeTimes { copy_ms: 20.0, switch_ms: 400.0 };
-/// Links that need several passes for it.
+const EQUAL_PACES: [f64; 8] = [1.0; 8];
+/// Times where links copy an expert in less than a pass.
+const FAST_COPIES: ChangeTimes = ChangeTimes { copy_ms: 20.0, switch_ms: 400.0 };
+/// Times where a copy takes several passes.
 const SLOW_COPIES: ChangeTimes = ChangeTimes { copy_ms: 400.0, switch_ms: 400.0 };
 const WINDOW_CHOICES: f64 = 100_000.0;
 
-/// Choices of a window in which experts are liked in falling order from `favourite` on.
+/// Counts of a window in which the popularity of experts decreases from `favourite` on.
 fn window(favourite: usize) -> Vec<u64> {
     let weight = |e: usize| 1.0 / ((e + SHAPE.experts - favourite) % SHAPE.experts + 1) as f64;
     let total: f64 = (0..SHAPE.experts).map(weight).sum();
@@ -27,7 +27,7 @@
 }
 
 fn full_limits() -> StepLimits {
-    StepLimits::for_pressure(1.0, 4, QUICK_COPIES)
+    StepLimits::for_pressure(1.0, 4, FAST_COPIES)
 }
 
 fn steps(mut map: Map, demand: &Demand, paces: &[f64], count: usize) -> Map {
@@ -48,22 +48,22 @@
             let mut unique = rank.clone();
             unique.sort_unstable();
             unique.dedup();
-            assert_eq!(unique.len(), rank.len(), "an expert stands twice on a rank");
+            assert_eq!(unique.len(), rank.len(), "a rank holds an expert twice");
             assert!(rank.len() <= SHAPE.replicas_per_rank);
         }
     }
 }
 
-/// Topics change and with them the experts that are liked: one rank carries most of a pass, and all
-/// streams of the group slow down to it. A few steps must bring the load back near to even.
+/// Topics change and with them the popular experts, so one rank has most of the load and slows down
+/// all streams of the group. A few steps must restore a nearly even load.
 #[test]
 fn step_after_shift() {
     let first = SHAPE.first_map();
-    let old = steps(first, &demand(0), &EVEN_PACES, 8);
+    let old = steps(first, &demand(0), &EQUAL_PACES, 8);
     let shifted = demand(27);
-    let before = skew(&old, &shifted, &EVEN_PACES);
-    let after = skew(&steps(old, &shifted, &EVEN_PACES, 8), &shifted, &EVEN_PACES);
-    assert!(before > 1.3, "the shift should be felt: {before}");
+    let before = skew(&old, &shifted, &EQUAL_PACES);
+    let after = skew(&steps(old, &shifted, &EQUAL_PACES, 8), &shifted, &EQUAL_PACES);
+    assert!(before > 1.3, "the shift must cause skew: {before}");
     assert!(after < 1.1, "{before} became {after}");
 }
 
@@ -71,12 +71,12 @@
 fn step_keeps_every_expert() {
     let mut map = SHAPE.first_map();
     for favourite in [0, 25, 41, 3, 63] {
-        map = steps(map, &demand(favourite), &EVEN_PACES, 6);
+        map = steps(map, &demand(favourite), &EQUAL_PACES, 6);
         assert_is_valid(&map);
     }
 }
 
-/// The most copies that a step gives to one rank.
+/// Largest number of experts that a step copies to one rank.
 fn most_copies(old: &Map, new: &Map) -> usize {
     let copies = |rank: usize| -> usize {
         let pairs = old.iter().zip(new);
@@ -88,61 +88,62 @@
 #[test]
 fn step_copies_as_counted() {
     let map = SHAPE.first_map();
-    let step = step(&map, &demand(2), &EVEN_PACES, full_limits()).unwrap();
+    let step = step(&map, &demand(2), &EQUAL_PACES, full_limits()).unwrap();
     assert_eq!(most_copies(&map, &step.map), step.copies);
 }
 
-/// Experts are large and links slow, so that one copy takes several passes. A change of two copies a
-/// rank keeps the group on its old map for twice as long after a shift of demand, and all streams of that
-/// time are late. The first copies bring most of the gain and must not wait for the others.
+/// With large experts and slow links one copy takes several passes. Two copies per rank would keep
+/// the group on its old map for twice as long after a shift of demand, and all streams would be
+/// late meanwhile. The first copies have most of the gain and must not wait for further ones.
 #[test]
-fn step_slow_copies_one_each() {
-    let (old, shifted) = (steps(SHAPE.first_map(), &demand(0), &EVEN_PACES, 8), demand(27));
+fn step_slow_copies_one_per_rank() {
+    let (old, shifted) = (steps(SHAPE.first_map(), &demand(0), &EQUAL_PACES, 8), demand(27));
     let limits = |times| StepLimits::for_pressure(1.0, 4, times);
-    let slow = step(&old, &shifted, &EVEN_PACES, limits(SLOW_COPIES)).unwrap();
-    let quick = step(&old, &shifted, &EVEN_PACES, limits(QUICK_COPIES)).unwrap();
+    let slow = step(&old, &shifted, &EQUAL_PACES, limits(SLOW_COPIES)).unwrap();
+    let fast = step(&old, &shifted, &EQUAL_PACES, limits(FAST_COPIES)).unwrap();
     assert_eq!(most_copies(&old, &slow.map), 1);
-    assert!(most_copies(&old, &quick.map) > 1);
+    assert!(most_copies(&old, &fast.map) > 1);
 }
 
-/// Demand has moved a little. Copies that make passes longer for most of the time until it shifts again
-/// cost callers more than the few hundredths of skew bring; quick ones are worth it.
+/// Demand has changed slightly. Slow copies, which lengthen passes for most of the time until the
+/// next shift, cost more than the small reduction of skew gains; fast copies don't.
 #[test]
 fn step_slow_copies_small_gain_left() {
-    let map = steps(SHAPE.first_map(), &demand(0), &EVEN_PACES, 8);
+    let map = steps(SHAPE.first_map(), &demand(0), &EQUAL_PACES, 8);
     let parts = window(0).into_iter().zip(window(27));
     let moved: Vec<u64> = parts.map(|(old, new)| (old * 12 + new) / 13).collect();
     let mut demand = Demand::new(SHAPE);
     demand.observe(&moved);
-    let planned =
-        |times| step(&map, &demand, &EVEN_PACES, StepLimits::for_pressure(1.0, 4, times)).is_some();
-    assert!(planned(QUICK_COPIES));
+    let planned = |times| {
+        step(&map, &demand, &EQUAL_PACES, StepLimits::for_pressure(1.0, 4, times)).is_some()
+    };
+    assert!(planned(FAST_COPIES));
     assert!(!planned(SLOW_COPIES));
 }
 
-/// A rank turns slow, and every pass of its group waits for it. What others hold as well can be taken
-/// from it at once, without a copy.
+/// A rank becomes slow and delays every pass of its group. Experts that other ranks hold too can be
+/// dropped from it immediately, without a copy.
 #[test]
 fn step_relieves_slow_rank() {
     let demand = demand(0);
-    let map = steps(SHAPE.first_map(), &demand, &EVEN_PACES, 8);
+    let map = steps(SHAPE.first_map(), &demand, &EQUAL_PACES, 8);
     let paces = [1.0, 1.0, 5.0, 1.0, 1.0, 1.0, 1.0, 1.0];
     let before = skew(&map, &demand, &paces);
     let after = skew(&steps(map, &demand, &paces, 6), &demand, &paces);
     assert!(after < before * 0.6, "{before} became {after}");
 }
 
-/// Copies are paid for and slow passes while they last: with short passes, a gain that no caller
-/// would notice must not be bought.
+/// Copies are charged for and lengthen passes while they last: while passes are short, there must
+/// be no copies for a gain that no caller would notice.
 #[test]
-fn step_calm_group_copies_less() {
+fn step_low_pressure_copies_less() {
     let demand = demand(0);
     let first = SHAPE.first_map();
     let copies = |pressure: f64| {
-        let limits = StepLimits::for_pressure(pressure, 4, QUICK_COPIES);
+        let limits = StepLimits::for_pressure(pressure, 4, FAST_COPIES);
         let mut map = first.clone();
         let mut copies = 0;
-        while let Some(next) = step(&map, &demand, &EVEN_PACES, limits) {
+        while let Some(next) = step(&map, &demand, &EQUAL_PACES, limits) {
             copies += new_experts(&map, &next.map);
             map = next.map;
         }
@@ -163,7 +164,7 @@
     assert!(demand.observe(&window(33)));
 }
 
-/// A window with so much chance in it: each expert's count varies by this part, to either side.
+/// A window with noise: each expert's count varies by up to `spread`, relatively, to either side.
 fn noisy<R>(favourite: usize, spread: f64, rng: &mut R) -> Vec<u64>
 where
     R: Rng,
@@ -172,8 +173,9 @@
     window(favourite).into_iter().map(vary).map(|count| count as u64).collect()
 }
 
-/// Windows of 32 ranks hardly vary, and a shift of a few topics moves a fifth of the choices. Taken
-/// for chance, the map is planned for a demand that is gone, and passes take twice as long for a second.
+/// Windows of 32 ranks vary little, and a shift of a few topics changes a fifth of the choices.
+/// Mistaken for noise, the map would be planned for outdated demand, and passes would take twice as
+/// long for a second.
 #[test]
 fn observe_small_shift_of_steady_group() {
     let mut rng = ChaCha8Rng::seed_from_u64(3);
@@ -186,10 +188,10 @@
     assert!(demand.observe(&mixed));
 }
 
-/// Windows of 8 ranks vary by a fifth and more without any shift. Each one taken for a shift would
-/// drop the change under way, and the map would never become even.
+/// Windows of 8 ranks vary by a fifth and more without any shift. If each of them counted as a
+/// shift, it would cancel the change in progress, and the map would never be balanced.
 #[test]
-fn observe_chance_is_no_shift() {
+fn observe_noise_is_no_shift() {
     let mut rng = ChaCha8Rng::seed_from_u64(3);
     let mut demand = demand(0);
     let shifts = (0..200).filter(|_| demand.observe(&noisy(0, 0.6, &mut rng))).count();
--- a/crates/policy/tests/limits.rs
+++ b/crates/policy/tests/limits.rs
@@ -16,7 +16,7 @@
 const LIMITS: Limits = Limits { requests_per_s: 200.0, tokens_per_s: 1e9, in_flight: 10_000 };
 
 enum Message {
-    Ask(LoanRequest),
+    LoanRequest(LoanRequest),
     Loan(Loan),
 }
 
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Offers requests at each member's rate for one step; returns how many were admitted.
+    /// Offers requests at each member's rate for one step; returns the number admitted.
     fn step(&mut self, rates_per_s: &[f64]) -> u32 {
         self.now += STEP;
         let mut admitted = 0;
@@ -61,7 +61,7 @@
                 }
             }
             if let Some((lender, request)) = self.members[index].next_loan_request(self.now) {
-                self.send(EntryKey(index as u64), lender, Message::Ask(request));
+                self.send(EntryKey(index as u64), lender, Message::LoanRequest(request));
             }
         }
         self.deliver();
@@ -82,7 +82,7 @@
             match message {
                 _ if at > self.now => self.messages.push_back((at, from, to, message)),
                 Message::Loan(loan) => member.on_loan(from, &loan, self.now),
-                Message::Ask(request) => {
+                Message::LoanRequest(request) => {
                     let loan = member.lend(from, &request, self.now);
                     self.send(to, from, Message::Loan(loan));
                 }
@@ -91,7 +91,7 @@
     }
 }
 
-/// The most admitted above `limit * window` in any window of the run.
+/// Largest number admitted above `limit * window` in any window of the run.
 fn worst_excess(admitted: &[u32], rate_per_s: f64) -> f64 {
     let (mut excess, mut worst) = (0.0f64, 0.0f64);
     for count in admitted {
@@ -104,8 +104,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 16, rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
-    // Demand jumps from entry to entry while loans are lost and late. If a share were in two hands,
-    // the workspace would get more than it pays for, at the cost of all others.
+    // Demand moves from entry to entry while loans are lost and delayed. If two entries used the
+    // same share, the workspace would exceed its limits at the expense of all others.
     #[test]
     fn try_admit_shifting_demand_and_lost_loans_within_bound(
         seed in any::<u64>(), loss in 0.0..0.5, delay_ms in 0u64..6_000,
@@ -123,7 +123,7 @@
     }
 }
 
-// All callers use one of the eight entries. Without loans they would get an eighth of their limit.
+// All callers use one of the eight entries. Without loans they would get an eighth of the limit.
 #[test]
 fn next_loan_request_demand_on_one_entry_most_of_limit_usable() {
     let mut subset = Subset::new(1, LIMITS, 0.0, Duration::from_millis(2));
@@ -132,7 +132,7 @@
     let _warm_up: u32 = (0..1_000).map(|_| subset.step(&rates)).sum();
     let admitted: u32 = (0..2_000).map(|_| subset.step(&rates)).sum();
     let used = f64::from(admitted) / (LIMITS.requests_per_s * 20.0);
-    // Seven peers keep a tenth of their share each.
+    // Each of the seven peers keeps a tenth of its share.
     assert!(used >= 0.88, "{used}");
 }
 
--- a/crates/policy/tests/passes.rs
+++ b/crates/policy/tests/passes.rs
@@ -1,4 +1,4 @@
-//! A rank group under more requests than it can serve in time, with many entries before it.
+//! Simulation of an overloaded rank group with many entries.
 
 use flamingowheel_policy::passes::{PassTime, limit_ms, retry_after_ms};
 use rand::{Rng, RngExt, SeedableRng};
@@ -8,15 +8,15 @@
 const ENTRIES: usize = 42;
 const RANKS: f64 = 32.0;
 const PAUSE_GOAL_MS: f64 = 150.0;
-/// Events of a stream, one a pass.
+/// Events of a stream, one per pass.
 const EVENTS: u32 = 19;
-/// A fifth more than the batch that keeps passes within the limit can serve.
+/// A fifth more than the group can serve within the pause goal.
 const ARRIVALS_PER_S: f64 = 185.0;
 const SECONDS: f64 = 30.0;
 
 struct Stream {
     entry: usize,
-    left: u32,
+    events_left: u32,
     longest_ms: f64,
 }
 
@@ -27,8 +27,8 @@
     refused: u32,
 }
 
-/// A pass as the engines publish it: a step for the whole batch, five of them, lengthened by the most
-/// loaded rank; it varies with the prompts that are read in it.
+/// Duration of a pass by the model that engines publish: five steps for the whole batch, multiplied
+/// by the skew. Varies with the prompts that it prefills.
 fn pass_ms<R>(batch: usize, rng: &mut R) -> f64
 where
     R: Rng,
@@ -37,7 +37,7 @@
     5.0 * step_ms * 1.45 * rng.random_range(0.85..1.15)
 }
 
-fn play(is_limited: bool, arrivals_per_s: f64) -> Tally {
+fn simulate(is_limited: bool, arrivals_per_s: f64) -> Tally {
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     let mut passes = vec![PassTime::default(); ENTRIES];
     let mut batch: Vec<Stream> = Vec::new();
@@ -49,10 +49,10 @@
         let now = Duration::from_secs_f64(now_ms / 1_000.0);
         for stream in &mut batch {
             passes[stream.entry].observe(lasted_ms, now);
-            stream.left -= 1;
+            stream.events_left -= 1;
             stream.longest_ms = stream.longest_ms.max(lasted_ms);
         }
-        let ended = batch.extract_if(.., |stream| stream.left == 0);
+        let ended = batch.extract_if(.., |stream| stream.events_left == 0);
         tally.in_time += ended.filter(|s| s.longest_ms <= PAUSE_GOAL_MS).count() as u32;
         let expected = arrivals_per_s * lasted_ms / 1_000.0;
         let count = expected as u32 + u32::from(rng.random::<f64>() < expected.fract());
@@ -64,45 +64,46 @@
                 tally.refused += 1;
                 continue;
             }
-            batch.push(Stream { entry, left: EVENTS, longest_ms: 0.0 });
+            batch.push(Stream { entry, events_left: EVENTS, longest_ms: 0.0 });
         }
     }
     tally
 }
 
-/// A fifth more requests come than the group can serve in time, for half a minute. Taken all, they
-/// slow each other until every stream has a pause over the goal: technicians wait though the
-/// engines work at full speed. Each of many entries sees few streams, and none knows of the others.
+/// For half a minute a fifth more requests arrive than the group can serve in time. If all are
+/// admitted, they slow each other down until every stream has a pause over the goal, although the
+/// engines run at full speed. Each of the many entries sees only a few streams and doesn't know of
+/// the others'.
 #[test]
-fn limit_overload_most_served_in_time() {
-    let open = play(false, ARRIVALS_PER_S);
-    let limited = play(true, ARRIVALS_PER_S);
+fn limit_ms_overload_most_served_in_time() {
+    let unlimited = simulate(false, ARRIVALS_PER_S);
+    let limited = simulate(true, ARRIVALS_PER_S);
     let share = |tally: &Tally| f64::from(tally.in_time) / f64::from(tally.arrived);
-    assert!(share(&open) < 0.2, "{} without a limit", share(&open));
+    assert!(share(&unlimited) < 0.2, "{} without a limit", share(&unlimited));
     assert!(share(&limited) > 0.6, "{} with a limit", share(&limited));
 }
 
-/// On a calm day nobody is refused: a refusal then would cost a caller its answer for nothing.
+/// Below capacity no request must be refused: a refusal would cost a caller its answer needlessly.
 #[test]
-fn limit_calm_nobody_refused() {
-    let calm = play(true, ARRIVALS_PER_S / 2.0);
-    assert_eq!(calm.refused, 0, "of {}", calm.arrived);
+fn limit_ms_below_capacity_nobody_refused() {
+    let below_capacity = simulate(true, ARRIVALS_PER_S / 2.0);
+    assert_eq!(below_capacity.refused, 0, "of {}", below_capacity.arrived);
 }
 
-/// All ranks wait while a group forms again. That pause says nothing of the batch, and the requests
-/// that come right after must not be refused for it.
+/// All ranks wait while a group is formed anew. That pause doesn't depend on the batch, and must
+/// not cause refusals of the requests that arrive right after it.
 #[test]
-fn observe_stop_passed_over() {
+fn observe_interruption_ignored() {
     let mut passes = PassTime::default();
     passes.observe(80.0, Duration::from_millis(100));
     passes.observe(1_900.0, Duration::from_millis(150));
     assert_eq!(passes.mean_ms(Duration::from_millis(160)), Some(80.0));
 }
 
-/// Six streams of one entry end the same long pass. Counted six times it would stand for half a second
-/// of long passes.
+/// Six streams of one entry observe the same long pass. Counted six times, it would weigh as much
+/// as half a second of long passes.
 #[test]
-fn observe_one_pass_on_many_streams() {
+fn observe_one_pass_on_many_streams_counts_once() {
     let at = Duration::from_millis;
     let (mut one, mut many) = (PassTime::default(), PassTime::default());
     one.observe(60.0, at(0));
@@ -112,9 +113,9 @@
     assert_eq!(one, many);
 }
 
-/// Callers refused together must not come back together.
+/// Callers that were refused together must not retry at the same time.
 #[test]
-fn retry_after_spread() {
+fn retry_after_ms_spread() {
     let crowding = 150.0 / 110.0;
     let (early, late) =
         (retry_after_ms(crowding, 150.0, 0.0), retry_after_ms(crowding, 150.0, 1.0));
--- a/crates/policy/tests/rebalance.rs
+++ b/crates/policy/tests/rebalance.rs
@@ -66,20 +66,21 @@
 }
 
 fn zipf() -> Vec<f64> {
-    (1..=64).map(|place| f64::from(place).powf(-0.8)).collect()
+    (1..=64).map(|position| f64::from(position).powf(-0.8)).collect()
 }
 
 fn noisy<Random>(random: &mut Random, loads: &[f64]) -> Vec<f64>
 where
     Random: Rng,
 {
-    // Ten times the variance of a uniform number on [-0.05, 0.05] is a tenth of a load squared.
+    // Uniform on [-spread, spread], which has a standard deviation of a tenth of the load.
     let spread = 0.1 * 3f64.sqrt();
     loads.iter().map(|load| load * (1.0 + random.random_range(-spread..spread))).collect()
 }
 
-/// Runs a placement under noisy loads and one rank's speed; returns it and the weights moved.
-fn settle(params: &Params, slow_speed: f64, plans: usize) -> (Placement, usize) {
+/// Plans repeatedly under noisy loads with one slow rank; returns the placement and the number of
+/// moves.
+fn plan_repeatedly(params: &Params, slow_speed: f64, plans: usize) -> (Placement, usize) {
     let mut random = ChaCha8Rng::seed_from_u64(7);
     let (base, even) = (zipf(), vec![1.0; 32]);
     let mut speeds = even.clone();
@@ -100,31 +101,31 @@
     (placement, moved)
 }
 
-/// Loads that only flicker look a little uneven at every plan. If the rebalancer chased that, the
-/// group would load experts and switch maps all day, and callers would feel each switch.
+/// Loads with noise but no drift look slightly uneven in every plan. If the rebalancer reacted to
+/// that, the group would continuously load experts and switch maps, and each switch delays callers.
 #[test]
 fn plan_noise_alone() {
-    assert_eq!(settle(&Params::skew_weighted(), 1.0, 72).1, 0);
-    assert_eq!(settle(&Params::move_weighted(), 1.0, 72).1, 0);
+    assert_eq!(plan_repeatedly(&Params::skew_weighted(), 1.0, 72).1, 0);
+    assert_eq!(plan_repeatedly(&Params::move_weighted(), 1.0, 72).1, 0);
 }
 
-/// An accelerator throttles to half its speed, and as all ranks step together every token of the
-/// group takes nearly twice as long until the rank carries less.
+/// An accelerator throttles to half its speed. Since all ranks step together, every token of the
+/// group takes nearly twice as long until the rank has less load.
 #[test]
 fn plan_slow_rank() {
     let mut speeds = vec![1.0; 32];
     speeds[0] = 0.5;
     for params in [Params::skew_weighted(), Params::move_weighted()] {
         let before = skew(&repack(&zipf(), &[1.0; 32], 3), &zipf(), &speeds);
-        let (placement, _) = settle(&params, 0.5, 4);
+        let (placement, _) = plan_repeatedly(&params, 0.5, 4);
         assert!(before > 1.8, "{before}");
         let after = skew(&placement, &zipf(), &speeds);
         assert!(after < 1.3, "{after}");
     }
 }
 
-/// Two layers need moves and the budget is enough for one: what is planned must be whole for the
-/// layer that is worst, since half a chain of moves can be worse than none.
+/// Two layers need moves but the budget suffices for one. The plan must be complete for the layer
+/// with the higher skew, since a part of a chain of moves can be worse than none.
 #[test]
 fn plan_shared_budget() {
     let even = Placement { ranks: vec![vec![0, 1], vec![2, 3]] };
@@ -142,10 +143,10 @@
     assert_eq!(skew(&planned.layers[0].target, loads[1].means(), &[1.0, 1.0]), 1.0);
 }
 
-/// A load report from a broken rank may hold nonsense. The plan is refused rather than made from
-/// it, and the placement in use stays.
+/// A load report from a faulty rank may contain invalid numbers. The request is refused, so that
+/// the current placement stays in use.
 #[test]
-fn plan_broken_input() {
+fn plan_invalid_input() {
     let current = [Placement { ranks: vec![vec![0, 1], vec![2, 3]] }];
     let params = Params::skew_weighted();
     let refused = |loads: &[f64], speeds: &[f64]| {
--- a/crates/policy/tests/speed.rs
+++ b/crates/policy/tests/speed.rs
@@ -1,4 +1,4 @@
-//! Speeds of ranks from noisy and broken reports.
+//! Rank speeds from noisy and invalid reports.
 
 use flamingowheel_policy::rebalance::{RankSpeeds, Work};
 use rand::{RngExt, SeedableRng};
@@ -16,8 +16,8 @@
     (0..times).for_each(|_| speeds.observe(&all));
 }
 
-/// Reports flicker. If a rank were taken for slow because of that, its experts would be moved
-/// away and back all day.
+/// Samples are noisy. If noise made a rank count as slow, its experts would repeatedly be moved
+/// away and back.
 #[test]
 fn observe_noise_alone() {
     for (seed, noise) in [0.01, 0.05, 0.1, 0.2].into_iter().enumerate() {
@@ -32,23 +32,24 @@
     }
 }
 
-/// An accelerator throttles to half its speed and later recovers.
+/// An accelerator throttles to half its speed and later recovers; both must be detected from two
+/// agreeing samples.
 #[test]
 fn observe_slow_rank_and_recovery() {
     let mut speeds = RankSpeeds::new(RANKS);
     observe(&mut speeds, 1.0, 5);
-    // The interval in which it slows down is half one thing and half the other.
+    // It slows down in the middle of this interval.
     observe(&mut speeds, 0.75, 1);
     observe(&mut speeds, 0.5, 2);
     assert!((speeds.speeds()[0] - 0.5).abs() < 0.05, "{:?}", speeds.speeds());
     assert_eq!(speeds.speeds()[1..], [1.0; RANKS - 1]);
     observe(&mut speeds, 1.0, 1);
-    assert!(speeds.speeds()[0] < 0.6, "one good report is no recovery");
+    assert!(speeds.speeds()[0] < 0.6, "one good report must not count as recovery");
     observe(&mut speeds, 1.0, 1);
     assert_eq!(speeds.speeds(), [1.0; RANKS]);
 }
 
-/// One report comes late or is cut short, so that its counters make no sense for one interval.
+/// One report is late or truncated, so its counters are invalid for one interval.
 #[test]
 fn observe_one_bad_report() {
     for bad in [0.01, 0.4, 3.0, f64::INFINITY, f64::NAN, -1.0, 0.0] {
@@ -61,16 +62,17 @@
     }
 }
 
-/// A slow rank's engine is replaced by one that does not count. Nothing is known of it.
+/// The engine of a slow rank is replaced by one that doesn't report its work, so the rank's speed
+/// is unknown and must be reset to 1.
 #[test]
-fn observe_no_report_counts_as_one() {
+fn observe_no_report_resets_speed() {
     let mut speeds = RankSpeeds::new(RANKS);
     observe(&mut speeds, 0.5, 3);
     assert_eq!(speeds.speeds()[0], 0.5);
     let mut all = vec![work(1.0); RANKS];
     all[0] = None;
     speeds.observe(&all);
-    assert_eq!(speeds.speeds()[0], 0.5, "one missed report changes nothing");
+    assert_eq!(speeds.speeds()[0], 0.5, "one missed report must not change the speed");
     (0..6).for_each(|_| speeds.observe(&all));
     assert_eq!(speeds.speeds(), [1.0; RANKS]);
     let mut none = RankSpeeds::new(2);
@@ -78,7 +80,7 @@
     assert_eq!(none.speeds(), [1.0, 1.0]);
 }
 
-/// Of two ranks one is slow: there is no majority to compare it with.
+/// One of two ranks is slow, so there is no majority to compare with.
 #[test]
 fn observe_two_ranks() {
     let mut speeds = RankSpeeds::new(2);
--- a/crates/policy/tests/subset.rs
+++ b/crates/policy/tests/subset.rs
@@ -41,9 +41,10 @@
     cells.iter().flat_map(of_cell).collect()
 }
 
-// At the size of letter 1 both sides of a cell, and the links of one entry, must be bounded.
+// With 7,300 backend servers and 380 entries, both sides of a cell and the links of one entry must
+// be bounded.
 #[test]
-fn build_letter_size_bounded_on_both_sides() {
+fn build_large_fleet_bounded_on_both_sides() {
     let entries = entries(380);
     let cells = build(&servers(7_300), &entries);
     for cell in cells.iter() {
@@ -58,8 +59,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 24, rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
-    // 2,500 VMs are replaced on an ordinary day. If one leaving moved many others, links and what
-    // was learned over them would be lost all day long.
+    // 2,500 VMs are replaced per day. If a leaving server moved many others to other cells, links
+    // and the load information from them would be lost continuously.
     #[test]
     fn build_server_left_others_stay(count in 100u64..900, gone in 0usize..100) {
         let all = servers(count);
@@ -79,7 +80,8 @@
         let servers = servers(2_000);
         let (before, after) = (links(&build(&servers, &all)), links(&build(&servers, &fewer)));
         let added = after.difference(&before).count();
-        // Its own links move, and those of cells where a full entry gives way: four shares at most.
+        // Its own links move, and those of cells where an entry is now at its limit: at most four
+        // times an entry's share.
         prop_assert!(added <= 4 * 96 * 4, "{added} of {} links", after.len());
     }
 
@@ -103,24 +105,25 @@
     }
 }
 
-// On average over many leaves no more than about one in n may move, splits and merges included.
+// On average over many departures at most about one server per departure may move, including splits
+// and merges.
 #[test]
 fn build_all_servers_leave_in_turn_moves_stay_proportional() {
-    let mut left = servers(1_000);
-    let mut before = cell_ids(&build(&left, &[]));
+    let mut remaining = servers(1_000);
+    let mut before = cell_ids(&build(&remaining, &[]));
     let mut moved = 0;
-    while left.len() > 200 {
-        left.pop();
-        let after = cell_ids(&build(&left, &[]));
+    while remaining.len() > 200 {
+        remaining.pop();
+        let after = cell_ids(&build(&remaining, &[]));
         moved += after.iter().filter(|(server, cell)| before[server] != **cell).count();
         before = after;
     }
-    assert!(moved <= 800, "{moved} moved by 800 leaves");
+    assert!(moved <= 800, "{moved} moved by 800 departures");
 }
 
-/// Share of all workspaces' addresses that are new after each entry in turn has left, on average,
-/// times the number of entries: 1 is the least possible.
-fn moved_times_n(count: u64, server_count: u64) -> f64 {
+/// Mean share of all workspaces' addresses that are new after one entry has left, times the number
+/// of entries; 1 is the minimum.
+fn moved_share_times_n(count: u64, server_count: u64) -> f64 {
     let (all, servers) = (entries(count), servers(server_count));
     let workspaces: Vec<WorkspaceKey> =
         (0..500).map(|n| WorkspaceKey::from_name(&format!("workspace-{n}"))).collect();
@@ -129,24 +132,24 @@
         workspaces.iter().map(|workspace| cells.subset(*workspace, &[SCOPE], 30.0)).collect()
     };
     let before = subsets(&all);
-    let (mut moved, mut kept) = (0, 0);
+    let (mut moved, mut total) = (0, 0);
     for gone in 0..all.len() {
         let mut fewer = all.clone();
         fewer.remove(gone);
         for (old, new) in before.iter().zip(subsets(&fewer)) {
             moved += new.iter().filter(|entry| !old.contains(entry)).count();
-            kept += new.len();
+            total += new.len();
         }
     }
-    moved as f64 / kept as f64 * count as f64
+    moved as f64 / total as f64 * count as f64
 }
 
-// Limits, prefix knowledge and fairness live on a workspace's entries. If one entry's end moved many
-// workspaces, all of these would start anew each time.
+// Limits, prefix indexes and fairness are kept on a workspace's entries. If the departure of one
+// entry moved many workspaces, all of that state would be lost each time.
 #[test]
 fn subset_entry_left_about_one_in_n_move() {
     for (count, servers) in [(6, 19), (9, 19), (20, 64), (60, 400)] {
-        let moved = moved_times_n(count, servers);
+        let moved = moved_share_times_n(count, servers);
         assert!(moved <= 1.5, "{count} entries: {moved:.2} times 1/n moved");
     }
 }
@@ -165,7 +168,7 @@
     assert!((850..=1_150).contains(&first[&entries[0].key]), "{first:?}");
 }
 
-// A data centre that is gone, or a fleet of one entry, must still give an answer.
+// An unknown data centre or scope and a fleet of one entry must still get addresses.
 #[test]
 fn entries_for_small_fleets_never_empty() {
     for count in 1..10 {
@@ -178,17 +181,17 @@
     }
 }
 
-/// Three of the five data centres are in one region, two in another.
-fn of_two_regions(count: u64) -> Vec<EntryInfo> {
+/// Entries in five data centres, three of them in one region and two in another.
+fn entries_in_two_regions(count: u64) -> Vec<EntryInfo> {
     let region = |entry: &EntryInfo| RegionKey(u64::from(entry.data_centre.0 >= 3));
     entries(count).iter().map(|entry| EntryInfo { region: region(entry), ..*entry }).collect()
 }
 
-// Links between regions are slow and may all break at once. A cell must not need them while its
-// own region has entries, and must not be without entries if it has none.
+// Links between regions are slow and may all fail at once. A cell must not depend on them while its
+// own region has entries, and must get entries from elsewhere if it has none.
 #[test]
 fn build_within_region_stays_near() {
-    let entries = of_two_regions(60);
+    let entries = entries_in_two_regions(60);
     let servers = servers(300);
     let scope = |region: u64| {
         let region = RegionKey(region);
--- a/crates/policy/tests/suspicion.rs
+++ b/crates/policy/tests/suspicion.rs
@@ -1,4 +1,4 @@
-//! Requests that crash backend servers, over several entries that tell each other what they know.
+//! Requests that crash backend servers, with several entries that exchange their records.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -20,7 +20,7 @@
 const SERVERS: usize = 64;
 const BATCH: usize = 32;
 
-fn book() -> SuspectTracker {
+fn tracker() -> SuspectTracker {
     SuspectTracker::new(SuspicionConfig::default())
 }
 
@@ -34,8 +34,8 @@
     SuspectRecord { fingerprint: Fingerprint(fingerprint), crashes }
 }
 
-fn sorted(book: &SuspectTracker) -> Vec<SuspectRecord> {
-    let mut records = book.records(Duration::ZERO);
+fn sorted(tracker: &SuspectTracker) -> Vec<SuspectRecord> {
+    let mut records = tracker.records(Duration::ZERO);
     records.sort_by_key(|record| record.fingerprint);
     records
 }
@@ -51,11 +51,11 @@
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
     // Records reach processes in any order and more than once. If the order mattered, two entries
-    // would judge the same request differently for good.
+    // would permanently disagree about a request.
     #[test]
     fn merge_any_order_and_repeated(a in any_records(), b in any_records(), c in any_records()) {
-        let mut first = book();
-        let mut second = book();
+        let mut first = tracker();
+        let mut second = tracker();
         for records in [&a, &b, &c] {
             first.merge(records, Duration::ZERO);
         }
@@ -66,10 +66,10 @@
     }
 }
 
-// Two processes that keep telling each other about one crash would otherwise remember it for ever.
+// Two processes that repeatedly exchange their records must not keep a crash alive forever.
 #[test]
-fn merge_records_told_back_and_forth_expire() {
-    let (mut a, mut b) = (book(), book());
+fn merge_records_exchanged_repeatedly_expire() {
+    let (mut a, mut b) = (tracker(), tracker());
     let crash = CrashId { server: ServerKey(1), number: 1 };
     a.on_crash(crash, &[Fingerprint(1)], Duration::ZERO);
     let mut now = Duration::ZERO;
@@ -85,43 +85,47 @@
     assert_eq!(b.verdict(Fingerprint(1), now), Verdict::Clear);
 }
 
-// A caller that sends a convicted request again just before the period ends would otherwise cost
-// two more backend servers every hour.
+// If a refusal expired while the request keeps being sent, its caller would crash two more backend
+// servers per period.
 #[test]
 fn verdict_refused_request_sent_again_stays_refused() {
-    let mut book = book();
+    let mut tracker = tracker();
     for server in [1, 2] {
         let crash = CrashId { server: ServerKey(server), number: 1 };
-        book.on_crash(crash, &[Fingerprint(1)], Duration::ZERO);
+        tracker.on_crash(crash, &[Fingerprint(1)], Duration::ZERO);
     }
     for hours in 0..10 {
         let now = Duration::from_secs(3_500 * hours);
-        assert!(matches!(book.verdict(Fingerprint(1), now), Verdict::Refused { .. }));
+        assert!(matches!(tracker.verdict(Fingerprint(1), now), Verdict::Refused { .. }));
     }
-    assert_eq!(book.verdict(Fingerprint(1), Duration::from_secs(50_000)), Verdict::Clear);
+    assert_eq!(tracker.verdict(Fingerprint(1), Duration::from_secs(50_000)), Verdict::Clear);
 }
 
-// A backend server that crashes again and again with always new bodies must not fill the memory,
-// nor push out what is known of the requests that are refused.
+// A backend server that crashes repeatedly with ever new bodies must not exhaust the memory, nor
+// evict the records of refused requests.
 #[test]
-fn on_crash_many_fingerprints_bounded_and_convicts_kept() {
+fn on_crash_many_fingerprints_bounded_and_refused_kept() {
     let config = SuspicionConfig { max_fingerprints: 100, ..SuspicionConfig::default() };
-    let mut book = SuspectTracker::new(config);
-    let convict = Fingerprint(u128::MAX);
+    let mut tracker = SuspectTracker::new(config);
+    let refused = Fingerprint(u128::MAX);
     for server in [1, 2] {
-        book.on_crash(CrashId { server: ServerKey(server), number: 1 }, &[convict], Duration::ZERO);
+        tracker.on_crash(
+            CrashId { server: ServerKey(server), number: 1 },
+            &[refused],
+            Duration::ZERO,
+        );
     }
     for n in 0..1_000 {
         let crash = CrashId { server: ServerKey(3), number: n };
-        book.on_crash(crash, &[Fingerprint(u128::from(n))], Duration::from_millis(n));
+        tracker.on_crash(crash, &[Fingerprint(u128::from(n))], Duration::from_millis(n));
     }
-    assert_eq!(book.len(), 100);
-    let verdict = book.verdict(convict, Duration::from_secs(2));
+    assert_eq!(tracker.len(), 100);
+    let verdict = tracker.verdict(refused, Duration::from_secs(2));
     assert!(matches!(verdict, Verdict::Refused { .. }));
 }
 
-/// What one run of the fleet below came to.
-struct Outcome {
+/// Result of one simulation.
+struct RunResult {
     servers_lost: usize,
     innocents_refused: usize,
     innocents_finished: usize,
@@ -136,26 +140,26 @@
     crashes: u64,
     lost: HashSet<ServerKey>,
     now: Duration,
-    /// Longest time a notice takes to another entry.
-    notice: Duration,
+    /// Longest delay of a notice to another entry.
+    max_notice_delay: Duration,
     notices: Vec<(Duration, usize, Vec<SuspectRecord>)>,
 }
 
 impl Fleet {
-    fn new(seed: u64, notice: Duration) -> Self {
+    fn new(seed: u64, max_notice_delay: Duration) -> Self {
         let keys: Vec<ServerKey> = (0..SERVERS as u64).map(ServerKey).collect();
         let mut load = LoadTracker::default();
         keys.iter().for_each(|key| assert!(load.insert(*key)));
         Self {
             rng: ChaCha8Rng::seed_from_u64(seed),
-            entries: (0..ENTRIES).map(|_| book()).collect(),
+            entries: (0..ENTRIES).map(|_| tracker()).collect(),
             agents: (0..SERVERS).map(|_| Admission::new(AdmissionConfig::default())).collect(),
             load,
             keys,
             crashes: 0,
             lost: HashSet::new(),
             now: Duration::ZERO,
-            notice,
+            max_notice_delay,
             notices: Vec::new(),
         }
     }
@@ -170,30 +174,31 @@
         }
     }
 
-    /// The agent's notice reaches every entry of its cell, each at its own time and twice.
+    /// The agent's notice reaches every entry twice, with random delays.
     fn crash(&mut self, server: ServerKey, running: &[Fingerprint]) {
         self.crashes += 1;
         self.lost.insert(server);
         let crash = CrashId { server, number: self.crashes };
-        let told = self.rng.random_range(0..ENTRIES);
-        self.entries[told].on_crash(crash, running, self.now);
+        let notified = self.rng.random_range(0..ENTRIES);
+        self.entries[notified].on_crash(crash, running, self.now);
         self.load.set_availability(server, Availability::Suspect);
-        self.spread(told);
+        self.send_records(notified);
     }
 
-    fn spread(&mut self, from: usize) {
+    fn send_records(&mut self, from: usize) {
         let records = self.entries[from].drain_changes(self.now);
         for entry in (0..ENTRIES).chain(0..ENTRIES) {
-            let at = self.now + self.notice.mul_f64(self.rng.random());
+            let at = self.now + self.max_notice_delay.mul_f64(self.rng.random());
             self.notices.push((at, entry, records.clone()));
         }
     }
 
-    /// Sends one copy through each of the given entries at the same moment. `true`: one finished.
-    fn send_at_once(
+    /// Sends one copy through each of the given entries at the same time. Returns whether the
+    /// started copies finished, or `None` if none was started.
+    fn send_concurrently(
         &mut self,
         request: Fingerprint,
-        kills: bool,
+        crashes_server: bool,
         entries: &[usize],
     ) -> Option<bool> {
         let mut started = Vec::new();
@@ -222,25 +227,25 @@
         let servers: HashSet<ServerKey> = started.iter().map(|(server, _)| *server).collect();
         for server in servers {
             self.agents[server.0 as usize] = Admission::new(AdmissionConfig::default());
-            if kills {
+            if crashes_server {
                 self.crash(server, &[request]);
             }
         }
-        if !kills {
+        if !crashes_server {
             let entry = started[0].1;
             self.entries[entry].on_finished(request, self.now);
-            self.spread(entry);
+            self.send_records(entry);
         }
-        Some(!kills)
+        Some(!crashes_server)
     }
 }
 
-/// A batch with one killer crashes; then every request is sent again, the killer 200 times, often
-/// through several entries at once.
-fn run_batch(seed: u64, notice: Duration) -> Outcome {
-    let mut fleet = Fleet::new(seed, notice);
+/// A batch with one crashing request takes down a server. Then every request is sent again, the
+/// crashing one 200 times, often through several entries concurrently.
+fn run_batch(seed: u64, max_notice_delay: Duration) -> RunResult {
+    let mut fleet = Fleet::new(seed, max_notice_delay);
     let batch: Vec<Fingerprint> = (0..BATCH as u128).map(Fingerprint).collect();
-    let killer = batch[0];
+    let crasher = batch[0];
     fleet.crash(ServerKey(seed % SERVERS as u64), &batch);
     let (mut refused, mut finished) = (0, 0);
     for round in 0..200 {
@@ -249,30 +254,30 @@
         fleet.advance(Duration::from_millis(pause_ms));
         let copies = fleet.rng.random_range(1..=ENTRIES);
         let entries: Vec<usize> = (0..copies).map(|_| fleet.rng.random_range(0..ENTRIES)).collect();
-        fleet.send_at_once(killer, true, &entries);
+        fleet.send_concurrently(crasher, true, &entries);
         if let Some(innocent) = batch.get(round + 1) {
-            match fleet.send_at_once(*innocent, false, &entries) {
+            match fleet.send_concurrently(*innocent, false, &entries) {
                 Some(_) => finished += 1,
                 None => refused += 1,
             }
         }
     }
     let servers_lost = fleet.lost.len();
-    Outcome { servers_lost, innocents_refused: refused, innocents_finished: finished }
+    RunResult { servers_lost, innocents_refused: refused, innocents_finished: finished }
 }
 
-// One request crashes every backend server that runs it and its caller sends it again and again,
-// through all entries, also at the same moment, from 2 ms after the answer broke off. The agent's
-// notice takes up to 2 ms to each entry. Without suspicion each copy costs a backend server
-// and everything that runs beside it; a user sees answers break off all over the fleet.
+// One request crashes every backend server that runs it. Its caller resends it repeatedly through
+// all entries, also concurrently, starting 2 ms after its answer was aborted; the agent's notice
+// takes up to 2 ms to reach each entry. Without isolation of suspects each copy would crash a
+// backend server and abort all requests running there.
 #[test]
-fn suspicion_killer_sent_again_two_servers_lost() {
+fn verdict_crashing_request_resent_two_servers_lost() {
     let (mut refused, mut innocents) = (0, 0);
     for seed in 0..50 {
-        let outcome = run_batch(seed, Duration::from_millis(2));
-        assert!(outcome.servers_lost <= 2, "seed {seed}: {} lost", outcome.servers_lost);
-        refused += outcome.innocents_refused;
-        innocents += outcome.innocents_refused + outcome.innocents_finished;
+        let result = run_batch(seed, Duration::from_millis(2));
+        assert!(result.servers_lost <= 2, "seed {seed}: {} lost", result.servers_lost);
+        refused += result.innocents_refused;
+        innocents += result.innocents_refused + result.innocents_finished;
     }
     assert_eq!(innocents, 50 * (BATCH - 1));
     assert!(refused * 100 <= innocents, "{refused} of {innocents} innocents refused");
