--- a/crates/ranks/tests/switch.rs
+++ b/crates/ranks/tests/switch.rs
@@ -46,8 +46,8 @@
     assert!(released.is_done(&ranks));
 }
 
-/// One rank has not executed its order to copy experts. If the others were armed anyway, they would
-/// use the new map without it, and answers would be computed from two maps.
+/// One rank left its order unanswered and has not copied its experts. If the others were armed
+/// anyway, they would use the new map without it, and answers would be computed from two maps.
 #[test]
 fn switch_unprepared_rank_waits() {
     let mut ranks = ranks(2);
