--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -263,9 +263,9 @@
     /// connection is closed when its heartbeats stop.
     pub async fn next(&mut self) -> Result<Piece, AttemptEnd> {
         loop {
-            let far = Instant::now() + NO_DEADLINE;
+            let deadline = Instant::now() + NO_DEADLINE;
             let wanted = self.stage.next_chunk;
-            let message = self.stage.channel.next(far, wanted).await?;
+            let message = self.stage.channel.next(deadline, wanted).await?;
             match message {
                 AgentMessage::Chunk { number, data, .. } if number == wanted => {
                     self.stage.next_chunk += 1;
--- a/crates/entry/src/claims.rs
+++ b/crates/entry/src/claims.rs
@@ -77,7 +77,7 @@
     #[error(transparent)]
     KeyValue(#[from] KeyValueError),
     /// The stored record can't be parsed.
-    #[error("stored record of the idempotency key can't be read")]
+    #[error("stored record of the idempotency key can't be parsed")]
     Malformed,
     /// The caller's deadline passed before the key was bound.
     #[error("deadline passed before the idempotency key was bound")]
--- a/crates/entry/src/limits.rs
+++ b/crates/entry/src/limits.rs
@@ -28,7 +28,7 @@
 const NO_SHARE_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// State of a workspace without requests for this long is dropped; longer than any loan lasts.
-const IDLE_LIMIT: Duration = Duration::from_secs(60);
+const WORKSPACE_IDLE_LIMIT: Duration = Duration::from_secs(60);
 
 /// A loan request that is to be sent to another entry.
 #[derive(Clone, Debug, PartialEq)]
@@ -78,8 +78,8 @@
 impl Drop for Permit {
     fn drop(&mut self) {
         let now = self.limiter.now();
-        if let Some(workspace) = self.limiter.workspaces().get_mut(&self.workspace) {
-            workspace.limits.finish(self.expected_tokens, self.actual_tokens, now);
+        if let Some(state) = self.limiter.workspaces().get_mut(&self.workspace) {
+            state.limits.finish(self.expected_tokens, self.actual_tokens, now);
         }
     }
 }
@@ -169,8 +169,8 @@
     /// Applies the answer to an [`OutgoingLoanRequest`].
     pub fn apply_loan(&self, outgoing: &OutgoingLoanRequest, loan: &Loan) {
         let now = self.now();
-        if let Some(workspace) = self.workspaces().get_mut(&outgoing.workspace) {
-            workspace.limits.on_loan(outgoing.lender, loan, now);
+        if let Some(state) = self.workspaces().get_mut(&outgoing.workspace) {
+            state.limits.on_loan(outgoing.lender, loan, now);
         }
         self.loan_received.notify_waiters();
     }
@@ -184,8 +184,9 @@
     pub fn loan_requests(&self) -> Vec<OutgoingLoanRequest> {
         let now = self.now();
         let mut workspaces = self.workspaces();
-        workspaces
-            .retain(|_, state| state.limits.in_flight() > 0 || now < state.used_at + IDLE_LIMIT);
+        workspaces.retain(|_, state| {
+            state.limits.in_flight() > 0 || now < state.used_at + WORKSPACE_IDLE_LIMIT
+        });
         let next = |(name, state): (&Arc<str>, &mut WorkspaceState)| {
             let (lender, request) = state.limits.next_loan_request(now)?;
             Some(OutgoingLoanRequest { workspace: Arc::clone(name), lender, request })
--- a/crates/entry/src/router.rs
+++ b/crates/entry/src/router.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, timeout};
 
-/// Parameters of a request's priority and retries.
+/// A request's priority, longest wait and number of attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RouteClass {
     /// Whether the request overtakes waiting requests.
--- a/crates/entry/src/stream.rs
+++ b/crates/entry/src/stream.rs
@@ -46,7 +46,7 @@
 
 impl Answer {
     /// Wraps an attempt whose answer has begun.
-    #[allow(clippy::too_many_arguments, reason = "one caller, and each names a field")]
+    #[allow(clippy::too_many_arguments, reason = "each parameter sets a field")]
     pub fn new(
         request: Request,
         head: Head,
--- a/crates/entry/src/supervisor.rs
+++ b/crates/entry/src/supervisor.rs
@@ -91,8 +91,8 @@
             match message {
                 AgentMessage::CacheEvents(events) => self.router.apply_cache_events(server, events),
                 AgentMessage::OrderAnswer { number, body } => {
-                    if let Some(waiting) = self.agent.orders().remove(&number) {
-                        let _ = waiting.send(body);
+                    if let Some(reply) = self.agent.orders().remove(&number) {
+                        let _ = reply.send(body);
                     }
                 }
                 message => {
