--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -89,7 +89,8 @@
 /// let deadline = Duration::from_secs(9);
 /// let offer = |id| Offer { id, priority: Priority(5), last_try: false, deadline };
 /// assert_eq!(admission.offer(offer(1)), AdmissionDecision::Start);
-/// assert!(matches!(admission.offer(offer(2)), AdmissionDecision::Full(load) if load.running == 1));
+/// let decision = admission.offer(offer(2));
+/// assert!(matches!(decision, AdmissionDecision::Full(load) if load.running == 1));
 /// ```
 #[derive(Clone, Debug)]
 pub struct Admission<Id> {
--- a/crates/policy/src/experts.rs
+++ b/crates/policy/src/experts.rs
@@ -148,9 +148,9 @@
 /// Plans the next small step to a balanced map, if its gain justifies its copies.
 ///
 /// All ranks copy concurrently, so a step takes as long as the rank with the most copies. The group
-/// keeps its old map until then, and its skew delays the streams. So a step copies one expert to
-/// each rank. It copies a further one only if the skew that this saves over the time of a separate
-/// change outweighs the delay of the gain of the first copies.
+/// keeps its old map until then, and its skew delays the streams. So a step copies at most one
+/// expert to each rank. It allows a further copy only if the skew that this saves over the time of
+/// a separate change outweighs the delay of the gain of the first copies.
 pub fn step(map: &Map, demand: &Demand, paces: &[f64], limits: StepLimits) -> Option<Step> {
     let skew_before = skew(map, demand, paces);
     // Even a perfectly balanced map would not save enough.
--- a/crates/policy/src/prefix.rs
+++ b/crates/policy/src/prefix.rs
@@ -196,7 +196,8 @@
 /// let prompt = block_hashes(b"abcdefgh", 4);
 /// let stored = CacheChange::Stored(prompt[..1].to_vec());
 /// index.on_event(ServerKey(1), CacheEvent { number: 1, change: stored }, Duration::ZERO);
-/// assert_eq!(index.prefill_time(ServerKey(1), &prompt, Duration::ZERO), Duration::from_millis(10));
+/// let prefill_time = index.prefill_time(ServerKey(1), &prompt, Duration::ZERO);
+/// assert_eq!(prefill_time, Duration::from_millis(10));
 /// ```
 #[derive(Clone, Debug)]
 pub struct PrefixIndex {
--- a/crates/policy/src/rebalance/params.rs
+++ b/crates/policy/src/rebalance/params.rs
@@ -26,7 +26,8 @@
     ///
     /// ```
     /// use flamingowheel_policy::rebalance::Params;
-    /// assert!(Params::skew_weighted().min_gain_per_move() < Params::move_weighted().min_gain_per_move());
+    /// let (skew, moves) = (Params::skew_weighted(), Params::move_weighted());
+    /// assert!(skew.min_gain_per_move() < moves.min_gain_per_move());
     /// ```
     pub fn skew_weighted() -> Self {
         Self {
--- a/crates/policy/src/rebalance/plan.rs
+++ b/crates/policy/src/rebalance/plan.rs
@@ -24,7 +24,7 @@
     pub loads: &'a [DecayedLoads],
     /// Relative speed of each rank; a rank at half speed gets half the load.
     pub speeds: &'a [f64],
-    /// Weights and bounds.
+    /// Cost weights and limits.
     pub params: &'a Params,
 }
 
@@ -97,7 +97,8 @@
 /// let current = [Placement { ranks: vec![vec![0, 1], vec![2, 3]] }];
 /// let loads = [DecayedLoads::new(0.3, &[4.0, 4.0, 1.0, 1.0])];
 /// let params = Params::skew_weighted();
-/// let request = Request { current: &current, loads: &loads, speeds: &[1.0, 1.0], params: &params };
+/// let speeds = [1.0, 1.0];
+/// let request = Request { current: &current, loads: &loads, speeds: &speeds, params: &params };
 /// assert_eq!(plan(&request).unwrap().move_count(), 2);
 /// ```
 pub fn plan(request: &Request<'_>) -> Result<Plan, RequestError> {
--- a/crates/policy/src/rebalance/score.rs
+++ b/crates/policy/src/rebalance/score.rs
@@ -1,4 +1,5 @@
-//! Step times of the ranks under a placement, updated incrementally during the search.
+//! Step times of the ranks under a placement, and predictions for the changes that the search
+//! tries.
 
 use super::placement::{Expert, Placement};
 
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -38,10 +38,10 @@
     Unknown,
 }
 
-/// A request as the retry decision sees it.
+/// A failed request that may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryRequest {
-    /// Running it twice does no harm.
+    /// Whether running the request twice is harmless.
     pub idempotent: bool,
     /// Outcome of the previous try.
     pub last_outcome: TryOutcome,
@@ -73,7 +73,8 @@
 /// ```
 /// use flamingowheel_policy::retry::{TryOutcome, RetryBudget, RetryConfig, RetryRequest};
 /// use std::time::Duration;
-/// let mut budget = RetryBudget::new(RetryConfig { max_retries_saved: 1.0, ..RetryConfig::default() });
+/// let config = RetryConfig { max_retries_saved: 1.0, ..RetryConfig::default() };
+/// let mut budget = RetryBudget::new(config);
 /// let request = RetryRequest {
 ///     idempotent: true,
 ///     last_outcome: TryOutcome::Unknown,
--- a/crates/policy/src/subset.rs
+++ b/crates/policy/src/subset.rs
@@ -91,11 +91,11 @@
 ///     DataCentreKey, EntryKey, RegionKey, ScopeKey, ServerKey, WorkspaceKey,
 /// };
 /// use flamingowheel_policy::subset::{Cells, EntryInfo, SubsetConfig};
-/// let own = DataCentreKey::from_name("ga-1");
+/// let data_centre = DataCentreKey::from_name("ga-1");
 /// let entries: Vec<EntryInfo> = (0..6)
 ///     .map(|n| EntryInfo {
 ///         key: EntryKey(n),
-///         data_centre: own,
+///         data_centre,
 ///         region: RegionKey::from_name("ga-central"),
 ///         weight: 1.0,
 ///         leaving: n == 0,
@@ -104,9 +104,10 @@
 /// let scope = ScopeKey::from_name("notes-model/ga-central");
 /// let servers = [(scope, vec![ServerKey(1), ServerKey(2)])];
 /// let cells = Cells::build(SubsetConfig::default(), &servers, &entries);
-/// let answer = cells.entries_for(WorkspaceKey::from_name("crews"), &[scope], 1.0, own);
-/// assert_eq!(answer.len(), 2);
-/// assert!(!answer.contains(&EntryKey(0)));
+/// let workspace = WorkspaceKey::from_name("crews");
+/// let chosen = cells.entries_for(workspace, &[scope], 1.0, data_centre);
+/// assert_eq!(chosen.len(), 2);
+/// assert!(!chosen.contains(&EntryKey(0)));
 /// ```
 #[derive(Clone, Debug)]
 pub struct Cells {
@@ -218,7 +219,7 @@
         subset
     }
 
-    /// The entries whose addresses a caller in data centre `own` gets: the subset, entries of that
+    /// The entries whose addresses a caller in `data_centre` gets: the subset, entries of that
     /// data centre first, and an entry of another data centre last, if there is one, in case the
     /// whole data centre fails.
     #[must_use]
@@ -227,16 +228,16 @@
         workspace: WorkspaceKey,
         scopes: &[ScopeKey],
         rate_per_s: f64,
-        own: DataCentreKey,
+        data_centre: DataCentreKey,
     ) -> Vec<EntryKey> {
         let mut entries = self.subset(workspace, scopes, rate_per_s);
-        let at = self.entries.values().find(|entry| entry.data_centre == own);
+        let at = self.entries.values().find(|entry| entry.data_centre == data_centre);
         let region = at.map(|entry| entry.region);
         entries.sort_by_key(|entry| {
             let entry = &self.entries[entry];
-            (entry.data_centre != own, Some(entry.region) != region)
+            (entry.data_centre != data_centre, Some(entry.region) != region)
         });
-        let is_elsewhere = |entry: &EntryKey| self.entries[entry].data_centre != own;
+        let is_elsewhere = |entry: &EntryKey| self.entries[entry].data_centre != data_centre;
         if entries.iter().any(is_elsewhere) {
             return entries;
         }
--- a/crates/policy/src/topology.rs
+++ b/crates/policy/src/topology.rs
@@ -106,9 +106,9 @@
         pollers
     }
 
-    /// The [`FOLLOWERS`] entries that watch the key-value service for all others: the first entry
-    /// of each data centre in hash order, and further entries of each if there are too few data
-    /// centres.
+    /// The [`FOLLOWERS`] entries that watch the key-value service for all others: the first entries
+    /// of different data centres, and further entries of each if there are fewer data centres than
+    /// that.
     ///
     /// ```
     /// use flamingowheel_policy::topology::{EntryRef, Topology};
--- a/crates/policy/tests/subset.rs
+++ b/crates/policy/tests/subset.rs
@@ -68,7 +68,7 @@
         fewer.remove(gone);
         let (before, after) = (cell_ids(&build(&all, &[])), cell_ids(&build(&fewer, &[])));
         let moved = after.iter().filter(|(server, cell)| before[server] != **cell).count();
-        // Only a cell that falls below the bound is merged with its sibling.
+        // Only a cell that falls below the limit is merged with its sibling.
         prop_assert!(moved <= 97, "{moved} moved");
     }
 
