--- a/crates/agent/src/archive.rs
+++ b/crates/agent/src/archive.rs
@@ -47,7 +47,8 @@
     pub finished: usize,
     /// Number of answers whose write was confirmed.
     pub written: usize,
-    /// Whether the seal was written: tickets that it does not cover never ran.
+    /// Whether the seal was written. Tickets that are neither archived nor listed in it as
+    /// unanswered then never ran.
     pub sealed: bool,
 }
 
--- a/crates/agent/src/cache.rs
+++ b/crates/agent/src/cache.rs
@@ -44,7 +44,7 @@
 /// A query for the engine's events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CachePoll {
-    /// Counts resets of the view; answers to queries from before a reset are ignored.
+    /// Number of resets of the view. The answer is ignored if there was another one meanwhile.
     generation: u64,
     /// The engine's events after this number are requested.
     pub after: u64,
--- a/crates/agent/src/control/work.rs
+++ b/crates/agent/src/control/work.rs
@@ -150,7 +150,7 @@
     }
 
     /// Whether a request may crash the backend server. It then runs with no other requests, so that
-    /// a crash can neither affect them nor be blamed on them.
+    /// a crash can neither affect them nor make them suspects.
     pub(super) fn must_run_alone(&mut self, fingerprint: Fingerprint) -> bool {
         let verdict = self.suspicion.verdict(fingerprint, self.started.elapsed());
         matches!(verdict, Verdict::Alone { .. })
@@ -202,7 +202,7 @@
         self.recorder.record(Event::SuspectCleared { fingerprint });
     }
 
-    /// Ends a request that has not begun.
+    /// Refuses a request that was admitted but has not begun.
     pub(super) fn refuse_pending(&mut self, key: ExecutionKey, refusal: Refusal) {
         self.add_tombstones(key);
         self.pending.remove(&key);
--- a/crates/agent/src/execution.rs
+++ b/crates/agent/src/execution.rs
@@ -18,7 +18,7 @@
 /// Upper bound on unacknowledged chunks that are sent.
 const SEND_WINDOW_CHUNKS: u64 = 1024;
 
-/// Messages collected under one lock of the answer.
+/// Upper bound on the messages that are collected in one batch.
 const MAX_BATCH_MESSAGES: usize = 64;
 
 /// Memory that a chunk takes besides its bytes. Without it, an answer of many tiny chunks would be
--- a/crates/agent/src/records.rs
+++ b/crates/agent/src/records.rs
@@ -13,7 +13,7 @@
 use std::sync::Arc;
 use tokio::time::Instant;
 
-/// Tombstones of tickets may exceed the bound on tickets by one part in this many.
+/// Tombstones may take the number of ticket records beyond its bound by the bound divided by this.
 const TOMBSTONE_SHARE: usize = 4;
 
 /// Record of an attempt or a ticket.
--- a/crates/group/benches/switch.rs
+++ b/crates/group/benches/switch.rs
@@ -39,7 +39,7 @@
 /// Observations of one run.
 #[derive(Default)]
 struct Observed {
-    still: Duration,
+    stopped: Duration,
     /// From the fault's end to the last interval without a step.
     recovery: Duration,
     runs: bool,
@@ -63,7 +63,7 @@
         }
         observed.runs = runs;
         if !runs {
-            observed.still += POLL_INTERVAL;
+            observed.stopped += POLL_INTERVAL;
             let ended_at = injected_at.map_or(since_start, |at| at + duration);
             observed.recovery = since_start.saturating_sub(ended_at);
         }
@@ -76,10 +76,10 @@
 }
 
 async fn print(kind_name: &str, kind: EngineKind) {
-    let plain = run(kind, None).await;
-    println!("{kind_name}.no_fault.still_ms={}", plain.still.as_millis());
+    let no_fault = run(kind, None).await;
+    println!("{kind_name}.no_fault.still_ms={}", no_fault.stopped.as_millis());
     for (name, fault, duration) in FAULTS {
-        let (mut worst, mut never, mut splits) = (Duration::ZERO, 0, plain.splits);
+        let (mut worst, mut never, mut splits) = (Duration::ZERO, 0, no_fault.splits);
         for message in 0..MESSAGES {
             let observed = run(kind, Some((message, fault, duration))).await;
             splits += observed.splits;
--- a/crates/group/src/align.rs
+++ b/crates/group/src/align.rs
@@ -26,7 +26,7 @@
     Waiting {
         /// The ranks that can't be verified, and why.
         ranks: Vec<(usize, RankError)>,
-        /// Whether the group is stopped until they can be.
+        /// Whether the group is stopped until they can be verified.
         held: bool,
         /// Ranks that answer but don't serve what the record says.
         behind: Vec<usize>,
--- a/crates/group/src/budget/keeper.rs
+++ b/crates/group/src/budget/keeper.rs
@@ -63,8 +63,8 @@
         Self { kv, member: member.to_owned(), limits, state: Mutex::new(state), refreshing, next }
     }
 
-    /// Waits until all earlier reads are paid off at this member's rate, then admits one of this
-    /// size.
+    /// Waits until the backlog of earlier reads has drained at this member's rate, then admits a
+    /// read of this size.
     ///
     /// A group of 32 ranks requests all its loads at once. If each were scheduled at the rate of
     /// that moment, the last ones would wait for hours at the minimum although the share has grown
@@ -119,15 +119,15 @@
         let snapshot = self.kv.range(PREFIX).await?;
         let now = Instant::now();
         let stored = snapshot.entries.iter().find(|entry| entry.key == ALLOCATION_KEY);
-        let known = stored.and_then(|entry| decode(entry).map(|found| (found, entry)));
+        let current = stored.and_then(|entry| decode(entry).map(|found| (found, entry)));
         let names = snapshot.entries.iter().filter_map(|e| e.key.strip_prefix(MEMBERS_PREFIX));
         let desired = allocation(self.limits, names.map(str::to_owned).collect());
-        let Some((found, entry)) = known else {
+        let Some((found, entry)) = current else {
             let compare = Compare::Absent { key: ALLOCATION_KEY.to_owned() };
             return self.write(compare, &desired).await;
         };
         let revision = entry.mod_revision;
-        let first_seen = self.read(&found, revision.0, read_at, now);
+        let first_seen = self.apply(&found, revision.0, read_at, now);
         if found == desired || !Allocation::may_be_replaced(first_seen, now) {
             return Ok(());
         }
@@ -135,10 +135,10 @@
         self.write(compare, &desired).await
     }
 
-    fn read(&self, found: &Allocation, revision: u64, read_at: Instant, now: Instant) -> Instant {
+    fn apply(&self, found: &Allocation, revision: u64, read_at: Instant, now: Instant) -> Instant {
         let mut state = self.state();
         state.share.apply(found, revision, read_at, now);
-        let first_seen = state.first_seen.filter(|(known, _)| *known == revision);
+        let first_seen = state.first_seen.filter(|(current, _)| *current == revision);
         let first_seen = first_seen.unwrap_or((revision, now));
         state.first_seen = Some(first_seen);
         first_seen.1
@@ -147,8 +147,8 @@
     /// Keeps this member's key alive through a lease, so that a member that ends drops out of the
     /// next allocation.
     async fn keep_listed(&self) -> Result<(), KeyValueError> {
-        let known = self.state().lease;
-        if let Some(lease) = known {
+        let current = self.state().lease;
+        if let Some(lease) = current {
             match self.kv.keep_alive(lease).await {
                 Err(KeyValueError::LeaseNotFound) => {}
                 result => return result,
--- a/crates/group/src/budget/mod.rs
+++ b/crates/group/src/budget/mod.rs
@@ -82,7 +82,7 @@
     /// Rate until `larger_from`.
     smaller_bytes_per_s: f64,
     /// Rate from `larger_from` on.
-    allotted_bytes_per_s: f64,
+    allocated_bytes_per_s: f64,
     larger_from: Instant,
 }
 
@@ -91,7 +91,7 @@
         if now.duration_since(self.read_at) >= SHARE_TTL {
             return minimum_bytes_per_s;
         }
-        if now < self.larger_from { self.smaller_bytes_per_s } else { self.allotted_bytes_per_s }
+        if now < self.larger_from { self.smaller_bytes_per_s } else { self.allocated_bytes_per_s }
     }
 }
 
@@ -126,15 +126,15 @@
             }
         }
         let listed = allocation.members.contains(&self.member);
-        let allotted_bytes_per_s =
+        let allocated_bytes_per_s =
             if listed { allocation.share_bytes_per_s() } else { minimum_bytes_per_s };
-        let smaller_bytes_per_s = allotted_bytes_per_s.min(self.rate_bytes_per_s(now));
+        let smaller_bytes_per_s = allocated_bytes_per_s.min(self.rate_bytes_per_s(now));
         let larger_from = now + SHARE_TTL;
         self.confirmed = Some(Confirmed {
             revision,
             read_at,
             smaller_bytes_per_s,
-            allotted_bytes_per_s,
+            allocated_bytes_per_s,
             larger_from,
         });
     }
@@ -155,8 +155,8 @@
 /// Rate limiter of one member's reads.
 #[derive(Clone, Copy, Debug)]
 pub struct Pacer {
-    /// Bytes of admitted reads that are not yet paid off at the rate.
-    unpaid_bytes: f64,
+    /// Bytes of admitted reads, less what the rate has covered since.
+    backlog_bytes: f64,
     updated_at: Instant,
     /// The rate at the last call.
     rate_bytes_per_s: f64,
@@ -165,24 +165,24 @@
 impl Pacer {
     /// A rate limiter with no reads outstanding.
     pub fn new(now: Instant) -> Self {
-        Self { unpaid_bytes: 0.0, updated_at: now, rate_bytes_per_s: 0.0 }
+        Self { backlog_bytes: 0.0, updated_at: now, rate_bytes_per_s: 0.0 }
     }
 
-    /// Admits a read and returns zero if all earlier reads are paid off; else returns how long that
-    /// takes at this rate. For the time since the last call the lower of the old and the new rate
-    /// counts, as it is not known when the rate changed.
+    /// Admits a read and returns zero if the backlog of earlier reads has drained; else returns how
+    /// long that takes at this rate. For the time since the last call the lower of the old and the
+    /// new rate counts, as it is not known when the rate changed.
     pub fn try_acquire(&mut self, bytes: u64, rate_bytes_per_s: f64, now: Instant) -> Duration {
         let rate_bytes_per_s = rate_bytes_per_s.max(1.0);
         let elapsed_s = now.duration_since(self.updated_at).as_secs_f64();
         let lower_bytes_per_s = rate_bytes_per_s.min(self.rate_bytes_per_s);
-        self.unpaid_bytes = (self.unpaid_bytes - elapsed_s * lower_bytes_per_s).max(0.0);
+        self.backlog_bytes = (self.backlog_bytes - elapsed_s * lower_bytes_per_s).max(0.0);
         (self.updated_at, self.rate_bytes_per_s) = (now, rate_bytes_per_s);
         // Durations are rounded to nanoseconds, so a tiny rest may remain.
-        let wait = Duration::from_secs_f64(self.unpaid_bytes / rate_bytes_per_s);
+        let wait = Duration::from_secs_f64(self.backlog_bytes / rate_bytes_per_s);
         if wait > MIN_WAIT {
             return wait;
         }
-        self.unpaid_bytes += bytes as f64;
+        self.backlog_bytes += bytes as f64;
         Duration::ZERO
     }
 }
--- a/crates/group/src/gate.rs
+++ b/crates/group/src/gate.rs
@@ -49,7 +49,7 @@
 
 #[derive(Default)]
 struct OrderState {
-    /// An order that was sent and not answered.
+    /// An order of any kind that was sent and not answered.
     unanswered: Option<PendingLoad>,
     /// Pending loads stored by earlier agents of the group, until matched with this engine.
     inherited: Vec<PendingLoad>,
--- a/crates/group/src/lease.rs
+++ b/crates/group/src/lease.rs
@@ -13,10 +13,10 @@
 use tokio::time::{Instant, sleep_until};
 use uuid::Uuid;
 
-/// A lease is renewed after this fraction of its time to live.
+/// A lease is renewed after its time to live divided by this.
 const RENEWAL_DIVISOR: u32 = 2;
 
-/// A failed renewal is retried after this fraction of the time to live.
+/// A failed renewal is retried after the time to live divided by this.
 const RETRY_DIVISOR: u32 = 6;
 
 /// The process's lease in the key-value service.
@@ -50,7 +50,7 @@
     renewal: tokio::sync::Mutex<()>,
 }
 
-/// All leases of one process.
+/// The groups that one process holds; clones share them.
 #[derive(Clone)]
 pub struct Leases {
     process: Arc<Process>,
@@ -229,7 +229,7 @@
     pub async fn keep_alive(&self) {
         while let Some(renew_at) = self.held_lease().map(|held_lease| held_lease.renew_at) {
             sleep_until(renew_at).await;
-            let _turn = self.process.renewal.lock().await;
+            let _renewing = self.process.renewal.lock().await;
             let due = |held_lease: &HeldLease| held_lease.renew_at <= Instant::now();
             if self.held_lease().as_ref().is_some_and(due) {
                 // A failure is recorded in the shared state, which `may_change` and `may_align`
--- a/crates/group/src/pending_load.rs
+++ b/crates/group/src/pending_load.rs
@@ -12,11 +12,11 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// A load that was sent to an engine, or was about to be.
+/// An order that was sent to an engine, or was about to be. In the store always a load.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PendingLoad {
-    /// The [`OrderTarget::Serve`] that was ordered.
+    /// The ordered target; in the store always [`OrderTarget::Serve`].
     pub target: OrderTarget,
     /// The engine process that the order was sent to. The order is lost when that process ends.
     pub process_id: u64,
--- a/crates/group/src/rollout_lock.rs
+++ b/crates/group/src/rollout_lock.rs
@@ -1,5 +1,5 @@
-//! Lock that lets one group of a model at a time change its model version, so that the others go on
-//! serving.
+//! Lock that lets one group of a model at a time change its model version, while the others
+//! continue to serve.
 
 use bytes::Bytes;
 use flamingowheel_backing::kv::{
@@ -39,7 +39,8 @@
         self.holder.clone()
     }
 
-    /// Whether this group holds the lock. Acquires or confirms it at most once per [`ATTEMPT_INTERVAL`].
+    /// Acquires or confirms the lock, at most once per [`ATTEMPT_INTERVAL`]. Returns whether this
+    /// group holds it.
     pub(crate) async fn acquire(&mut self) -> bool {
         let is_due =
             self.attempted_at.is_none_or(|attempted_at| attempted_at.elapsed() >= ATTEMPT_INTERVAL);
--- a/crates/group/src/serve.rs
+++ b/crates/group/src/serve.rs
@@ -19,8 +19,8 @@
     pub adapters: BTreeSet<String>,
 }
 
-/// What the group's record should say next; `None` if it needs no change. `reported_version` is the one
-/// that all ranks report; it is used until operators have named one.
+/// What the group's record should say next; `None` if it needs no change. `reported_version` is the
+/// one that all ranks report; it is used until operators have named one.
 ///
 /// An adapter that is no longer listed stays loaded until the next version: unloading it would
 /// require waiting for the requests that use it.
--- a/crates/group/src/switch/hold.rs
+++ b/crates/group/src/switch/hold.rs
@@ -19,7 +19,7 @@
 /// Pause between two reads of ranks that are to be held.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Consecutive reads without a step after which a group counts as standing still.
+/// Consecutive reads without a step after which a group counts as stalled.
 const STALLED_POLLS: u32 = 10;
 
 impl<'a, Members> Switch<'a, Members, Staged>
@@ -109,8 +109,8 @@
 /// Checks that ranks that were stepping have stopped at the same step. Ranks that were stopped
 /// before may be restarted engines, whose step counter began again.
 fn check_same_step(states: Vec<RankState>, moving: &[bool]) -> Result<Vec<RankState>, GroupError> {
-    let together = states.iter().zip(moving).filter(|(_, moving)| **moving);
-    let mut steps = together.map(|(state, _)| state.engine.step);
+    let stepping = states.iter().zip(moving).filter(|(_, moving)| **moving);
+    let mut steps = stepping.map(|(state, _)| state.engine.step);
     let first = steps.next();
     if steps.any(|step| Some(step) != first) {
         return Err(GroupError::UnevenSteps);
--- a/crates/group/tests/rollout.rs
+++ b/crates/group/tests/rollout.rs
@@ -75,9 +75,9 @@
         let world = serving_group(kind).await;
         world.set_desired_serving("2", &["bibb", "houston"]);
         sleep(SECOND * 3).await;
-        let finished = world.work(0).finished();
+        let finished = world.traffic(0).finished();
         check_serves_or_reported(&world, "2", "no fault").await;
-        assert!(world.work(0).finished() > finished, "{kind:?}: work goes on");
+        assert!(world.traffic(0).finished() > finished, "{kind:?}: requests continue");
         assert_eq!(world.engine(1).peek_state().adapters, ["bibb", "houston"]);
     }
 }
@@ -87,15 +87,15 @@
 #[tokio::test(start_paused = true)]
 async fn rollout_waits_for_a_long_request() {
     let world = serving_group(EngineKind::ChecksFence).await;
-    let (work, engine) = (std::sync::Arc::clone(world.work(1)), world.engine(1).clone());
-    tokio::spawn(async move { work.run_one(&engine, MINUTE).await });
+    let (traffic, engine) = (std::sync::Arc::clone(world.traffic(1)), world.engine(1).clone());
+    tokio::spawn(async move { traffic.run_one(&engine, MINUTE).await });
     sleep(SECOND).await;
     world.set_desired_serving("2", &[]);
     sleep(MINUTE - SECOND * 3).await;
     let status = world.status();
     assert_eq!((status.activity, status.behind.len()), (Activity::Draining, RANKS));
     assert_eq!(world.engine(0).peek_state().version, "1");
-    assert!(world.runs_within(SECOND).await, "the request goes on");
+    assert!(world.runs_within(SECOND).await, "the request continues");
     sleep(SECOND * 6).await;
     check_serves_or_reported(&world, "2", "long request").await;
 }
@@ -106,8 +106,8 @@
 async fn rollout_version_changed_twice() {
     for kind in KINDS {
         let world = serving_group(kind).await;
-        let (work, engine) = (std::sync::Arc::clone(world.work(1)), world.engine(1).clone());
-        tokio::spawn(async move { work.run_one(&engine, MINUTE).await });
+        let (traffic, engine) = (std::sync::Arc::clone(world.traffic(1)), world.engine(1).clone());
+        tokio::spawn(async move { traffic.run_one(&engine, MINUTE).await });
         sleep(SECOND).await;
         world.set_desired_serving("bad", &[]);
         sleep(SECOND * 2).await;
--- a/crates/group/tests/support/mod.rs
+++ b/crates/group/tests/support/mod.rs
@@ -74,7 +74,7 @@
     calls: Mutex<Vec<AbortHandle>>,
     paused: watch::Sender<bool>,
     refuses_loads: AtomicBool,
-    pub work: Arc<Traffic>,
+    pub traffic: Arc<Traffic>,
 }
 
 struct Process {
@@ -92,7 +92,7 @@
     desired_serving: watch::Sender<Option<DesiredServing>>,
     slots: Vec<Slot>,
     processes: Mutex<Vec<Process>>,
-    desired: watch::Sender<Option<ExpertMap>>,
+    desired_map: watch::Sender<Option<ExpertMap>>,
     messages: AtomicU64,
     refused_loads: AtomicU64,
     incarnations: AtomicU64,
@@ -172,7 +172,7 @@
             calls: Mutex::default(),
             paused: watch::Sender::new(false),
             refuses_loads: AtomicBool::new(false),
-            work: Arc::default(),
+            traffic: Arc::default(),
         };
         let world = Arc::new(Self {
             kv,
@@ -183,7 +183,7 @@
             slots: engines.iter().map(slot).collect(),
             group: RankGroup::new(engines),
             processes: Mutex::default(),
-            desired: watch::Sender::new(Some(map)),
+            desired_map: watch::Sender::new(Some(map)),
             messages: AtomicU64::new(0),
             refused_loads: AtomicU64::new(0),
             incarnations: AtomicU64::new(0),
@@ -205,9 +205,9 @@
     pub fn start_coordinator(self: &Arc<Self>) {
         let kv: Arc<dyn KeyValue> = Arc::new(self.kv.clone());
         let link = Link(Arc::clone(self));
-        let desired = self.desired.subscribe();
+        let desired_map = self.desired_map.subscribe();
         let mut coordinator =
-            Coordinator::new(Arc::clone(&kv), self.name, link, Timing::default(), desired);
+            Coordinator::new(Arc::clone(&kv), self.name, link, Timing::default(), desired_map);
         coordinator =
             coordinator.with_rollout(Arc::clone(&kv), MODEL, self.desired_serving.subscribe());
         if let Some(sizes) = self.sizes {
@@ -232,9 +232,9 @@
         loop {
             let gate = Gate::open(engine.clone(), self.kind, incarnation, &records).await;
             if let Ok(gate) = gate {
-                let work = &self.slots[rank].work;
-                work.restart();
-                let gate = gate.with_intake(Arc::clone(work) as Arc<dyn Intake>);
+                let traffic = &self.slots[rank].traffic;
+                traffic.restart();
+                let gate = gate.with_intake(Arc::clone(traffic) as Arc<dyn Intake>);
                 *self.slots[rank].gate.lock().unwrap() = Some(Arc::new(gate));
                 return;
             }
@@ -258,7 +258,7 @@
     }
 
     pub fn set_desired_map(&self, number: u16) {
-        self.desired.send_replace(Some(map(number)));
+        self.desired_map.send_replace(Some(map(number)));
     }
 
     /// Injects `fault` at the `message`-th message from now.
@@ -292,10 +292,10 @@
     /// The status as the acting coordinator reports it.
     pub fn status(&self) -> GroupStatus {
         let processes = self.processes.lock().unwrap();
-        let acting = processes
+        let running = processes
             .iter()
             .filter(|process| !*process.paused.borrow() && !process.running.is_finished());
-        let mut statuses = acting.map(|process| process.status.borrow().clone());
+        let mut statuses = running.map(|process| process.status.borrow().clone());
         statuses.find(|status| status.activity != Activity::Following).unwrap_or_default()
     }
 
--- a/crates/group/tests/support/traffic.rs
+++ b/crates/group/tests/support/traffic.rs
@@ -105,27 +105,27 @@
     }
 
     /// The simulated requests to a rank.
-    pub fn work(&self, rank: usize) -> &Arc<Traffic> {
-        &self.slots[rank].work
+    pub fn traffic(&self, rank: usize) -> &Arc<Traffic> {
+        &self.slots[rank].traffic
     }
 
     /// Runs requests of this length at all ranks.
     pub fn run_traffic(self: &Arc<Self>, length: Duration) {
         let count = self.slots.len() as u32;
         for (rank, slot) in (0u32..).zip(&self.slots) {
-            let (work, engine) = (Arc::clone(&slot.work), slot.engine.clone());
+            let (traffic, engine) = (Arc::clone(&slot.traffic), slot.engine.clone());
             let stop = self.stop.clone();
             tokio::spawn(async move {
                 // Requests begin at different times on each rank.
                 sleep(length * rank / count).await;
-                work.run(engine, length, stop).await;
+                traffic.run(engine, length, stop).await;
             });
         }
     }
 
     /// Number of answers that began with one model version and ended with another.
     pub fn mixed_answers(&self) -> u32 {
-        self.slots.iter().map(|slot| slot.work.mixed()).sum()
+        self.slots.iter().map(|slot| slot.traffic.mixed()).sum()
     }
 
     /// Ends the standby coordinators.
@@ -148,13 +148,14 @@
 
     /// Whether the intake of some rank is open.
     pub fn any_intake_open(&self) -> bool {
-        self.slots.iter().any(|slot| slot.work.state().is_open)
+        self.slots.iter().any(|slot| slot.traffic.state().is_open)
     }
 
     /// Whether every engine serves this version and every intake is open.
     pub fn all_serve(&self, version: &str) -> bool {
-        let serves =
-            |slot: &Slot| slot.engine.peek_state().version == version && slot.work.state().is_open;
+        let serves = |slot: &Slot| {
+            slot.engine.peek_state().version == version && slot.traffic.state().is_open
+        };
         self.slots.iter().all(serves)
     }
 }
