--- a/crates/config/src/api.rs
+++ b/crates/config/src/api.rs
@@ -49,7 +49,7 @@
     /// Processes that have it.
     pub processes: Vec<String>,
     /// Live or leaving processes that do not have it, and what they have.
-    pub behind: Vec<Behind>,
+    pub behind: Vec<LaggingProcess>,
     /// Processes that have not been heard: they may or may not have it. They fetch it before
     /// they are counted as live again.
     pub silent: Vec<String>,
@@ -57,7 +57,7 @@
 
 /// A process that has an older revision.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Behind {
+pub struct LaggingProcess {
     /// Its name.
     pub process: String,
     /// The revision it has.
--- a/crates/config/src/apply.rs
+++ b/crates/config/src/apply.rs
@@ -1,12 +1,12 @@
 //! Accepting a change: checks, then one compare-and-swap whose outcome is always found out or
 //! called unknown.
 
-use crate::bucket::{TooLarge, check_sizes};
+use crate::bucket::{SizeError, check_sizes};
 use crate::change::{Change, ChangeId, Conflict, DocumentDiff, Origin, diff, diff_one};
 use crate::document::Edit;
 use crate::effective::ConfigRevision;
 use crate::replica::Replica;
-use crate::store::{HeadEntry, Store, StoreError, append_transaction, slot_change};
+use crate::store::{Store, StoreError, VersionedHead, append_transaction, slot_change};
 use crate::validate::{Problem, validate};
 use flamingowheel_backing::kv::{KeyValueError, Transaction};
 use std::sync::Arc;
@@ -54,7 +54,7 @@
     Conflict(Vec<Conflict>),
     /// It would not fit.
     #[error(transparent)]
-    TooLarge(#[from] TooLarge),
+    TooLarge(#[from] SizeError),
     /// Not accepted: the configuration could not be read or written.
     #[error("not accepted: {0}")]
     Store(#[from] StoreError),
@@ -90,11 +90,11 @@
         replica: &mut Replica,
         request: &ApplyRequest,
     ) -> Result<Applied, ApplyError> {
-        Ok(self.apply_and_compare(replica, request).await?.0)
+        Ok(self.apply_with_diff(replica, request).await?.0)
     }
 
     /// The same, with what differs through the change from what was in force before it.
-    pub async fn apply_and_compare(
+    pub async fn apply_with_diff(
         &self,
         replica: &mut Replica,
         request: &ApplyRequest,
@@ -105,7 +105,7 @@
                 return Ok((Applied::Accepted(Arc::clone(change)), Vec::new()));
             }
             let entry = self.make_room(replica, entry).await?;
-            let Some(change) = check(replica, request)? else {
+            let Some(change) = prepare_change(replica, request)? else {
                 return Ok((Applied::Unchanged, Vec::new()));
             };
             let differs = diff(replica.documents(), &change.edits);
@@ -122,8 +122,8 @@
     async fn make_room(
         &self,
         replica: &mut Replica,
-        entry: HeadEntry,
-    ) -> Result<HeadEntry, StoreError> {
+        entry: VersionedHead,
+    ) -> Result<VersionedHead, StoreError> {
         if entry.has_room() {
             return Ok(entry);
         }
@@ -137,7 +137,7 @@
     /// read that did not find it. So the same transaction is sent again rather than read back
     /// alone: once it either succeeds or fails its comparison, no earlier copy can take effect
     /// any more, and the slot tells whose change is there.
-    async fn append(&self, entry: &HeadEntry, change: &Change) -> Result<Appended, ApplyError> {
+    async fn append(&self, entry: &VersionedHead, change: &Change) -> Result<Appended, ApplyError> {
         let transaction = append_transaction(entry, change);
         let deadline = Instant::now() + RESOLVE_LIMIT;
         let mut in_doubt = false;
@@ -190,7 +190,10 @@
 }
 
 /// The change to write, `None` if there is nothing to do.
-pub fn check(replica: &Replica, request: &ApplyRequest) -> Result<Option<Change>, ApplyError> {
+pub fn prepare_change(
+    replica: &Replica,
+    request: &ApplyRequest,
+) -> Result<Option<Change>, ApplyError> {
     let documents = replica.documents();
     let differing = |edit: &&Edit| diff_one(documents, edit).is_some();
     let edits: Vec<Edit> = request.edits.iter().filter(differing).cloned().collect();
--- a/crates/config/src/bucket.rs
+++ b/crates/config/src/bucket.rs
@@ -19,7 +19,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// What all keys of the configuration begin with.
-pub const PREFIX: &str = "flamingowheel/config/";
+pub const CONFIG_PREFIX: &str = "flamingowheel/config/";
 /// Key of the [`Head`].
 pub const HEAD_KEY: &str = "flamingowheel/config/head";
 /// What the keys of the log begin with.
@@ -31,7 +31,7 @@
 /// Slots of the log, and so the changes that history reaches back.
 pub const LOG_SLOTS: u64 = 512;
 /// Unfolded changes at which the log is folded into the buckets.
-pub const FOLD_AT: u64 = 256;
+pub const FOLD_THRESHOLD: u64 = 256;
 
 /// The newest revision, and how far the buckets are.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -148,13 +148,13 @@
 }
 
 /// The buckets that these edits touch.
-pub fn touched(edits: &[Edit]) -> BTreeSet<BucketId> {
+pub fn affected_buckets(edits: &[Edit]) -> BTreeSet<BucketId> {
     edits.iter().map(|edit| BucketId::of(edit.kind(), edit.name())).collect()
 }
 
 /// A value that the service would not store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum TooLarge {
+pub enum SizeError {
     /// The change itself.
     #[error("the change has {bytes} bytes, more than the {MAX_VALUE_BYTES} of one value")]
     Change {
@@ -175,15 +175,15 @@
 
 /// Refuses a change that could be written to the log but never folded: it would block the log for
 /// every later change, which nobody would notice until the ring is full.
-pub fn check_sizes(after: &Documents, change: &Change) -> Result<(), TooLarge> {
+pub fn check_sizes(after: &Documents, change: &Change) -> Result<(), SizeError> {
     let bytes = encode(change).len();
     if bytes > MAX_VALUE_BYTES {
-        return Err(TooLarge::Change { bytes });
+        return Err(SizeError::Change { bytes });
     }
-    for bucket in touched(&change.edits) {
+    for bucket in affected_buckets(&change.edits) {
         let bytes = encode(&Bucket::of(bucket, after)).len();
         if bytes > MAX_VALUE_BYTES {
-            return Err(TooLarge::Bucket { bucket, bytes });
+            return Err(SizeError::Bucket { bucket, bytes });
         }
     }
     Ok(())
--- a/crates/config/src/effective.rs
+++ b/crates/config/src/effective.rs
@@ -135,7 +135,7 @@
         let parameters = if overrides.is_empty() {
             Arc::clone(&self.parameters)
         } else {
-            Arc::new(overrides.over(&self.parameters))
+            Arc::new(overrides.apply_to(&self.parameters))
         };
         EffectiveWorkspace {
             name: workspace.name.as_str().into(),
@@ -150,20 +150,20 @@
 /// Every workspace as of one revision; built at once, so that a template's change is seen in all
 /// of its workspaces or in none.
 #[derive(Clone, Debug, Default)]
-pub struct Effective {
+pub struct EffectiveConfig {
     revision: ConfigRevision,
     templates: Arc<HashMap<Arc<str>, EffectiveTemplate>>,
     by_name: HashMap<Arc<str>, Arc<EffectiveWorkspace>>,
     by_token: HashMap<TokenHash, Arc<EffectiveWorkspace>>,
 }
 
-impl Effective {
+impl EffectiveConfig {
     /// Resolves all workspaces. One whose template is missing is left out: validation lets none
     /// through, and a request for it is refused rather than served without limits.
     ///
     /// ```
-    /// use flamingowheel_config::effective::{Documents, Effective};
-    /// assert!(Effective::new(&Documents::default()).workspace("bibb-county").is_none());
+    /// use flamingowheel_config::effective::{Documents, EffectiveConfig};
+    /// assert!(EffectiveConfig::new(&Documents::default()).workspace("bibb-county").is_none());
     /// ```
     pub fn new(documents: &Documents) -> Self {
         let templates = documents.templates.values();
@@ -181,10 +181,10 @@
         effective
     }
 
-    /// The same as [`Effective::new`] of these documents, given the edits that led to them from
+    /// The same as [`EffectiveConfig::new`] of these documents, given the edits that led to them from
     /// those this was made of. Almost all changes are of single workspaces, and resolving the
     /// others again would cost more than all the rest of a change.
-    pub fn after(&self, documents: &Documents, edits: &[Edit]) -> Self {
+    pub fn with_edits(&self, documents: &Documents, edits: &[Edit]) -> Self {
         if edits.iter().any(|edit| edit.kind() == Kind::Template) {
             return Self::new(documents);
         }
--- a/crates/config/src/fold.rs
+++ b/crates/config/src/fold.rs
@@ -1,8 +1,8 @@
 //! Folding the log into the buckets, so that its slots can be used again.
 
-use crate::bucket::{Bucket, BucketId, HEAD_KEY, Head, touched};
+use crate::bucket::{Bucket, BucketId, HEAD_KEY, Head, affected_buckets};
 use crate::replica::Replica;
-use crate::store::{HeadEntry, Store, StoreError, put};
+use crate::store::{Store, StoreError, VersionedHead, put};
 use flamingowheel_backing::kv::{Operation, Transaction};
 use std::collections::BTreeSet;
 
@@ -43,7 +43,7 @@
     /// Writes a value made from the newest documents, as of the head that it compares.
     async fn write<F>(&self, replica: &mut Replica, make: F) -> Result<(), StoreError>
     where
-        F: Fn(&Replica, &HeadEntry) -> Operation,
+        F: Fn(&Replica, &VersionedHead) -> Operation,
     {
         for _ in 0..MAX_RACES {
             let entry = self.catch_up(replica).await?;
@@ -56,14 +56,16 @@
                 return Ok(());
             }
         }
-        Err(StoreError::Moving)
+        Err(StoreError::Contended)
     }
 }
 
 /// The buckets that changes since the last fold touch; all if the replica lacks some of those.
-fn stale_buckets(replica: &Replica, entry: &HeadEntry) -> BTreeSet<BucketId> {
+fn stale_buckets(replica: &Replica, entry: &VersionedHead) -> BTreeSet<BucketId> {
     match replica.changes_after(entry.head.folded) {
-        Some(changes) => changes.iter().flat_map(|change| touched(&change.edits)).collect(),
+        Some(changes) => {
+            changes.iter().flat_map(|change| affected_buckets(&change.edits)).collect()
+        }
         None => BucketId::all().collect(),
     }
 }
--- a/crates/config/src/replica.rs
+++ b/crates/config/src/replica.rs
@@ -23,19 +23,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AdvanceError {
     /// The replica is there already.
-    #[error("revision {offered:?} is not newer than {own:?}")]
-    Old {
-        /// Own revision.
-        own: ConfigRevision,
-        /// The change's.
+    #[error("revision {offered:?} is not newer than {current:?}")]
+    Stale {
+        /// The replica's revision.
+        current: ConfigRevision,
+        /// The revision of the change.
         offered: ConfigRevision,
     },
     /// Changes in between are missing.
-    #[error("revision {offered:?} does not follow {own:?}")]
+    #[error("revision {offered:?} does not follow {current:?}")]
     Gap {
-        /// Own revision.
-        own: ConfigRevision,
-        /// The change's.
+        /// The replica's revision.
+        current: ConfigRevision,
+        /// The revision of the change.
         offered: ConfigRevision,
     },
 }
@@ -61,15 +61,15 @@
     /// A process that took an older revision, or left one out, would serve a configuration that
     /// an operator has replaced. So anything but the next revision is refused.
     pub fn advance(&mut self, change: Arc<Change>) -> Result<(), AdvanceError> {
-        let (own, offered) = (self.revision(), change.revision());
-        if offered <= own {
-            return Err(AdvanceError::Old { own, offered });
+        let (current, offered) = (self.revision(), change.revision());
+        if offered <= current {
+            return Err(AdvanceError::Stale { current, offered });
         }
-        if offered != own.next() {
-            return Err(AdvanceError::Gap { own, offered });
+        if offered != current.next() {
+            return Err(AdvanceError::Gap { current, offered });
         }
         self.documents.apply(offered, &change.edits);
-        self.remember(change);
+        self.record(change);
         Ok(())
     }
 
@@ -81,10 +81,10 @@
     ///     Replica::new(Documents { revision: ConfigRevision(revision), ..Documents::default() })
     /// };
     /// let mut replica = at(7);
-    /// assert!(!replica.adopt(at(6)));
-    /// assert!(replica.adopt(at(8)));
+    /// assert!(!replica.replace_if_newer(at(6)));
+    /// assert!(replica.replace_if_newer(at(8)));
     /// ```
-    pub fn adopt(&mut self, other: Self) -> bool {
+    pub fn replace_if_newer(&mut self, other: Self) -> bool {
         let newer = other.revision() > self.revision();
         if newer {
             *self = other;
@@ -93,7 +93,7 @@
     }
 
     /// Adds a change that the documents hold already, so that history and peers can have it.
-    pub fn remember(&mut self, change: Arc<Change>) {
+    pub fn record(&mut self, change: Arc<Change>) {
         self.edits += change.edits.len();
         self.changes.push_back(change);
         while self.changes.len() > MAX_CHANGES || self.edits > MAX_EDITS {
--- a/crates/config/src/store.rs
+++ b/crates/config/src/store.rs
@@ -2,7 +2,8 @@
 
 use crate::api::ChangeState;
 use crate::bucket::{
-    Bucket, BucketId, FOLD_AT, HEAD_KEY, Head, LOG_PREFIX, LOG_SLOTS, encode, slot_key, touched,
+    Bucket, BucketId, FOLD_THRESHOLD, HEAD_KEY, Head, LOG_PREFIX, LOG_SLOTS, affected_buckets,
+    encode, slot_key,
 };
 use crate::change::{Change, ChangeId, Origin};
 use crate::document::Edit;
@@ -31,14 +32,14 @@
 
 /// The head as read, with what a later write compares it by.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct HeadEntry {
+pub struct VersionedHead {
     /// The head.
     pub head: Head,
     /// The service's revision of it; `None` before the first change of all.
     pub mod_revision: Option<Revision>,
 }
 
-impl HeadEntry {
+impl VersionedHead {
     /// Holds exactly as long as nobody wrote the head since.
     pub(crate) fn compare(&self) -> Compare {
         let key = HEAD_KEY.to_owned();
@@ -55,7 +56,7 @@
 
     /// Whether enough changes have gathered that folding them is due.
     pub fn fold_is_due(&self) -> bool {
-        self.unfolded() >= FOLD_AT
+        self.unfolded() >= FOLD_THRESHOLD
     }
 
     fn unfolded(&self) -> u64 {
@@ -77,16 +78,16 @@
     },
     /// The service is behind this process: it lost accepted changes, as after restoring an old
     /// copy. The process keeps what it has.
-    #[error("the key-value service is at revision {service:?}, behind this process at {own:?}")]
-    Behind {
+    #[error("the key-value service is at revision {service:?}, behind this process at {replica:?}")]
+    ServiceBehind {
         /// The service's revision.
         service: ConfigRevision,
         /// Own revision.
-        own: ConfigRevision,
+        replica: ConfigRevision,
     },
     /// The log moved on too fast for a consistent read.
     #[error("the log moved on while it was read")]
-    Moving,
+    Contended,
 }
 
 impl Store {
@@ -101,7 +102,7 @@
     }
 
     /// Reads the head; one call.
-    pub async fn head(&self) -> Result<HeadEntry, StoreError> {
+    pub async fn head(&self) -> Result<VersionedHead, StoreError> {
         let reads = self.get(vec![HEAD_KEY.to_owned()]).await?;
         head_entry(reads.first().and_then(Option::as_ref))
     }
@@ -119,7 +120,7 @@
                 return Ok(replica);
             }
         }
-        Err(StoreError::Moving)
+        Err(StoreError::Contended)
     }
 
     async fn read_buckets(&self) -> Result<Vec<Bucket>, StoreError> {
@@ -146,32 +147,32 @@
 
     /// Brings a replica up to the head: one call if it is there already, two if it lags by a
     /// few changes.
-    pub async fn catch_up(&self, replica: &mut Replica) -> Result<HeadEntry, StoreError> {
+    pub async fn catch_up(&self, replica: &mut Replica) -> Result<VersionedHead, StoreError> {
         for _ in 0..LOAD_TRIES {
             let entry = self.head().await?;
             let (own, service) = (replica.revision(), entry.head.revision);
             if service < own {
-                return Err(StoreError::Behind { service, own });
+                return Err(StoreError::ServiceBehind { service, replica: own });
             }
             if service == own {
                 return Ok(entry);
             }
             self.fetch(replica, service).await?;
         }
-        Err(StoreError::Moving)
+        Err(StoreError::Contended)
     }
 
     async fn fetch(&self, replica: &mut Replica, until: ConfigRevision) -> Result<(), StoreError> {
         let from = replica.revision().0 + 1;
         if until.0 - from >= MAX_SLOTS_READ {
-            replica.adopt(self.load().await?);
+            replica.replace_if_newer(self.load().await?);
             return Ok(());
         }
         let keys = (from..=until.0).map(|revision| slot_key(ConfigRevision(revision))).collect();
         for entry in self.get(keys).await?.into_iter().flatten() {
             if replica.advance(Arc::new(decode(&entry)?)).is_err() {
                 // The slot was used again in between.
-                replica.adopt(self.load().await?);
+                replica.replace_if_newer(self.load().await?);
                 return Ok(());
             }
         }
@@ -207,7 +208,7 @@
     }
 
     /// Uses up the revision that the change asks for.
-    async fn void(&self, entry: &HeadEntry, id: ChangeId) -> Result<(), StoreError> {
+    async fn void(&self, entry: &VersionedHead, id: ChangeId) -> Result<(), StoreError> {
         let origin = Origin {
             operator: "flamingowheel".to_owned(),
             at_unix_ms: 0,
@@ -249,7 +250,7 @@
 
 /// The transaction that accepts a change: it takes effect at most once however often it is sent,
 /// since it writes the head that it compares.
-pub(crate) fn append_transaction(entry: &HeadEntry, change: &Change) -> Transaction {
+pub(crate) fn append_transaction(entry: &VersionedHead, change: &Change) -> Transaction {
     let head = Head { revision: change.revision(), change: Some(change.id), ..entry.head };
     let slot = slot_key(change.revision());
     Transaction {
@@ -270,11 +271,11 @@
     entry.map(decode).transpose()
 }
 
-fn head_entry(entry: Option<&KeyValueEntry>) -> Result<HeadEntry, StoreError> {
+fn head_entry(entry: Option<&KeyValueEntry>) -> Result<VersionedHead, StoreError> {
     match entry {
-        None => Ok(HeadEntry { head: Head::default(), mod_revision: None }),
+        None => Ok(VersionedHead { head: Head::default(), mod_revision: None }),
         Some(entry) => {
-            Ok(HeadEntry { head: decode(entry)?, mod_revision: Some(entry.mod_revision) })
+            Ok(VersionedHead { head: decode(entry)?, mod_revision: Some(entry.mod_revision) })
         }
     }
 }
@@ -301,7 +302,7 @@
     for change in log.values() {
         let revision = change.revision();
         let missing = |edit: &&Edit| {
-            let bucket = touched(std::slice::from_ref(*edit)).first().copied();
+            let bucket = affected_buckets(std::slice::from_ref(*edit)).first().copied();
             bucket.and_then(|id| folded.get(&id)).is_none_or(|folded| revision > *folded)
         };
         let edits: Vec<Edit> = change.edits.iter().filter(missing).cloned().collect();
@@ -309,7 +310,7 @@
     }
     documents.revision = until;
     let mut replica = Replica::new(documents);
-    log.values().for_each(|change| replica.remember(Arc::clone(change)));
+    log.values().for_each(|change| replica.record(Arc::clone(change)));
     Some(replica)
 }
 
--- a/crates/config/src/workspace.rs
+++ b/crates/config/src/workspace.rs
@@ -62,9 +62,9 @@
     /// use flamingowheel_config::template::Parameters;
     /// use flamingowheel_config::workspace::Overrides;
     /// let overrides = Overrides { priority: Some(9), ..Overrides::default() };
-    /// assert_eq!(overrides.over(&Parameters::default()).priority, 9);
+    /// assert_eq!(overrides.apply_to(&Parameters::default()).priority, 9);
     /// ```
-    pub fn over(&self, base: &Parameters) -> Parameters {
+    pub fn apply_to(&self, base: &Parameters) -> Parameters {
         Parameters {
             models: self.models.as_ref().unwrap_or(&base.models).clone(),
             services: self.services.as_ref().unwrap_or(&base.services).clone(),
@@ -72,7 +72,7 @@
             limits: self
                 .limits
                 .as_ref()
-                .map_or_else(|| base.limits.clone(), |o| o.over(&base.limits)),
+                .map_or_else(|| base.limits.clone(), |o| o.apply_to(&base.limits)),
             retry: self.retry.as_ref().unwrap_or(&base.retry).clone(),
             deadline_ms: self.deadline_ms.unwrap_or(base.deadline_ms),
         }
@@ -80,7 +80,7 @@
 }
 
 impl Limits {
-    fn over(&self, base: &Self) -> Self {
+    fn apply_to(&self, base: &Self) -> Self {
         Self {
             requests_per_s: self.requests_per_s.or(base.requests_per_s),
             tokens_per_s: self.tokens_per_s.or(base.tokens_per_s),
--- a/crates/config/tests/documents.rs
+++ b/crates/config/tests/documents.rs
@@ -1,9 +1,11 @@
 //! Operators' documents: reading, resolving and checking them.
 
+use flamingowheel_config::desired::desired_model;
 use flamingowheel_config::document::{DocumentError, Edit, parse};
-use flamingowheel_config::effective::{ConfigRevision, Documents, Effective, EffectiveWorkspace};
+use flamingowheel_config::effective::{
+    ConfigRevision, Documents, EffectiveConfig, EffectiveWorkspace,
+};
 use flamingowheel_config::problem::Reason;
-use flamingowheel_config::served::served;
 use flamingowheel_config::token::TokenHash;
 use flamingowheel_config::validate::{Problem, validate};
 use proptest::prelude::*;
@@ -43,7 +45,7 @@
 fn effective_overrides_only_what_is_given() {
     let overridden = workspace("bibb", "b", "overrides: { limits: { in_flight: 4 }, priority: 9 }");
     let plain = workspace("jones", "j", "");
-    let effective = Effective::new(&documents(&format!("{TEMPLATE}{overridden}\n{plain}")));
+    let effective = EffectiveConfig::new(&documents(&format!("{TEMPLATE}{overridden}\n{plain}")));
     let bibb = effective.workspace("bibb").unwrap();
     assert_eq!(bibb.parameters.limits.in_flight, Some(4));
     assert_eq!(bibb.parameters.limits.requests_per_s, Some(50.0));
@@ -56,7 +58,7 @@
 #[test]
 fn effective_finds_workspace_by_token() {
     let effective =
-        Effective::new(&documents(&format!("{TEMPLATE}{}", workspace("bibb", "b", ""))));
+        EffectiveConfig::new(&documents(&format!("{TEMPLATE}{}", workspace("bibb", "b", ""))));
     assert_eq!(&*effective.workspace_by_token(b"b").unwrap().name, "bibb");
     assert!(effective.workspace_by_token(b"c").is_none());
 }
@@ -66,9 +68,9 @@
     // A workspace is removed while one of its streams still runs. The stream must end whole, with
     // the limits it began with; new requests are refused.
     let mut documents = documents(&format!("{TEMPLATE}{}", workspace("bibb", "b", "")));
-    let held = Arc::clone(Effective::new(&documents).workspace("bibb").unwrap());
+    let held = Arc::clone(EffectiveConfig::new(&documents).workspace("bibb").unwrap());
     documents.apply(ConfigRevision(2), &[Edit::RemoveWorkspace("bibb".to_owned())]);
-    assert!(Effective::new(&documents).workspace("bibb").is_none());
+    assert!(EffectiveConfig::new(&documents).workspace("bibb").is_none());
     assert_eq!(held.parameters.limits.in_flight, Some(32));
 }
 
@@ -166,7 +168,7 @@
 }
 
 /// What a lookup by name and by token finds, for names and tokens `w0` to `w5`.
-fn found(effective: &Effective) -> Vec<(Option<EffectiveWorkspace>, Option<String>)> {
+fn found(effective: &EffectiveConfig) -> Vec<(Option<EffectiveWorkspace>, Option<String>)> {
     let look_up = |number: usize| {
         let name = format!("w{number}");
         let by_token = effective.workspace_by_token(name.as_bytes());
@@ -185,13 +187,13 @@
 
     // Workspaces come, go, change templates and hand their tokens on, several in one change.
     #[test]
-    fn effective_after_is_as_new(
+    fn effective_with_edits_equals_new(
         changes in prop::collection::vec(
             prop::collection::btree_map(0..6_u8, (0..3_u8, 0..6_u8, 0..3_u8), 1..4), 1..12
         )
     ) {
         let mut documents = documents(&format!("{TEMPLATE}---\nkind: template\nname: other\n"));
-        let mut effective = Effective::new(&documents);
+        let mut effective = EffectiveConfig::new(&documents);
         for change in changes {
             let mut edits = Vec::new();
             for (name, (kind, token, priority)) in change {
@@ -207,8 +209,8 @@
                 continue;
             }
             documents.apply(documents.revision.next(), &edits);
-            effective = effective.after(&documents, &edits);
-            prop_assert_eq!(found(&effective), found(&Effective::new(&documents)));
+            effective = effective.with_edits(&documents, &edits);
+            prop_assert_eq!(found(&effective), found(&EffectiveConfig::new(&documents)));
             prop_assert_eq!(effective.revision(), documents.revision);
         }
     }
@@ -265,7 +267,7 @@
 }
 
 #[test]
-fn served_unites_adapters_and_finds_the_version() {
+fn desired_model_unites_adapters_and_finds_the_version() {
     let templates = format!(
         "{}{}",
         template_of("a", "{adapters: [x, y]}"),
@@ -273,7 +275,7 @@
     );
     let of = |name: &str, template: &str| workspace(name, name, "").replace("callbox", template);
     let documents = documents(&format!("{templates}{}{}", of("bibb", "a"), of("jones", "b")));
-    let served = served(&Effective::new(&documents), "notes").unwrap();
-    assert_eq!(served.version.as_deref(), Some("2"));
-    assert_eq!(served.adapters.iter().collect::<Vec<_>>(), ["x", "y", "z"]);
+    let desired = desired_model(&EffectiveConfig::new(&documents), "notes").unwrap();
+    assert_eq!(desired.version.as_deref(), Some("2"));
+    assert_eq!(desired.adapters.iter().collect::<Vec<_>>(), ["x", "y", "z"]);
 }
--- a/crates/config/tests/faults.rs
+++ b/crates/config/tests/faults.rs
@@ -241,7 +241,7 @@
         for (number, name, value, task) in tasks {
             let (replica, applied) = task.await.unwrap();
             assert!(replica.revision() >= self.replicas[number].revision());
-            self.replicas[number].adopt(replica);
+            self.replicas[number].replace_if_newer(replica);
             match applied {
                 Ok(Applied::Accepted(change)) => self.told.accept(change.revision(), name, value),
                 Ok(Applied::Unchanged) => panic!("each value is new"),
--- a/crates/config/tests/store.rs
+++ b/crates/config/tests/store.rs
@@ -8,10 +8,10 @@
 };
 use flamingowheel_config::api::ChangeState;
 use flamingowheel_config::apply::{Applied, ApplyError, ApplyRequest};
-use flamingowheel_config::bucket::{FOLD_AT, HEAD_KEY, LOG_SLOTS, PREFIX};
+use flamingowheel_config::bucket::{CONFIG_PREFIX, FOLD_THRESHOLD, HEAD_KEY, LOG_SLOTS};
 use flamingowheel_config::change::{Change, ChangeId, Origin};
 use flamingowheel_config::document::parse;
-use flamingowheel_config::effective::{ConfigRevision, Effective};
+use flamingowheel_config::effective::{ConfigRevision, EffectiveConfig};
 use flamingowheel_config::replica::Replica;
 use flamingowheel_config::store::{Store, StoreError};
 use flamingowheel_config::token::TokenHash;
@@ -127,7 +127,7 @@
 }
 
 fn priority(replica: &Replica, name: &str) -> Option<u8> {
-    let effective = Effective::new(replica.documents());
+    let effective = EffectiveConfig::new(replica.documents());
     effective.workspace(name).map(|workspace| workspace.parameters.priority)
 }
 
@@ -339,9 +339,9 @@
     let entry = operator.store.head().await.unwrap();
     assert!(
         entry.head.revision.0 > 2 * LOG_SLOTS
-            && entry.head.revision.0 - entry.head.folded.0 <= FOLD_AT
+            && entry.head.revision.0 - entry.head.folded.0 <= FOLD_THRESHOLD
     );
-    let largest = kv.peek(PREFIX).entries.iter().map(|entry| entry.value.len()).max();
+    let largest = kv.peek(CONFIG_PREFIX).entries.iter().map(|entry| entry.value.len()).max();
     assert!(largest.unwrap() <= MAX_VALUE_BYTES);
     assert_eq!(operator.store.load().await.unwrap().documents(), operator.replica.documents());
 }
@@ -415,6 +415,9 @@
     let transaction = Transaction { on_success: vec![gone], ..Transaction::default() };
     kv.transact(transaction).await.unwrap();
     let refused = operator.apply(&workspace("bibb", 4)).await;
-    assert!(matches!(refused, Err(ApplyError::Store(StoreError::Behind { .. }))), "{refused:?}");
+    assert!(
+        matches!(refused, Err(ApplyError::Store(StoreError::ServiceBehind { .. }))),
+        "{refused:?}"
+    );
     assert_eq!(priority(&operator.replica, "bibb"), Some(3));
 }
--- a/crates/control/benches/config.rs
+++ b/crates/control/benches/config.rs
@@ -11,10 +11,10 @@
 use common::{Entry, Fleet, template};
 use flamingowheel_backing::fake::FakeKeyValue;
 use flamingowheel_config::apply::{Applied, ApplyRequest};
-use flamingowheel_config::bucket::{BUCKET_PREFIX, LOG_PREFIX, PREFIX, encode};
+use flamingowheel_config::bucket::{BUCKET_PREFIX, CONFIG_PREFIX, LOG_PREFIX, encode};
 use flamingowheel_config::change::{Change, Origin};
 use flamingowheel_config::document::Edit;
-use flamingowheel_config::effective::{ConfigRevision, Effective};
+use flamingowheel_config::effective::{ConfigRevision, EffectiveConfig};
 use flamingowheel_config::replica::Replica;
 use flamingowheel_config::store::Store;
 use flamingowheel_config::template::{Limits, Model, Parameters, Template};
@@ -141,9 +141,12 @@
     let start = Instant::now();
     let replica = store.load().await.expect("no fault is set");
     let loaded = start.elapsed();
-    let effective = Effective::new(replica.documents());
+    let effective = EffectiveConfig::new(replica.documents());
     print("cold_load_calls", kv.calls().total() - before);
-    print("cold_load_bytes", kv.peek(PREFIX).entries.iter().map(|e| e.value.len()).sum::<usize>());
+    print(
+        "cold_load_bytes",
+        kv.peek(CONFIG_PREFIX).entries.iter().map(|e| e.value.len()).sum::<usize>(),
+    );
     print("cold_load_processor_ms", millis(start.elapsed()));
     print("cold_load_resolve_ms", millis(start.elapsed() - loaded));
     assert_eq!(effective.workspaces().count(), WORKSPACES);
@@ -167,7 +170,7 @@
             resident = resident_bytes();
         }
         let replica = store.load().await.expect("no fault is set");
-        let effective = Effective::new(replica.documents());
+        let effective = EffectiveConfig::new(replica.documents());
         kept.push((replica, effective));
     }
     resident_bytes().saturating_sub(resident) as f64 / MEASURED as f64
@@ -179,7 +182,7 @@
     let (mut taking, mut putting, mut bytes) = (Duration::ZERO, Duration::ZERO, 0);
     let mut accepting = Duration::ZERO;
     let mut other = replica.clone();
-    let mut effective = Effective::new(other.documents());
+    let mut effective = EffectiveConfig::new(other.documents());
     let mut folded_bytes = 0;
     for number in 0..MEASURED_CHANGES {
         let edit = Edit::PutWorkspace(workspace_of(number * 10, 9 + number as u32));
@@ -199,7 +202,7 @@
         other.advance(Arc::clone(&received)).expect("the next revision");
         taking += start.elapsed();
         let start = Instant::now();
-        effective = effective.after(other.documents(), &received.edits);
+        effective = effective.with_edits(other.documents(), &received.edits);
         putting += start.elapsed();
     }
     let per_change = |total: f64| total / MEASURED_CHANGES as f64;
@@ -213,7 +216,7 @@
     let share = per_change(millis_f64(taking + putting)) * CHANGES_A_DAY / DAY_S / 1_000.0;
     print("changes_core_share", format!("{share:.5}"));
     let start = Instant::now();
-    std::hint::black_box(Effective::new(other.documents()));
+    std::hint::black_box(EffectiveConfig::new(other.documents()));
     print("template_change_resolve_processor_ms", millis(start.elapsed()));
     let log = kv.peek(LOG_PREFIX).entries;
     print("log_bytes", log.iter().map(|entry| entry.value.len()).sum::<usize>());
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -10,7 +10,7 @@
 use crate::membership::{Observation, Table};
 use flamingowheel_backing::BoxFuture;
 use flamingowheel_config::api::ConfigSource;
-use flamingowheel_config::effective::{ConfigRevision, Effective};
+use flamingowheel_config::effective::{ConfigRevision, EffectiveConfig};
 use flamingowheel_config::replica::Replica;
 use flamingowheel_observe::event::Event;
 use flamingowheel_observe::reason::{ConfigSource as Origin, MemberState as Seen};
@@ -42,7 +42,7 @@
 
 struct Shared {
     state: Mutex<State>,
-    effective: watch::Sender<Arc<Effective>>,
+    effective: watch::Sender<Arc<EffectiveConfig>>,
     progress: watch::Sender<Progress>,
     ahead: watch::Sender<Option<Ahead>>,
     recorder: Recorder,
@@ -187,7 +187,7 @@
     }
 
     /// The configuration in force, now and later.
-    pub fn effective(&self) -> watch::Receiver<Arc<Effective>> {
+    pub fn effective(&self) -> watch::Receiver<Arc<EffectiveConfig>> {
         self.shared.effective.subscribe()
     }
 
@@ -439,13 +439,13 @@
 }
 
 /// Resolves what the changes since `before` touched, or everything if some are not kept.
-fn resolve(old: &Effective, before: ConfigRevision, replica: &Replica) -> Effective {
+fn resolve(old: &EffectiveConfig, before: ConfigRevision, replica: &Replica) -> EffectiveConfig {
     match replica.changes_after(before) {
         Some(changes) if old.revision() == before => {
             let edits = changes.iter().flat_map(|change| change.edits.iter().cloned());
-            old.after(replica.documents(), &edits.collect::<Vec<_>>())
+            old.with_edits(replica.documents(), &edits.collect::<Vec<_>>())
         }
-        _ => Effective::new(replica.documents()),
+        _ => EffectiveConfig::new(replica.documents()),
     }
 }
 
--- a/crates/control/src/node/configuration.rs
+++ b/crates/control/src/node/configuration.rs
@@ -14,7 +14,7 @@
     /// Takes a newer replica; an older one changes nothing. Tells whether it was newer.
     pub fn adopt(&self, replica: Replica, origin: Origin) -> bool {
         let offered = replica.revision();
-        let (taken, own) = self.configure(origin, |own| own.adopt(replica));
+        let (taken, own) = self.configure(origin, |own| own.replace_if_newer(replica));
         if !taken && offered < own {
             let event = Event::OlderConfigurationRefused { revision: offered.0, in_force: own.0 };
             self.shared.recorder.record(event);
@@ -29,7 +29,7 @@
             let before = own.revision();
             for change in changes {
                 match own.advance(change) {
-                    Ok(()) | Err(AdvanceError::Old { .. }) => {}
+                    Ok(()) | Err(AdvanceError::Stale { .. }) => {}
                     Err(error) => {
                         gap = Err(error);
                         break;
--- a/crates/control/src/operators.rs
+++ b/crates/control/src/operators.rs
@@ -14,7 +14,7 @@
     HistoryAnswer, ProcessRole, ProcessState, ProcessStatus, StatusAnswer, TemplateAnswer,
     TemplatesAnswer, WorkspaceAnswer, WorkspacesAnswer,
 };
-use flamingowheel_config::apply::{Applied, ApplyError, ApplyRequest, check};
+use flamingowheel_config::apply::{Applied, ApplyError, ApplyRequest, prepare_change};
 use flamingowheel_config::change::{Change, ChangeId, DocumentDiff, Origin, diff};
 use flamingowheel_config::document::{Edit, MAX_FILE_BYTES, parse};
 use flamingowheel_config::effective::ConfigRevision;
@@ -134,7 +134,7 @@
         // While the service is down the check is against what is in force here, and says so by
         // its revision.
         let _ = self.store.catch_up(&mut replica).await;
-        check(&replica, request)?;
+        prepare_change(&replica, request)?;
         Ok(Json(ApplyAnswer {
             outcome: ApplyOutcome::DryRun,
             change: None,
@@ -150,7 +150,7 @@
         let this = self.clone();
         let task = tokio::spawn(async move {
             let mut replica = this.node.replica();
-            let applied = this.store.apply_and_compare(&mut replica, &request).await;
+            let applied = this.store.apply_with_diff(&mut replica, &request).await;
             this.record(request.uuid, &applied);
             this.node.adopt(replica.clone(), ConfigSource::Accepted);
             let answer = applied.map(|(applied, diff)| answer_to(applied, &replica, diff));
@@ -256,7 +256,7 @@
     let workspace = documents.workspaces.get(&name).ok_or_else(|| Failure::not_found(&name))?;
     let template = documents.templates.get(&workspace.document.template);
     let template = template.ok_or_else(|| Failure::not_found(&workspace.document.template))?;
-    let effective = workspace.document.overrides.over(&template.document.parameters);
+    let effective = workspace.document.overrides.apply_to(&template.document.parameters);
     let workspace = workspace.clone();
     Ok(Json(WorkspaceAnswer { revision: replica.revision(), workspace, effective }))
 }
--- a/crates/control/src/roll.rs
+++ b/crates/control/src/roll.rs
@@ -2,7 +2,7 @@
 
 use crate::node::{MemberView, Node};
 use crate::transport::PeerTransport;
-use flamingowheel_config::api::{Behind, InForce};
+use flamingowheel_config::api::{InForce, LaggingProcess};
 use flamingowheel_config::effective::ConfigRevision;
 use flamingowheel_protocol::peer::{MemberState, PeerAnswer, PeerRequest};
 use futures_util::StreamExt;
@@ -84,10 +84,10 @@
     answered: &[(String, ConfigRevision)],
     waited: Duration,
 ) -> InForce {
-    let behind: Vec<Behind> = answered
+    let behind: Vec<LaggingProcess> = answered
         .iter()
         .filter(|(name, _)| !done.contains(name))
-        .map(|(name, revision)| Behind { process: name.clone(), revision: *revision })
+        .map(|(name, revision)| LaggingProcess { process: name.clone(), revision: *revision })
         .collect();
     let known = |name: &str| done.contains(name) || answered.iter().any(|(other, _)| other == name);
     let names = members.iter().map(|member| member.record.name.clone());
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -4,7 +4,7 @@
 use flamingowheel_backing::kv::{KeyValueEntry, Revision, Watch, WatchEvent};
 use flamingowheel_config::bucket::LOG_PREFIX;
 use flamingowheel_config::change::Change;
-use flamingowheel_config::store::{HeadEntry, StoreError};
+use flamingowheel_config::store::{StoreError, VersionedHead};
 use flamingowheel_observe::event::Event;
 use flamingowheel_observe::reason::ConfigSource;
 use std::sync::Arc;
@@ -42,7 +42,7 @@
     catch_up(spread, ConfigSource::PeriodicRead).await.is_ok()
 }
 
-async fn catch_up(spread: &Spread, source: ConfigSource) -> Result<HeadEntry, StoreError> {
+async fn catch_up(spread: &Spread, source: ConfigSource) -> Result<VersionedHead, StoreError> {
     let mut replica = spread.node.replica();
     let caught_up = spread.store.catch_up(&mut replica).await;
     if let Err(error) = &caught_up {
--- a/crates/entry/src/http/intake.rs
+++ b/crates/entry/src/http/intake.rs
@@ -6,7 +6,7 @@
 use axum::body::Body;
 use axum::http::{HeaderMap, header};
 use bytes::Bytes;
-use flamingowheel_config::effective::{Effective, EffectiveWorkspace};
+use flamingowheel_config::effective::{EffectiveConfig, EffectiveWorkspace};
 use flamingowheel_policy::key::{Fingerprint, WorkspaceKey};
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use std::sync::Arc;
@@ -30,7 +30,7 @@
 
 /// The workspace called `name`, or without a name the one whose token the request carries.
 pub fn workspace_by_name_or_token<'a>(
-    effective: &'a Effective,
+    effective: &'a EffectiveConfig,
     name: Option<&str>,
     headers: &HeaderMap,
 ) -> Option<&'a Arc<EffectiveWorkspace>> {
--- a/crates/entry/src/state.rs
+++ b/crates/entry/src/state.rs
@@ -8,7 +8,7 @@
 use crate::limits::{Limiter, Permit};
 use crate::outcome::NotRun;
 use arc_swap::ArcSwap;
-use flamingowheel_config::effective::{Effective, EffectiveWorkspace};
+use flamingowheel_config::effective::{EffectiveConfig, EffectiveWorkspace};
 use flamingowheel_config::template::Limits;
 use flamingowheel_control::node::Node;
 use flamingowheel_observe::event::{Event, Subject};
@@ -23,7 +23,7 @@
     /// Identity and limits of this entry.
     pub config: Arc<EntryConfig>,
     /// Snapshot of the configuration in force.
-    pub effective: ArcSwap<Effective>,
+    pub effective: ArcSwap<EffectiveConfig>,
     /// Snapshot of the entries that callers may use.
     pub addresses: ArcSwap<AddressBook>,
     /// Sends requests to agents.
--- a/crates/flamingowheeld/src/entry.rs
+++ b/crates/flamingowheeld/src/entry.rs
@@ -15,7 +15,7 @@
 use flamingowheel_backing::kv::KeyValue;
 use flamingowheel_backing::vm::VmList;
 use flamingowheel_config::api::{ProcessRole, ProcessState, ProcessStatus};
-use flamingowheel_config::effective::{ConfigRevision, Effective};
+use flamingowheel_config::effective::{ConfigRevision, EffectiveConfig};
 use flamingowheel_config::settings::{EntrySettings, Role, Settings};
 use flamingowheel_config::store::Store;
 use flamingowheel_control::node::Node;
@@ -302,7 +302,7 @@
     let recorder = node.recorder().clone();
     let state = Arc::new(EntryState {
         config: Arc::clone(config),
-        effective: ArcSwap::from_pointee(Effective::default()),
+        effective: ArcSwap::from_pointee(EffectiveConfig::default()),
         addresses: ArcSwap::from_pointee(AddressBook::new(&[], Vec::new())),
         dispatcher: Dispatcher::new(Arc::clone(config), router, recorder.clone()),
         archive: Archive::new(Arc::clone(kv)),
--- a/crates/flamingowheeld/src/groups.rs
+++ b/crates/flamingowheeld/src/groups.rs
@@ -13,7 +13,7 @@
 use flamingowheel_backing::BoxFuture;
 use flamingowheel_backing::kv::KeyValue;
 use flamingowheel_backing::orders::{ExpertMap, Fence};
-use flamingowheel_config::effective::Effective;
+use flamingowheel_config::effective::EffectiveConfig;
 use flamingowheel_control::node::Node;
 use flamingowheel_entry::agents::{Agent, Agents, Connected};
 use flamingowheel_group::coordinator::Coordinator;
@@ -323,7 +323,7 @@
     desired: watch::Sender<Option<ExpertMap>>,
     status: watch::Receiver<GroupStatus>,
     record: watch::Receiver<Option<StoredRecord>>,
-    effective: watch::Receiver<Arc<Effective>>,
+    effective: watch::Receiver<Arc<EffectiveConfig>>,
 }
 
 impl Planner {
--- a/crates/flamingowheeld/src/models.rs
+++ b/crates/flamingowheeld/src/models.rs
@@ -1,8 +1,8 @@
 //! What operators accepted of a group's model, and how fast its weights may be loaded.
 
 use flamingowheel_backing::kv::KeyValue;
-use flamingowheel_config::effective::Effective;
-use flamingowheel_config::served::served;
+use flamingowheel_config::desired::desired_model;
+use flamingowheel_config::effective::EffectiveConfig;
 use flamingowheel_config::settings::WeightStoreSettings;
 use flamingowheel_group::budget::{Budget, StoreLimits};
 use flamingowheel_group::serve::DesiredServing;
@@ -13,7 +13,7 @@
 /// Version and adapters of a model, now and after each change of the configuration, for as long as
 /// somebody listens.
 pub fn wanted(
-    mut effective: watch::Receiver<Arc<Effective>>,
+    mut effective: watch::Receiver<Arc<EffectiveConfig>>,
     model: &str,
 ) -> watch::Receiver<Option<DesiredServing>> {
     let model = model.to_owned();
@@ -35,9 +35,9 @@
     receiver
 }
 
-fn wanted_of(effective: &Effective, model: &str) -> Option<DesiredServing> {
-    let served = served(effective, model)?;
-    Some(DesiredServing { version: served.version, adapters: served.adapters })
+fn wanted_of(effective: &EffectiveConfig, model: &str) -> Option<DesiredServing> {
+    let desired = desired_model(effective, model)?;
+    Some(DesiredServing { version: desired.version, adapters: desired.adapters })
 }
 
 /// The share of the weight store that this process paces its groups' loads by. `member` is unique to
@@ -61,7 +61,7 @@
     use flamingowheel_config::document::parse;
     use flamingowheel_config::effective::{ConfigRevision, Documents};
 
-    fn effective(revision: u64, model: &str) -> Arc<Effective> {
+    fn effective(revision: u64, model: &str) -> Arc<EffectiveConfig> {
         let text = format!(
             "kind: template\nname: t\nparameters: {{models: {{notes: {model}}}}}\n---\n\
              kind: workspace\nname: w\ntemplate: t\ntoken_sha256: [{}]\n",
@@ -69,7 +69,7 @@
         );
         let mut documents = Documents::default();
         documents.apply(ConfigRevision(revision), &parse(&text).unwrap());
-        Arc::new(Effective::new(&documents))
+        Arc::new(EffectiveConfig::new(&documents))
     }
 
     #[tokio::test(start_paused = true)]
--- a/crates/proof/benches/capacity/configuration.rs
+++ b/crates/proof/benches/capacity/configuration.rs
@@ -5,7 +5,7 @@
 use flamingowheel_config::bucket;
 use flamingowheel_config::change::{Change, ChangeId, Origin};
 use flamingowheel_config::document::Edit;
-use flamingowheel_config::effective::{ConfigRevision, Documents, Effective, Stored};
+use flamingowheel_config::effective::{ConfigRevision, Documents, EffectiveConfig, Stored};
 use flamingowheel_config::replica::Replica;
 use flamingowheel_config::template::{Limits, Model, Parameters, Template};
 use flamingowheel_config::token::TokenHash;
@@ -66,7 +66,7 @@
     print("config_documents_bytes_per_workspace", bytes_each(WORKSPACES, documents));
     let effective = |count| {
         let documents = documents(count);
-        (Effective::new(&documents), documents)
+        (EffectiveConfig::new(&documents), documents)
     };
     print("config_in_force_bytes_per_workspace", bytes_each(WORKSPACES, effective));
     let stored: usize = bucket::BucketId::all()
