--- a/crates/control/src/directory.rs
+++ b/crates/control/src/directory.rs
@@ -5,7 +5,7 @@
 //! record that lags costs a try to connect; what an agent may run is decided by its own
 //! incarnation, never by a record.
 
-use crate::membership::FORGET_AFTER;
+use crate::membership::GONE_RETENTION;
 use flamingowheel_protocol::message::{Hello, Role};
 use flamingowheel_protocol::peer::{AgentRecord, MemberState};
 use std::collections::BTreeMap;
@@ -59,26 +59,26 @@
     }
 
     /// The records that changed after a version of the table.
-    pub fn after(&self, version: u64) -> Vec<AgentRecord> {
+    pub fn changed_after(&self, version: u64) -> Vec<AgentRecord> {
         let newer = self.agents.values().filter(|known| known.changed_in > version);
         newer.map(|known| (*known.record).clone()).collect()
     }
 
     /// The parts in which a directory with these digests differs.
-    pub fn differing(&self, digests: &[u64]) -> Vec<u8> {
+    pub fn differing_parts(&self, digests: &[u64]) -> Vec<u8> {
         let pairs = self.digests.iter().zip(digests).enumerate();
         pairs.filter(|(_, (own, other))| own != other).map(|(part, _)| part as u8).collect()
     }
 
     /// The records of some parts.
-    pub fn parts(&self, parts: &[u8]) -> Vec<AgentRecord> {
+    pub fn records_in_parts(&self, parts: &[u8]) -> Vec<AgentRecord> {
         let within = |name: &str| parts.contains(&(part(name) as u8));
         let found = self.agents.iter().filter(|(name, _)| within(name));
         found.map(|(_, known)| (*known.record).clone()).collect()
     }
 
     /// Whether a record says more than what is known.
-    pub fn is_news(&self, record: &AgentRecord) -> bool {
+    pub fn is_newer(&self, record: &AgentRecord) -> bool {
         match self.get(&record.name) {
             Some(known) => precedence(record) > precedence(known),
             // A tombstone that was dropped here must not go round again.
@@ -88,7 +88,7 @@
 
     /// Takes a record, if it is news. `version` is the table's next version.
     pub fn merge(&mut self, record: AgentRecord, version: u64, now: Instant) -> bool {
-        if !self.is_news(&record) {
+        if !self.is_newer(&record) {
             return false;
         }
         let name = record.name.clone();
@@ -103,7 +103,7 @@
 
     /// The records that a process's own word makes necessary: its own, if it differs from what is
     /// known, and the end of another that had its address before.
-    pub fn met(&self, address: SocketAddr, hello: &Hello) -> Vec<AgentRecord> {
+    pub fn records_for_hello(&self, address: SocketAddr, hello: &Hello) -> Vec<AgentRecord> {
         let Role::Agent(profile) = &hello.role else { return Vec::new() };
         let known = self.get(&hello.name);
         let record = AgentRecord {
@@ -130,7 +130,7 @@
     /// Drops what has been gone for long.
     pub fn expire(&mut self, now: Instant) {
         self.agents.retain(|_, known| {
-            known.record.state != MemberState::Gone || now - known.since < FORGET_AFTER
+            known.record.state != MemberState::Gone || now - known.since < GONE_RETENTION
         });
     }
 }
--- a/crates/control/src/fetch.rs
+++ b/crates/control/src/fetch.rs
@@ -21,7 +21,7 @@
 pub(crate) struct Fetcher<'a> {
     pub(crate) node: &'a Node,
     pub(crate) peers: &'a dyn PeerTransport,
-    pub(crate) answer_limit: Duration,
+    pub(crate) answer_timeout: Duration,
 }
 
 impl Fetcher<'_> {
@@ -78,8 +78,8 @@
     }
 
     async fn ask(&self, peer: SocketAddr, request: PeerRequest) -> Result<PeerAnswer, PeerError> {
-        let asked = timeout(self.answer_limit, self.peers.ask(peer, request));
-        asked.await.map_err(|_| PeerError::Silent)?
+        let asked = timeout(self.answer_timeout, self.peers.ask(peer, request));
+        asked.await.map_err(|_| PeerError::Timeout)?
     }
 }
 
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -7,7 +7,7 @@
 //! * [`duties`]: what that means for this process.
 //! * [`pause`]: noticing that this process itself stood still.
 //! * [`node`]: the state of one process, and its answers to peers.
-//! * [`spread`]: the loops that keep it up to date.
+//! * [`synchronizer`]: the loops that keep it up to date.
 //! * [`operators`]: the operators' HTTP interface.
 //! * [`transport`] and [`websocket`]: how peers are reached.
 
@@ -22,6 +22,6 @@
 mod roll;
 mod seeds;
 mod service;
-pub mod spread;
+pub mod synchronizer;
 pub mod transport;
 pub mod websocket;
--- a/crates/control/src/membership.rs
+++ b/crates/control/src/membership.rs
@@ -15,7 +15,7 @@
 
 /// How long the record of a process that is gone is kept, so that late news of it can't bring it
 /// back.
-pub const FORGET_AFTER: Duration = Duration::from_secs(600);
+pub const GONE_RETENTION: Duration = Duration::from_secs(600);
 
 /// The table of one process.
 #[derive(Clone, Debug)]
@@ -33,7 +33,7 @@
     /// The record that counts.
     pub record: MemberRecord,
     /// When it was last heard directly, or its record last changed.
-    pub heard_at: Instant,
+    pub last_seen_at: Instant,
     /// Table version of the last change to the record.
     changed_in: u64,
 }
@@ -57,7 +57,7 @@
     /// A table that knows only this process.
     pub fn new(own: MemberRecord, now: Instant) -> Self {
         let name = own.name.clone();
-        let member = Member { record: own, heard_at: now, changed_in: 1 };
+        let member = Member { record: own, last_seen_at: now, changed_in: 1 };
         Self {
             own: name.clone(),
             version: 1,
@@ -68,7 +68,7 @@
     }
 
     /// What this process says of itself.
-    pub fn own(&self) -> &MemberRecord {
+    pub fn own_record(&self) -> &MemberRecord {
         &self.members[&self.own].record
     }
 
@@ -102,14 +102,14 @@
     }
 
     /// What changed after a version of this table.
-    pub fn news_after(&self, version: u64) -> MembershipUpdate {
+    pub fn updates_after(&self, version: u64) -> MembershipUpdate {
         let newer = |member: &&Member| member.changed_in > version;
         let vms = self.leaving_vms.iter().filter(|(_, changed_in)| **changed_in > version);
         MembershipUpdate {
             records: self.members.values().filter(newer).map(|m| m.record.clone()).collect(),
             leaving_vms: vms.map(|(vm, _)| vm.clone()).collect(),
             // Between two that meet for the first time, digests tell what is missing.
-            agents: if version == 0 { Vec::new() } else { self.directory.after(version) },
+            agents: if version == 0 { Vec::new() } else { self.directory.changed_after(version) },
         }
     }
 
@@ -119,14 +119,14 @@
     }
 
     /// An agent process introduced itself at this address.
-    pub fn met_agent(&mut self, address: SocketAddr, hello: &Hello, now: Instant) {
-        for record in self.directory.met(address, hello) {
+    pub fn record_agent(&mut self, address: SocketAddr, hello: &Hello, now: Instant) {
+        for record in self.directory.records_for_hello(address, hello) {
             self.merge_agent(record, now);
         }
     }
 
     /// Notes that an agent is leaving or gone.
-    pub fn worsen_agent(&mut self, name: &str, state: MemberState, now: Instant) {
+    pub fn downgrade_agent(&mut self, name: &str, state: MemberState, now: Instant) {
         if let Some(known) = self.directory.get(name) {
             let record = AgentRecord { state: state.max(known.state), ..known.clone() };
             self.merge_agent(record, now);
@@ -176,7 +176,7 @@
         let (name, state) = (record.name.clone(), record.state);
         let before = self.members.get(&name).map(|member| member.record.state);
         self.version += 1;
-        let member = Member { record, heard_at: now, changed_in: self.version };
+        let member = Member { record, last_seen_at: now, changed_in: self.version };
         self.members.insert(name.clone(), member);
         (before != Some(state)).then_some(Observation::Changed { name, state })
     }
@@ -187,7 +187,7 @@
     /// the version past the suspicion's brings it back. The same way a restarted process
     /// overrides the record of its last start.
     fn merge_own(&mut self, record: &MemberRecord) -> Option<Observation> {
-        let own = self.own();
+        let own = self.own_record();
         if precedence(own) >= precedence(record) {
             return None;
         }
@@ -199,7 +199,7 @@
 
     /// Says of this process that it is leaving, for good.
     pub fn leave(&mut self) {
-        let version = self.own().version + 1;
+        let version = self.own_record().version + 1;
         self.say(version, MemberState::Leaving);
     }
 
@@ -214,22 +214,22 @@
     }
 
     /// A process was heard directly.
-    pub fn heard_from(&mut self, name: &str, now: Instant) {
+    pub fn mark_seen(&mut self, name: &str, now: Instant) {
         if let Some(member) = self.members.get_mut(name) {
-            member.heard_at = now;
+            member.last_seen_at = now;
         }
     }
 
     /// A process was heard directly, and this is what it says of itself.
-    pub fn heard(&mut self, record: MemberRecord, now: Instant) -> Option<Observation> {
+    pub fn merge_direct(&mut self, record: MemberRecord, now: Instant) -> Option<Observation> {
         let name = record.name.clone();
         let observation = self.merge_record(record, now);
-        self.heard_from(&name, now);
+        self.mark_seen(&name, now);
         observation
     }
 
     /// Calls a process silent that this one watches and has not heard.
-    pub fn accuse(&mut self, name: &str) -> Option<Observation> {
+    pub fn mark_silent(&mut self, name: &str) -> Option<Observation> {
         if name == self.own {
             return None;
         }
@@ -252,7 +252,7 @@
     /// The list lags, so it never makes a process live or silent. A VM that it once called
     /// leaving stays so, since a VM's name is never used again. Only a process that is silent *and* on
     /// no listed VM is gone.
-    pub fn merge_vm_list(
+    pub fn apply_vm_list(
         &mut self,
         listed: &BTreeSet<&str>,
         leaving: &BTreeSet<&str>,
@@ -285,14 +285,14 @@
 
     /// After this process stood still: what it knew of when others were heard says nothing now.
     /// They get the full time again before they may be called silent.
-    pub fn forget_times(&mut self, now: Instant) {
-        self.members.values_mut().for_each(|member| member.heard_at = now);
+    pub fn reset_last_seen(&mut self, now: Instant) {
+        self.members.values_mut().for_each(|member| member.last_seen_at = now);
     }
 
     /// Drops records of processes that have been gone for long, and what is known of their VMs.
     pub fn expire(&mut self, now: Instant) {
         let kept = |member: &Member| {
-            member.record.state != MemberState::Gone || now - member.heard_at < FORGET_AFTER
+            member.record.state != MemberState::Gone || now - member.last_seen_at < GONE_RETENTION
         };
         self.members.retain(|_, member| kept(member));
         let vms: BTreeSet<&str> = self.members.values().map(|m| m.record.vm.as_str()).collect();
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -32,7 +32,7 @@
 
 /// After a pause, how long requests are refused while nobody confirms the configuration. Beyond
 /// it the process serves with what it has: it is cut off, and its callers may have nobody else.
-pub const CONFIRM_LIMIT: Duration = Duration::from_secs(3);
+pub const CONFIRM_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// The control state of one entry; clones share it.
 #[derive(Clone)]
@@ -44,7 +44,7 @@
     state: Mutex<State>,
     effective: watch::Sender<Arc<EffectiveConfig>>,
     progress: watch::Sender<Progress>,
-    ahead: watch::Sender<Option<Ahead>>,
+    ahead: watch::Sender<Option<NewerPeer>>,
     recorder: Recorder,
     lender: OnceLock<Arc<dyn Lender>>,
     binder: OnceLock<Arc<dyn KeyBinder>>,
@@ -105,7 +105,7 @@
 
 /// A process that asked this one and has a newer configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ahead {
+pub struct NewerPeer {
     /// Its name.
     pub name: String,
     /// The revision that it has in force.
@@ -120,7 +120,7 @@
     /// The state that counts.
     pub state: MemberState,
     /// How long ago it was heard, or anything was heard of it.
-    pub heard_ago: Duration,
+    pub last_seen_ago: Duration,
     /// The revision it last reported to this process.
     pub revision: ConfigRevision,
 }
@@ -136,11 +136,11 @@
 
 /// What a heartbeat was made from.
 #[derive(Clone, Copy, Debug)]
-pub struct Asked {
+pub struct SentHeartbeat {
     /// The own table's version.
-    pub version: u64,
+    pub table_version: u64,
     /// When.
-    pub at: Instant,
+    pub sent_at: Instant,
 }
 
 impl Node {
@@ -197,7 +197,7 @@
     }
 
     /// The process that asked last and has a newer configuration, now and later.
-    pub fn ahead(&self) -> watch::Receiver<Option<Ahead>> {
+    pub fn newer_peer(&self) -> watch::Receiver<Option<NewerPeer>> {
         self.shared.ahead.subscribe()
     }
 
@@ -222,8 +222,8 @@
     }
 
     /// What this process says of itself.
-    pub fn own(&self) -> MemberRecord {
-        self.state().table.own().clone()
+    pub fn own_record(&self) -> MemberRecord {
+        self.state().table.own_record().clone()
     }
 
     /// How long ago the key-value service answered this process.
@@ -232,23 +232,24 @@
     }
 
     /// Whether new requests may be taken: there is a configuration, and after a pause somebody
-    /// confirmed that it is the newest, or nobody could be asked for [`CONFIRM_LIMIT`].
+    /// confirmed that it is the newest, or nobody could be asked for [`CONFIRM_TIMEOUT`].
     pub fn may_serve(&self) -> bool {
         let state = self.state();
-        let confirmed = state.unconfirmed_since.is_none_or(|since| since.elapsed() > CONFIRM_LIMIT);
+        let confirmed =
+            state.unconfirmed_since.is_none_or(|since| since.elapsed() > CONFIRM_TIMEOUT);
         state.source != ConfigSource::None && confirmed
     }
 
     /// Every entry known, this one included.
     pub fn members(&self) -> Vec<MemberView> {
         let state = self.state();
-        let own = &state.table.own().name;
+        let own = &state.table.own_record().name;
         let view = |member: &crate::membership::Member| MemberView {
             record: member.record.clone(),
             state: state.table.state(member),
-            heard_ago: match member.record.name == *own {
+            last_seen_ago: match member.record.name == *own {
                 true => Duration::ZERO,
-                false => member.heard_at.elapsed(),
+                false => member.last_seen_at.elapsed(),
             },
             revision: state.reported(&member.record.name),
         };
@@ -264,10 +265,10 @@
     }
 
     /// This process stood still: it trusts nothing that it believed.
-    pub fn distrust(&self) {
+    pub fn invalidate_after_pause(&self) {
         let now = Instant::now();
         self.change(|state| {
-            state.table.forget_times(now);
+            state.table.reset_last_seen(now);
             state.unconfirmed_since = Some(now);
             Vec::new()
         });
@@ -285,25 +286,29 @@
             revision: state.replica.revision().0,
             after: cursor.map_or(0, |cursor| cursor.theirs),
             hold_ms: hold.as_millis() as u32,
-            updates: state.table.news_after(cursor.map_or(0, |cursor| cursor.ours)),
+            updates: state.table.updates_after(cursor.map_or(0, |cursor| cursor.ours)),
         }
     }
 
     /// Takes a peer's answer to what was asked.
-    pub fn take_answer(&self, answer: HeartbeatAnswer, asked: Asked) -> Followup {
+    pub fn apply_heartbeat_answer(
+        &self,
+        answer: HeartbeatAnswer,
+        asked: SentHeartbeat,
+    ) -> Followup {
         let offered = ConfigRevision(answer.revision);
         let (name, incarnation) = (answer.from.name.clone(), answer.from.incarnation);
         // Counted from the question. Counted from when the answer arrived, the time would grow by
         // the way between two peers that ask each other, and never get old.
         let answered_ago = answer.service_answered_ms_ago.map(Duration::from_millis);
-        let service_answered = answered_ago.map(|ago| ago + asked.at.elapsed());
+        let service_answered = answered_ago.map(|ago| ago + asked.sent_at.elapsed());
         self.change(|state| {
             let known = state.cursors.get(&name);
             let restarted = known.is_some_and(|cursor| cursor.incarnation != incarnation);
             // A peer that restarted lost what it was told and counts versions anew.
             let cursor = match restarted {
                 true => Cursor { incarnation, theirs: 0, ours: 0 },
-                false => Cursor { incarnation, theirs: answer.version, ours: asked.version },
+                false => Cursor { incarnation, theirs: answer.version, ours: asked.table_version },
             };
             state.reported.insert(name.clone(), offered);
             state.cursors.insert(name.clone(), cursor);
@@ -322,7 +327,7 @@
     pub(crate) fn take_status(&self, record: MemberRecord, revision: ConfigRevision) {
         self.change(|state| {
             state.reported.insert(record.name.clone(), revision);
-            state.table.heard(record, Instant::now()).into_iter().collect()
+            state.table.merge_direct(record, Instant::now()).into_iter().collect()
         });
     }
 
@@ -395,9 +400,9 @@
     }
 
     /// Whether a member stands in this process's data centre.
-    pub fn is_near(&self, name: &str) -> bool {
+    pub fn is_in_same_data_centre(&self, name: &str) -> bool {
         let state = self.state();
-        let own = &state.table.own().data_centre;
+        let own = &state.table.own_record().data_centre;
         state.table.member(name).is_some_and(|member| member.record.data_centre == *own)
     }
 
@@ -414,7 +419,7 @@
 
 impl State {
     fn reported(&self, name: &str) -> ConfigRevision {
-        match name == self.table.own().name {
+        match name == self.table.own_record().name {
             true => self.replica.revision(),
             false => self.reported.get(name).copied().unwrap_or_default(),
         }
@@ -426,14 +431,14 @@
     }
 
     fn sender(&self) -> Sender {
-        let own = self.table.own();
+        let own = self.table.own_record();
         Sender { name: own.name.clone(), incarnation: own.incarnation }
     }
 
     fn take(&mut self, from: &str, news: MembershipUpdate) -> Vec<Observation> {
         let now = Instant::now();
         let observations = self.table.merge(news, now);
-        self.table.heard_from(from, now);
+        self.table.mark_seen(from, now);
         observations
     }
 }
--- a/crates/control/src/node/agents.rs
+++ b/crates/control/src/node/agents.rs
@@ -29,7 +29,7 @@
         }
         let theirs: HashMap<&str, &AgentRecord> =
             answer.updates.agents.iter().map(|record| (record.name.as_str(), record)).collect();
-        let own = self.state().table.directory().parts(&answer.agent_parts);
+        let own = self.state().table.directory().records_in_parts(&answer.agent_parts);
         let lacks = |record: &AgentRecord| {
             let known = theirs.get(record.name.as_str());
             known.is_none_or(|known| precedence(known) < precedence(record))
@@ -43,24 +43,24 @@
     }
 
     /// An agent process introduced itself at this address.
-    pub fn met_agent(&self, address: SocketAddr, hello: &Hello) {
+    pub fn record_agent(&self, address: SocketAddr, hello: &Hello) {
         self.change_table(|table| {
-            table.met_agent(address, hello, Instant::now());
+            table.record_agent(address, hello, Instant::now());
             Vec::new()
         });
     }
 
     /// Notes that an agent is leaving or gone.
-    pub fn worsen_agent(&self, name: &str, state: MemberState) {
+    pub fn downgrade_agent(&self, name: &str, state: MemberState) {
         self.change_table(|table| {
-            table.worsen_agent(name, state, Instant::now());
+            table.downgrade_agent(name, state, Instant::now());
             Vec::new()
         });
     }
 
     /// Says whether all entries read the VM list in turn; then the two that read it for the whole
     /// fleet do so rarely.
-    pub fn set_list_in_turn(&self, in_turn: bool) {
+    pub fn set_vm_list_rotation(&self, in_turn: bool) {
         self.shared.list_in_turn.store(in_turn, Ordering::Relaxed);
     }
 
@@ -69,10 +69,10 @@
     }
 
     /// Takes a read of the VM list.
-    pub fn take_vm_list(&self, vms: &[Vm]) {
+    pub fn apply_vm_list(&self, vms: &[Vm]) {
         let listed = vms.iter().map(|vm| vm.name.as_str()).collect();
         let leaving = vms.iter().filter(|vm| vm.state == VmState::Leaving);
         let leaving = leaving.map(|vm| vm.name.as_str()).collect();
-        self.change_table(|table| table.merge_vm_list(&listed, &leaving));
+        self.change_table(|table| table.apply_vm_list(&listed, &leaving));
     }
 }
--- a/crates/control/src/node/answers.rs
+++ b/crates/control/src/node/answers.rs
@@ -1,6 +1,6 @@
 //! Answers to peers.
 
-use super::{Ahead, Node, Progress};
+use super::{NewerPeer, Node, Progress};
 use flamingowheel_config::bucket::{Bucket, BucketId, WORKSPACE_BUCKETS, encode};
 use flamingowheel_config::effective::ConfigRevision;
 use flamingowheel_policy::key::EntryKey;
@@ -58,11 +58,11 @@
         // Running out of time only means that there is no news.
         let _ = tokio::time::timeout(hold, progress.wait_for(news)).await;
         let state = self.state();
-        let mut news = state.table.news_after(after);
+        let mut news = state.table.updates_after(after);
         let mut agent_parts = Vec::new();
         if !agent_digests.is_empty() {
-            agent_parts = state.table.directory().differing(&agent_digests);
-            news.agents = state.table.directory().parts(&agent_parts);
+            agent_parts = state.table.directory().differing_parts(&agent_digests);
+            news.agents = state.table.directory().records_in_parts(&agent_parts);
         }
         PeerAnswer::Heartbeat(Box::new(HeartbeatAnswer {
             from: state.sender(),
@@ -81,7 +81,7 @@
     /// would lack the change for as long as the outage lasts, though they were told of it.
     fn note_ahead(&self, name: &str, revision: ConfigRevision) {
         if revision > self.revision() {
-            self.shared.ahead.send_replace(Some(Ahead { name: name.to_owned(), revision }));
+            self.shared.ahead.send_replace(Some(NewerPeer { name: name.to_owned(), revision }));
         }
     }
 
@@ -108,7 +108,7 @@
     fn answer_status(&self) -> PeerAnswer {
         let state = self.state();
         PeerAnswer::Status {
-            record: Box::new(state.table.own().clone()),
+            record: Box::new(state.table.own_record().clone()),
             revision: state.replica.revision().0,
             digest: state.table.digest(),
         }
--- a/crates/control/src/node/configuration.rs
+++ b/crates/control/src/node/configuration.rs
@@ -90,7 +90,7 @@
     }
 
     /// How long nobody has confirmed the configuration.
-    pub fn unconfirmed_for(&self) -> Option<Duration> {
+    pub fn since_confirmed(&self) -> Option<Duration> {
         self.state().confirmed_at.map(|at| at.elapsed())
     }
 }
--- a/crates/control/src/node/suspicion.rs
+++ b/crates/control/src/node/suspicion.rs
@@ -14,8 +14,8 @@
     /// must exceed the one between two words of a healthy peer, or if the key-value service
     /// answers it. Once it hears most again, the rest get the full time, since they come back
     /// one after the other.
-    pub fn accuse_unheard(&self, watched: &[String], limit: Duration, longer: Duration) {
-        self.change(|state| state.accuse_unheard(watched, limit, longer));
+    pub fn detect_silent_members(&self, watched: &[String], limit: Duration, longer: Duration) {
+        self.change(|state| state.detect_silent_members(watched, limit, longer));
     }
 }
 
@@ -25,19 +25,19 @@
     fn begin_watching(&mut self, watched: &[String]) {
         let now = Instant::now();
         for name in watched.iter().filter(|name| !self.watched.contains(name)) {
-            self.table.heard_from(name, now);
+            self.table.mark_seen(name, now);
         }
         self.watched = watched.to_vec();
     }
 
-    fn accuse_unheard(
+    fn detect_silent_members(
         &mut self,
         watched: &[String],
         limit: Duration,
         longer: Duration,
     ) -> Vec<Observation> {
         self.begin_watching(watched);
-        let heard = |name: &String| self.table.member(name).map(|member| member.heard_at);
+        let heard = |name: &String| self.table.member(name).map(|member| member.last_seen_at);
         let times: Vec<(&String, Instant)> =
             watched.iter().filter_map(|name| Some((name, heard(name)?))).collect();
         let unheard: Vec<&(&String, Instant)> =
@@ -46,7 +46,7 @@
         let was_cut_off = self.cut_off;
         self.cut_off = 2 * unheard.len() > times.len() && !in_touch;
         if was_cut_off && !self.cut_off {
-            self.table.forget_times(Instant::now());
+            self.table.reset_last_seen(Instant::now());
             return Vec::new();
         }
         let most_heard_since = |at: Instant| {
@@ -54,6 +54,6 @@
         };
         let accused = unheard.iter().filter(|(_, at)| in_touch || most_heard_since(*at));
         let accused: Vec<&String> = accused.map(|(name, _)| *name).collect();
-        accused.into_iter().filter_map(|name| self.table.accuse(name)).collect()
+        accused.into_iter().filter_map(|name| self.table.mark_silent(name)).collect()
     }
 }
--- a/crates/control/src/operators.rs
+++ b/crates/control/src/operators.rs
@@ -43,7 +43,7 @@
 
 /// What the handlers work with.
 #[derive(Clone)]
-pub struct Operators {
+pub struct OperatorsApi {
     /// This process.
     pub node: Node,
     /// The configuration in the key-value service.
@@ -55,7 +55,7 @@
 }
 
 /// All routes.
-pub fn router(operators: Operators) -> Router {
+pub fn router(operators: OperatorsApi) -> Router {
     Router::new()
         .route("/v1/config/apply", post(apply))
         .route("/v1/config/diff", post(compare))
@@ -90,7 +90,7 @@
 }
 
 async fn apply(
-    State(operators): State<Operators>,
+    State(operators): State<OperatorsApi>,
     query: Result<Query<ApplyQuery>, axum::extract::rejection::QueryRejection>,
     body: Result<String, axum::extract::rejection::StringRejection>,
 ) -> Reply<ApplyAnswer> {
@@ -108,7 +108,7 @@
     Ok(Json(answer))
 }
 
-fn request(operators: &Operators, query: &ApplyQuery, edits: Vec<Edit>) -> ApplyRequest {
+fn request(operators: &OperatorsApi, query: &ApplyQuery, edits: Vec<Edit>) -> ApplyRequest {
     let since_epoch = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
     let origin = Origin {
         operator: query.operator.clone(),
@@ -123,7 +123,7 @@
     }
 }
 
-impl Operators {
+impl OperatorsApi {
     fn roll_call(&self) -> RollCall<'_> {
         RollCall { node: &self.node, peers: &*self.peers }
     }
@@ -195,7 +195,7 @@
 }
 
 async fn compare(
-    State(operators): State<Operators>,
+    State(operators): State<OperatorsApi>,
     body: Result<String, axum::extract::rejection::StringRejection>,
 ) -> Reply<DiffAnswer> {
     let edits = parse(&body?)?;
@@ -204,14 +204,14 @@
     Ok(Json(DiffAnswer { revision: replica.revision(), diff }))
 }
 
-async fn templates(State(operators): State<Operators>) -> Json<TemplatesAnswer> {
+async fn templates(State(operators): State<OperatorsApi>) -> Json<TemplatesAnswer> {
     let replica = operators.node.replica();
     let templates = replica.documents().templates.values().cloned().collect();
     Json(TemplatesAnswer { revision: replica.revision(), templates })
 }
 
 async fn template(
-    State(operators): State<Operators>,
+    State(operators): State<OperatorsApi>,
     Path(name): Path<String>,
 ) -> Reply<TemplateAnswer> {
     let replica = operators.node.replica();
@@ -232,7 +232,7 @@
 }
 
 async fn workspaces(
-    State(operators): State<Operators>,
+    State(operators): State<OperatorsApi>,
     page: Result<Query<Page>, axum::extract::rejection::QueryRejection>,
 ) -> Reply<WorkspacesAnswer> {
     let Query(page) = page?;
@@ -248,7 +248,7 @@
 }
 
 async fn workspace(
-    State(operators): State<Operators>,
+    State(operators): State<OperatorsApi>,
     Path(name): Path<String>,
 ) -> Reply<WorkspaceAnswer> {
     let replica = operators.node.replica();
@@ -261,7 +261,7 @@
     Ok(Json(WorkspaceAnswer { revision: replica.revision(), workspace, effective }))
 }
 
-async fn history(State(operators): State<Operators>) -> Json<HistoryAnswer> {
+async fn history(State(operators): State<OperatorsApi>) -> Json<HistoryAnswer> {
     let replica = operators.node.replica();
     Json(HistoryAnswer { changes: replica.history().map(|change| summary(change)).collect() })
 }
@@ -282,7 +282,7 @@
 /// Takes a change's whole id, or its random part alone. With the random part only an acceptance
 /// can be told: a change that is not in the log may still be on its way.
 async fn change(
-    State(operators): State<Operators>,
+    State(operators): State<OperatorsApi>,
     Path(change): Path<String>,
 ) -> Reply<ChangeAnswer> {
     let state = match (change.parse::<ChangeId>(), change.parse::<Uuid>()) {
@@ -293,7 +293,7 @@
     Ok(Json(ChangeAnswer { change, state }))
 }
 
-impl Operators {
+impl OperatorsApi {
     async fn find(&self, uuid: Uuid) -> ChangeState {
         let mut replica = self.node.replica();
         let _ = self.store.catch_up(&mut replica).await;
@@ -304,14 +304,14 @@
     }
 }
 
-async fn status(State(operators): State<Operators>) -> Json<StatusAnswer> {
+async fn status(State(operators): State<OperatorsApi>) -> Json<StatusAnswer> {
     operators.roll_call().refresh().await;
     let node = &operators.node;
     let mut processes: Vec<ProcessStatus> =
         node.members().into_iter().filter_map(process).collect();
     processes.extend(operators.agents.list());
     Json(StatusAnswer {
-        process: node.own().name,
+        process: node.own_record().name,
         revision: node.revision(),
         source: node.source(),
         key_value_answered_ms_ago: node.key_value_answered_ago().map(|ago| ago.as_millis() as u64),
@@ -334,6 +334,6 @@
         state,
         revision: view.revision,
         operators_address: Some(view.record.operators),
-        heard_ms_ago: view.heard_ago.as_millis() as u64,
+        heard_ms_ago: view.last_seen_ago.as_millis() as u64,
     })
 }
--- a/crates/control/src/pause.rs
+++ b/crates/control/src/pause.rs
@@ -7,9 +7,9 @@
 use tokio::time::Instant;
 
 /// How often the clock is looked at.
-pub const TICK: Duration = Duration::from_millis(250);
+pub const TICK_INTERVAL: Duration = Duration::from_millis(250);
 /// A gap between two looks that can't be a busy scheduler.
-pub const PAUSE_LIMIT: Duration = Duration::from_secs(2);
+pub const MIN_PAUSE: Duration = Duration::from_secs(2);
 
 /// Compares when the clock was looked at with when it should have been.
 ///
@@ -27,7 +27,7 @@
         Self { last: now }
     }
 
-    /// To be called every [`TICK`]; gives the length of the gap if this process stood still.
+    /// To be called every [`TICK_INTERVAL`]; gives the length of the gap if this process stood still.
     ///
     /// ```
     /// use flamingowheel_control::pause::PauseDetector;
@@ -41,6 +41,6 @@
     pub fn tick(&mut self, now: Instant) -> Option<Duration> {
         let gap = now.saturating_duration_since(self.last);
         self.last = now;
-        (gap >= PAUSE_LIMIT).then_some(gap)
+        (gap >= MIN_PAUSE).then_some(gap)
     }
 }
--- a/crates/control/src/roll.rs
+++ b/crates/control/src/roll.rs
@@ -30,7 +30,7 @@
     /// Waits until every process that answers has `revision` in force, at most for `limit`.
     pub(crate) async fn wait(self, revision: ConfigRevision, limit: Duration) -> InForce {
         let start = Instant::now();
-        let mut done = BTreeSet::from([self.node.own().name]);
+        let mut done = BTreeSet::from([self.node.own_record().name]);
         loop {
             let members = self.others();
             let missing = members.iter().filter(|member| !done.contains(&member.record.name));
@@ -51,7 +51,7 @@
     }
 
     fn others(self) -> Vec<MemberView> {
-        let own = self.node.own().name;
+        let own = self.node.own_record().name;
         let others = self.node.members().into_iter();
         others.filter(|m| m.record.name != own && m.state != MemberState::Gone).collect()
     }
--- a/crates/control/src/seeds.rs
+++ b/crates/control/src/seeds.rs
@@ -1,7 +1,7 @@
 //! Finding the first other entries, and being found.
 
 use crate::registry::{self, Listed};
-use crate::spread::Spread;
+use crate::synchronizer::Synchronizer;
 use flamingowheel_protocol::peer::MemberState;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -21,7 +21,7 @@
 const ANSWER_LIMIT: Duration = Duration::from_secs(1);
 
 /// Those of the settings and some of those in the key-value service.
-pub(crate) async fn known(spread: &Spread) -> Vec<SocketAddr> {
+pub(crate) async fn known(spread: &Synchronizer) -> Vec<SocketAddr> {
     let listed = registry::list(spread.store.key_value());
     let listed = timeout(ANSWER_LIMIT, listed).await.ok().and_then(Result::ok).unwrap_or_default();
     let mut seeds: BTreeSet<SocketAddr> = spread.seeds.iter().copied().collect();
@@ -31,20 +31,20 @@
 
 /// Some VMs of the VM list, at the port that all processes of the fleet share. Most are those of
 /// agents, which refuse; it is the last resort while the key-value service is down.
-pub(crate) async fn guessed(spread: &Spread) -> Vec<SocketAddr> {
-    let port = spread.node.own().inner.port();
+pub(crate) async fn guessed(spread: &Synchronizer) -> Vec<SocketAddr> {
+    let port = spread.node.own_record().inner.port();
     let vms = timeout(ANSWER_LIMIT, spread.vms.list()).await.ok().and_then(Result::ok);
     let vms = vms.unwrap_or_default();
     let addresses = vms.iter().map(|vm| SocketAddr::new(vm.ip, port));
     others(spread, some_of(spread, addresses, MAX_GUESSED).into_iter().collect())
 }
 
-fn others(spread: &Spread, mut seeds: BTreeSet<SocketAddr>) -> Vec<SocketAddr> {
-    seeds.remove(&spread.node.own().inner);
+fn others(spread: &Synchronizer, mut seeds: BTreeSet<SocketAddr>) -> Vec<SocketAddr> {
+    seeds.remove(&spread.node.own_record().inner);
     seeds.into_iter().collect()
 }
 
-fn some_of<I>(spread: &Spread, from: I, count: usize) -> Vec<SocketAddr>
+fn some_of<I>(spread: &Synchronizer, from: I, count: usize) -> Vec<SocketAddr>
 where
     I: Iterator<Item = SocketAddr>,
 {
@@ -53,9 +53,10 @@
 }
 
 /// Keeps this entry listed.
-pub(crate) async fn stay_listed(spread: &Spread) {
+pub(crate) async fn stay_listed(spread: &Synchronizer) {
     loop {
-        let registered = registry::register(spread.store.key_value(), &spread.node.own()).await;
+        let registered =
+            registry::register(spread.store.key_value(), &spread.node.own_record()).await;
         let pause = if registered.is_ok() { LIST_INTERVAL } else { RETRY_INTERVAL };
         sleep(spread.node.jitter(pause)).await;
     }
@@ -63,7 +64,7 @@
 
 /// Takes off the list what is on no listed VM and not heard either. VMs are replaced all the
 /// time under new names; without this the list would only grow.
-pub(crate) async fn tidy(spread: &Spread, vms: &BTreeSet<&str>) {
+pub(crate) async fn tidy(spread: &Synchronizer, vms: &BTreeSet<&str>) {
     if vms.is_empty() || !spread.node.tidy_is_due() {
         return;
     }
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -1,6 +1,6 @@
 //! Following the key-value service: watchers do it for their data centre.
 
-use crate::spread::Spread;
+use crate::synchronizer::Synchronizer;
 use flamingowheel_backing::kv::{KeyValueEntry, Revision, Watch, WatchEvent};
 use flamingowheel_config::bucket::LOG_PREFIX;
 use flamingowheel_config::change::Change;
@@ -19,7 +19,7 @@
 const RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Follows the service for as long as this process is a watcher.
-pub(crate) async fn follow(spread: &Spread) {
+pub(crate) async fn follow(spread: &Synchronizer) {
     loop {
         if spread.node.duties().is_watcher {
             watch_until_end(spread).await;
@@ -29,8 +29,8 @@
     }
 }
 
-async fn read_if_isolated(spread: &Spread) {
-    let isolated = spread.node.unconfirmed_for().is_none_or(|time| time >= ISOLATION_LIMIT);
+async fn read_if_isolated(spread: &Synchronizer) {
+    let isolated = spread.node.since_confirmed().is_none_or(|time| time >= ISOLATION_LIMIT);
     if isolated && !catch_up_once(spread).await {
         sleep(spread.node.jitter(ISOLATION_LIMIT)).await;
     }
@@ -38,11 +38,14 @@
 }
 
 /// Brings the node up to the service; tells whether the service answered.
-pub(crate) async fn catch_up_once(spread: &Spread) -> bool {
+pub(crate) async fn catch_up_once(spread: &Synchronizer) -> bool {
     catch_up(spread, ConfigSource::PeriodicRead).await.is_ok()
 }
 
-async fn catch_up(spread: &Spread, source: ConfigSource) -> Result<VersionedHead, StoreError> {
+async fn catch_up(
+    spread: &Synchronizer,
+    source: ConfigSource,
+) -> Result<VersionedHead, StoreError> {
     let mut replica = spread.node.replica();
     let caught_up = spread.store.catch_up(&mut replica).await;
     if let Err(error) = &caught_up {
@@ -54,7 +57,7 @@
     Ok(entry)
 }
 
-fn report(spread: &Spread, error: &StoreError) {
+fn report(spread: &Synchronizer, error: &StoreError) {
     match error {
         StoreError::KeyValue(error) => {
             let error = error.to_string().into();
@@ -67,7 +70,7 @@
 
 /// Opens a watch and takes what it brings, until it ends, is found deaf, or this process is no
 /// longer a watcher.
-async fn watch_until_end(spread: &Spread) {
+async fn watch_until_end(spread: &Synchronizer) {
     let Ok(entry) = catch_up(spread, ConfigSource::PeriodicRead).await else {
         return sleep(spread.node.jitter(RETRY_INTERVAL)).await;
     };
@@ -86,8 +89,8 @@
 /// A watch can go silent for good while its connection stays open. Nothing on this side shows
 /// that, and the data centre would stay on an old configuration. So the head is read from time
 /// to time; if it is ahead of what the watch brought, the watch is deaf and opened again.
-async fn take_events(spread: &Spread, watch: &mut Watch) -> Result<(), WatchEnded> {
-    let until = Instant::now() + spread.node.jitter(spread.timing.periodic_read);
+async fn take_events(spread: &Synchronizer, watch: &mut Watch) -> Result<(), WatchEnded> {
+    let until = Instant::now() + spread.node.jitter(spread.timing.head_read_interval);
     loop {
         let event = tokio::select! {
             event = watch.recv() => event.ok_or(WatchEnded)?,
@@ -111,7 +114,7 @@
 
 /// Takes the change that the watch brought. If it left some out, they are read. It confirms
 /// nothing: it may have been waiting here while this process stood still.
-async fn take_change(spread: &Spread, entry: &KeyValueEntry) -> Result<(), WatchEnded> {
+async fn take_change(spread: &Synchronizer, entry: &KeyValueEntry) -> Result<(), WatchEnded> {
     debug_assert!(entry.key.starts_with(LOG_PREFIX));
     let change: Change = serde_json::from_slice(&entry.value).map_err(|_| WatchEnded)?;
     if spread.node.advance(vec![Arc::new(change)], ConfigSource::Watch).is_err() {
--- a/crates/control/src/spread.rs
+++ b/crates/control/src/synchronizer.rs
@@ -6,8 +6,8 @@
 //! of a fleet again after they lost each other.
 
 use crate::fetch::Fetcher;
-use crate::node::{Asked, Followup, Node};
-use crate::pause::{PauseDetector, TICK};
+use crate::node::{Followup, Node, SentHeartbeat};
+use crate::pause::{PauseDetector, TICK_INTERVAL};
 use crate::seeds;
 use crate::transport::{PeerError, PeerTransport};
 use flamingowheel_backing::vm::VmList;
@@ -34,15 +34,15 @@
     /// The same between watchers of different data centres.
     pub remote_hold: Duration,
     /// How long an answer may take beyond the hold.
-    pub answer_limit: Duration,
+    pub answer_timeout: Duration,
     /// After how long without a word a watched process is called silent.
-    pub silence_limit: Duration,
+    pub silence_timeout: Duration,
     /// How often a watcher reads the head, since a watch may have gone deaf.
-    pub periodic_read: Duration,
+    pub head_read_interval: Duration,
     /// How often a random member is probed.
-    pub probe: Duration,
+    pub probe_interval: Duration,
     /// How often the VM list is read by those that do.
-    pub vm_list: Duration,
+    pub vm_list_interval: Duration,
 }
 
 impl Default for Timing {
@@ -50,11 +50,11 @@
         Self {
             hold: Duration::from_secs(1),
             remote_hold: Duration::from_secs(3),
-            answer_limit: Duration::from_secs(1),
-            silence_limit: Duration::from_secs(5),
-            periodic_read: Duration::from_secs(5),
-            probe: Duration::from_secs(5),
-            vm_list: Duration::from_secs(5),
+            answer_timeout: Duration::from_secs(1),
+            silence_timeout: Duration::from_secs(5),
+            head_read_interval: Duration::from_secs(5),
+            probe_interval: Duration::from_secs(5),
+            vm_list_interval: Duration::from_secs(5),
         }
     }
 }
@@ -67,7 +67,7 @@
 }
 
 impl Found {
-    async fn ask(&mut self, spread: &Spread, seeds: Vec<SocketAddr>) {
+    async fn ask(&mut self, spread: &Synchronizer, seeds: Vec<SocketAddr>) {
         let asked = seeds.into_iter().map(|seed| async move { (seed, spread.probe(seed).await) });
         for (seed, answer) in join_all(asked).await {
             self.anybody |= answer.is_ok();
@@ -97,7 +97,7 @@
 
 /// What the loops work with.
 #[derive(Clone)]
-pub struct Spread {
+pub struct Synchronizer {
     /// This process.
     pub node: Node,
     /// The configuration in the key-value service.
@@ -112,7 +112,7 @@
     pub timing: Timing,
 }
 
-impl Spread {
+impl Synchronizer {
     /// Starts, then runs until `stop` fires.
     pub async fn run(self, stop: CancellationToken) {
         let loops = async {
@@ -135,7 +135,11 @@
     }
 
     pub(crate) fn fetcher(&self) -> Fetcher<'_> {
-        Fetcher { node: &self.node, peers: &*self.peers, answer_limit: self.timing.answer_limit }
+        Fetcher {
+            node: &self.node,
+            peers: &*self.peers,
+            answer_timeout: self.timing.answer_timeout,
+        }
     }
 
     /// Gets a first configuration, from peers or the key-value service, whichever has the newest.
@@ -194,7 +198,8 @@
         name: &str,
         hold: Duration,
     ) -> Result<Followup, PeerError> {
-        let asked = Asked { version: self.node.table_version(), at: Instant::now() };
+        let asked =
+            SentHeartbeat { table_version: self.node.table_version(), sent_at: Instant::now() };
         let heartbeat = self.node.heartbeat(Some(name), hold);
         self.beat(peer, name, heartbeat, asked).await
     }
@@ -204,21 +209,21 @@
         peer: SocketAddr,
         name: &str,
         heartbeat: Heartbeat,
-        asked: Asked,
+        asked: SentHeartbeat,
     ) -> Result<Followup, PeerError> {
         let hold = Duration::from_millis(u64::from(heartbeat.hold_ms));
         let request = PeerRequest::Heartbeat(Box::new(heartbeat));
-        let limit = hold + self.timing.answer_limit;
+        let limit = hold + self.timing.answer_timeout;
         let answer = timeout(limit, self.peers.ask(peer, request)).await;
-        let answer = answer.map_err(|_| PeerError::Silent)??;
+        let answer = answer.map_err(|_| PeerError::Timeout)??;
         // After a pause of this process an answer from before lies ready, and a timeout lets a
         // ready answer pass. It would confirm a configuration that was replaced since.
-        if asked.at.elapsed() > limit {
-            return Err(PeerError::Silent);
+        if asked.sent_at.elapsed() > limit {
+            return Err(PeerError::Timeout);
         }
         let PeerAnswer::Heartbeat(answer) = answer else { return Err(PeerError::Unexpected) };
         let lacking = self.node.agents_lacking(&answer);
-        let followup = self.node.take_answer(*answer, asked);
+        let followup = self.node.apply_heartbeat_answer(*answer, asked);
         self.tell_agents(peer, name, lacking).await;
         Ok(followup)
     }
@@ -232,7 +237,7 @@
         heartbeat.updates = MembershipUpdate { agents: lacking, ..MembershipUpdate::default() };
         heartbeat.agent_digests.clear();
         let request = PeerRequest::Heartbeat(Box::new(heartbeat));
-        let _ = timeout(self.timing.answer_limit, self.peers.ask(peer, request)).await;
+        let _ = timeout(self.timing.answer_timeout, self.peers.ask(peer, request)).await;
     }
 
     async fn poll_and_fetch(
@@ -253,7 +258,7 @@
         let mut running: HashMap<String, CancellationToken> = HashMap::new();
         loop {
             let duties = self.node.duties();
-            let wanted = &duties.polls;
+            let wanted = &duties.poll_targets;
             running.retain(|name, stop| {
                 let kept = wanted.contains(name);
                 if !kept {
@@ -290,38 +295,42 @@
     }
 
     fn hold_for(&self, name: &str) -> Duration {
-        if self.node.is_near(name) { self.timing.hold } else { self.timing.remote_hold }
+        if self.node.is_in_same_data_centre(name) {
+            self.timing.hold
+        } else {
+            self.timing.remote_hold
+        }
     }
 
     /// Looks at the clock and at those that this process watches.
     async fn tick(&self) {
         let mut detector = PauseDetector::new(Instant::now());
         loop {
-            sleep(TICK).await;
+            sleep(TICK_INTERVAL).await;
             if let Some(gap) = detector.tick(Instant::now()) {
                 tracing::warn!(gap_ms = gap.as_millis() as u64, "this process stood still");
-                self.node.distrust();
+                self.node.invalidate_after_pause();
                 continue;
             }
             let duties = self.node.duties();
-            let mut watched = [duties.polls.as_slice(), &duties.polled_by].concat();
+            let mut watched = [duties.poll_targets.as_slice(), &duties.pollers].concat();
             // Two watchers of different data centres poll each other.
             watched.sort_unstable();
             watched.dedup();
-            let longer = self.timing.remote_hold + self.timing.answer_limit / 2;
-            self.node.accuse_unheard(&watched, self.watched_limit(), longer);
+            let longer = self.timing.remote_hold + self.timing.answer_timeout / 2;
+            self.node.detect_silent_members(&watched, self.watched_limit(), longer);
             self.node.expire();
         }
     }
 
     /// Neighbours of other data centres are heard less often; one limit serves both.
     fn watched_limit(&self) -> Duration {
-        self.timing.silence_limit.max(self.timing.remote_hold + self.timing.answer_limit)
+        self.timing.silence_timeout.max(self.timing.remote_hold + self.timing.answer_timeout)
     }
 
     async fn probe_members(&self) {
         for round in 1_u64.. {
-            sleep(self.node.jitter(self.timing.probe)).await;
+            sleep(self.node.jitter(self.timing.probe_interval)).await;
             let others = self.others();
             // Two groups that know nothing of each other would never probe each other.
             if others.is_empty() || self.node.duties().is_watcher && round % SEED_ROUNDS == 0 {
@@ -338,7 +347,7 @@
 
     /// Where the others are reached that are not known to be gone.
     fn others(&self) -> Vec<SocketAddr> {
-        let own = self.node.own().name;
+        let own = self.node.own_record().name;
         let members = self.node.members().into_iter();
         let others =
             members.filter(|member| member.record.name != own && member.state != MemberState::Gone);
@@ -349,12 +358,12 @@
     ///
     /// All that a process polls can go at once. Until they are called silent nobody takes their
     /// place, and whoever hears hardly anybody does not call others silent (see
-    /// [`Node::accuse_unheard`]). A change that others have is then missing here for longer than
+    /// [`Node::detect_silent_members`]). A change that others have is then missing here for longer than
     /// operators are promised, and `status` shows this process behind. Some of those asked are there.
     async fn probe_while_isolated(&self) {
         loop {
             sleep(self.node.jitter(ISOLATED_PROBE)).await;
-            if self.node.unconfirmed_for().is_none_or(|time| time < ISOLATED_AFTER) {
+            if self.node.since_confirmed().is_none_or(|time| time < ISOLATED_AFTER) {
                 continue;
             }
             let mut found = Found::default();
@@ -365,7 +374,7 @@
 
     /// Fetches from processes that poll this one and turn out to be ahead of it.
     async fn fetch_from_pollers(&self) {
-        let mut ahead = self.node.ahead();
+        let mut ahead = self.node.newer_peer();
         while ahead.changed().await.is_ok() {
             let Some(offer) = ahead.borrow_and_update().clone() else { continue };
             let Some(peer) = self.node.address(&offer.name) else { continue };
@@ -379,9 +388,9 @@
     /// Compares tables by their digest first: whole tables between random pairs would cost more
     /// than everything else together.
     async fn probe(&self, peer: SocketAddr) -> Result<Followup, PeerError> {
-        let asked = timeout(self.timing.answer_limit, self.peers.ask(peer, PeerRequest::Status));
+        let asked = timeout(self.timing.answer_timeout, self.peers.ask(peer, PeerRequest::Status));
         let PeerAnswer::Status { record, revision, digest } =
-            asked.await.map_err(|_| PeerError::Silent)??
+            asked.await.map_err(|_| PeerError::Timeout)??
         else {
             return Err(PeerError::Unexpected);
         };
@@ -390,7 +399,8 @@
         if digest == self.node.digest() && revision <= self.node.revision().0 {
             return Ok(Followup::None);
         }
-        let asked = Asked { version: self.node.table_version(), at: Instant::now() };
+        let asked =
+            SentHeartbeat { table_version: self.node.table_version(), sent_at: Instant::now() };
         let heartbeat = self.node.comparing_heartbeat(&name);
         self.beat(peer, &name, heartbeat, asked).await
     }
@@ -398,8 +408,8 @@
     async fn read_vm_list(&self) {
         loop {
             let interval = match self.node.is_list_in_turn() {
-                true => self.timing.vm_list.max(TIDY_INTERVAL),
-                false => self.timing.vm_list,
+                true => self.timing.vm_list_interval.max(TIDY_INTERVAL),
+                false => self.timing.vm_list_interval,
             };
             sleep(self.node.jitter(interval)).await;
             if !self.node.duties().reads_vm_list {
@@ -407,7 +417,7 @@
             }
             let Ok(vms) = self.vms.list().await else { continue };
             let listed = vms.iter().map(|vm| vm.name.as_str()).collect();
-            self.node.take_vm_list(&vms);
+            self.node.apply_vm_list(&vms);
             seeds::tidy(self, &listed).await;
         }
     }
--- a/crates/control/src/transport.rs
+++ b/crates/control/src/transport.rs
@@ -13,7 +13,7 @@
     Unreachable,
     /// No answer in time.
     #[error("peer did not answer in time")]
-    Silent,
+    Timeout,
     /// An answer to another question.
     #[error("peer answered something else")]
     Unexpected,
--- a/crates/control/src/websocket.rs
+++ b/crates/control/src/websocket.rs
@@ -100,7 +100,7 @@
             let _guard = Forget { number, waiting: &connection.waiting };
             let frame = PeerFrame::Request { number, request };
             connection.sender.send(frame).await.map_err(|_| PeerError::Unreachable)?;
-            answer.await.map_err(|_| PeerError::Silent)
+            answer.await.map_err(|_| PeerError::Timeout)
         })
     }
 }
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -13,7 +13,7 @@
 use flamingowheel_config::store::Store;
 use flamingowheel_config::token::TokenHash;
 use flamingowheel_control::node::Node;
-use flamingowheel_control::spread::{Spread, Timing};
+use flamingowheel_control::synchronizer::{Synchronizer, Timing};
 use flamingowheel_control::transport::{PeerError, PeerTransport};
 use flamingowheel_observe::reason::ConfigSource;
 use flamingowheel_observe::recorder::Recorder;
@@ -128,7 +128,7 @@
         let state = self.state.lock().unwrap();
         let region = |address| {
             let node = state.nodes.get(&address)?;
-            node.own().data_centre.bytes().last().map(|digit| digit % 2)
+            node.own_record().data_centre.bytes().last().map(|digit| digit % 2)
         };
         if region(from) == region(to) { state.delay } else { state.far_delay }
     }
@@ -259,7 +259,7 @@
         let store = Store::new(Arc::new(self.kv.clone()));
         let peers: Arc<dyn PeerTransport> =
             Arc::new(Port { network: self.network.clone(), own: address });
-        let spread = Spread {
+        let spread = Synchronizer {
             node: node.clone(),
             store: store.clone(),
             peers: Arc::clone(&peers),
--- a/crates/control/tests/directory.rs
+++ b/crates/control/tests/directory.rs
@@ -43,14 +43,14 @@
     let mut fleet = Fleet::start(20, 3).await;
     fleet.kv.set_down(true);
     for number in 0..300 {
-        fleet.entry(number % 20).node.met_agent(address(number), &hello(number, 1));
+        fleet.entry(number % 20).node.record_agent(address(number), &hello(number, 1));
     }
     fleet.until(SOON, |entry| entry.node.agents().len() == 300).await;
-    fleet.entry(3).node.met_agent(address(7), &hello(7, 2));
+    fleet.entry(3).node.record_agent(address(7), &hello(7, 2));
     fleet.until(SOON, |entry| knows(entry, 7, 2)).await;
     fleet.add(20, 3);
     fleet.until(Duration::from_secs(10), |entry| entry.node.agents().len() == 300).await;
-    fleet.entry(5).node.worsen_agent("agent-9", MemberState::Gone);
+    fleet.entry(5).node.downgrade_agent("agent-9", MemberState::Gone);
     fleet.until(SOON, |entry| entry.node.agents().len() == 299).await;
 }
 
@@ -59,11 +59,11 @@
 #[tokio::test(start_paused = true)]
 async fn directory_different_views_agree() {
     let fleet = Fleet::start(12, 2).await;
-    fleet.entry(0).node.met_agent(address(1), &hello(1, 9));
-    fleet.entry(1).node.met_agent(address(1), &hello(1, 4));
+    fleet.entry(0).node.record_agent(address(1), &hello(1, 9));
+    fleet.entry(1).node.record_agent(address(1), &hello(1, 4));
     for _ in 0..3 {
         sleep(Duration::from_secs(1)).await;
-        fleet.entry(1).node.met_agent(address(1), &hello(1, 4));
+        fleet.entry(1).node.record_agent(address(1), &hello(1, 4));
     }
     fleet.until(SOON, |entry| knows(entry, 1, 4)).await;
     let digest = fleet.entry(0).node.digest();
@@ -76,14 +76,14 @@
 async fn directory_halves_join_again() {
     let fleet = Fleet::start(12, 2).await;
     for number in 0..200 {
-        fleet.entry(number % 12).node.met_agent(address(number), &hello(number, 1));
+        fleet.entry(number % 12).node.record_agent(address(number), &hello(number, 1));
     }
     fleet.until(SOON, |entry| entry.node.agents().len() == 200).await;
     let half: Vec<SocketAddr> = (0..6).map(|entry| fleet.entry(2 * entry).address).collect();
     half.iter().for_each(|entry| fleet.network.cut(*entry));
     sleep(Duration::from_secs(30)).await;
-    fleet.entry(1).node.met_agent(address(500), &hello(500, 1));
-    fleet.entry(2).node.met_agent(address(501), &hello(501, 1));
+    fleet.entry(1).node.record_agent(address(500), &hello(500, 1));
+    fleet.entry(2).node.record_agent(address(501), &hello(501, 1));
     sleep(Duration::from_secs(30)).await;
     half.iter().for_each(|entry| fleet.network.mend(*entry));
     fleet.until(Duration::from_secs(60), |entry| entry.node.agents().len() == 202).await;
@@ -95,7 +95,7 @@
 fn merge_tombstones_end() {
     let (mut directory, now) = (Directory::default(), Instant::now());
     let take = |directory: &mut Directory, number: usize, at: usize| {
-        for record in directory.met(address(at), &hello(number, number as u64)) {
+        for record in directory.records_for_hello(address(at), &hello(number, number as u64)) {
             directory.merge(record, 1, now);
         }
     };
--- a/crates/control/tests/membership.rs
+++ b/crates/control/tests/membership.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{Fleet, record};
-use flamingowheel_control::membership::{FORGET_AFTER, Table};
+use flamingowheel_control::membership::{GONE_RETENTION, Table};
 use flamingowheel_control::node::MemberView;
 use flamingowheel_protocol::id::Incarnation;
 use flamingowheel_protocol::peer::{MemberState, MembershipUpdate};
@@ -173,8 +173,8 @@
     let mut own = record(0, 1);
     own.incarnation = Incarnation(77);
     let mut fresh = Table::new(own, now);
-    fresh.merge(peer.news_after(0), now);
-    peer.merge(fresh.news_after(0), now);
+    fresh.merge(peer.updates_after(0), now);
+    peer.merge(fresh.updates_after(0), now);
     let record = &peer.member("entry-0").unwrap().record;
     assert_eq!((record.incarnation, record.state), (Incarnation(77), MemberState::Live));
 }
@@ -212,13 +212,13 @@
     // A new VM is not yet listed, though its process is heard; and an empty list is an error.
     let now = Instant::now();
     let mut table = Table::new(record(1, 1), now);
-    table.heard(record(0, 1), now);
+    table.merge_direct(record(0, 1), now);
     let listed = BTreeSet::from(["vm-1"]);
-    assert!(table.merge_vm_list(&listed, &BTreeSet::new()).is_empty());
+    assert!(table.apply_vm_list(&listed, &BTreeSet::new()).is_empty());
     assert_eq!(table.member("entry-0").unwrap().record.state, MemberState::Live);
-    table.accuse("entry-0");
-    assert!(table.merge_vm_list(&BTreeSet::new(), &BTreeSet::new()).is_empty());
-    assert_eq!(table.merge_vm_list(&listed, &BTreeSet::new()).len(), 1);
+    table.mark_silent("entry-0");
+    assert!(table.apply_vm_list(&BTreeSet::new(), &BTreeSet::new()).is_empty());
+    assert_eq!(table.apply_vm_list(&listed, &BTreeSet::new()).len(), 1);
 }
 
 #[test]
@@ -229,15 +229,15 @@
     let mut table = Table::new(record(0, 1), now);
     for number in 1..50 {
         let vm = format!("vm-{number}");
-        table.heard(record(number, 1), now);
+        table.merge_direct(record(number, 1), now);
         let listed = BTreeSet::from(["vm-0", vm.as_str()]);
         let leaving = BTreeSet::from([vm.as_str(), "vm-of-an-agent"]);
-        table.merge_vm_list(&listed, &leaving);
+        table.apply_vm_list(&listed, &leaving);
         assert!(table.is_vm_leaving(&vm) && !table.is_vm_leaving("vm-of-an-agent"));
-        table.accuse(&format!("entry-{number}"));
+        table.mark_silent(&format!("entry-{number}"));
     }
-    table.merge_vm_list(&BTreeSet::from(["vm-0"]), &BTreeSet::new());
-    table.expire(now + FORGET_AFTER);
+    table.apply_vm_list(&BTreeSet::from(["vm-0"]), &BTreeSet::new());
+    table.expire(now + GONE_RETENTION);
     assert_eq!(table.members().count(), 1);
-    assert!(table.news_after(0).leaving_vms.is_empty());
+    assert!(table.updates_after(0).leaving_vms.is_empty());
 }
--- a/crates/control/tests/operators.rs
+++ b/crates/control/tests/operators.rs
@@ -12,7 +12,7 @@
     HistoryAnswer, ProcessState, ProcessStatus, StatusAnswer, TemplateAnswer, WorkspaceAnswer,
     WorkspacesAnswer,
 };
-use flamingowheel_control::operators::{Operators, OtherProcesses, router};
+use flamingowheel_control::operators::{OperatorsApi, OtherProcesses, router};
 use http_body_util::BodyExt;
 use serde::de::DeserializeOwned;
 use std::sync::Arc;
@@ -28,7 +28,7 @@
 }
 
 fn routes(entry: &Entry) -> Router {
-    router(Operators {
+    router(OperatorsApi {
         node: entry.node.clone(),
         store: entry.store.clone(),
         peers: Arc::clone(&entry.peers),
--- a/crates/control/tests/spread.rs
+++ b/crates/control/tests/synchronizer.rs
@@ -183,7 +183,7 @@
         fleet.kv.set_down(true);
         fleet.network.pause(paused.address, false);
         // The time in which a process can't know is one tick of its clock.
-        tokio::time::sleep(flamingowheel_control::pause::TICK).await;
+        tokio::time::sleep(flamingowheel_control::pause::TICK_INTERVAL).await;
         for step in 0..5_000 {
             let stale = paused.node.revision() < expected;
             assert!(!(stale && paused.node.may_serve()), "entry-{number} serves an old revision");
--- a/crates/flamingowheel/tests/tool/contract.rs
+++ b/crates/flamingowheel/tests/tool/contract.rs
@@ -9,7 +9,7 @@
 use flamingowheel_config::api::ProcessStatus;
 use flamingowheel_config::store::Store;
 use flamingowheel_control::node::Node;
-use flamingowheel_control::operators::{Operators, OtherProcesses, router};
+use flamingowheel_control::operators::{OperatorsApi, OtherProcesses, router};
 use flamingowheel_control::transport::{PeerError, PeerTransport};
 use flamingowheel_observe::event::Event;
 use flamingowheel_observe::http;
@@ -60,7 +60,7 @@
         version: 1,
         state: MemberState::Live,
     };
-    let operators = Operators {
+    let operators = OperatorsApi {
         node: Node::new(own, recorder.clone()),
         store: Store::new(Arc::new(FakeKeyValue::new())),
         peers: Arc::new(Alone),
--- a/crates/flamingowheeld/src/discovery.rs
+++ b/crates/flamingowheeld/src/discovery.rs
@@ -64,7 +64,7 @@
             self.note_connected();
             let book = (self.book)();
             let is_small = book.uses_all_entries();
-            self.node.set_list_in_turn(!is_small);
+            self.node.set_vm_list_rotation(!is_small);
             let read = if is_small || self.is_own_turn() { self.read().await } else { None };
             if let (Some(vms), true) = (&read, is_small) {
                 wanted.listed = self.agent_vms(vms);
@@ -78,7 +78,7 @@
             }
             if let Some(vms) = read {
                 if !is_small {
-                    self.node.take_vm_list(&vms);
+                    self.node.apply_vm_list(&vms);
                 }
                 self.look(&vms, is_small).await;
             }
@@ -108,7 +108,7 @@
         }
         let directory = self.node.agents();
         self.agents.set_directory(&directory);
-        match book.servers_of(&self.node.own().name) {
+        match book.servers_of(&self.node.own_record().name) {
             // A leaving entry stands before no cell, and callers still come: it keeps its links.
             Some(servers) if servers.is_empty() => {}
             Some(servers) if !is_small => wanted.vms = of_cells(&directory, &servers, &pinned),
@@ -121,7 +121,7 @@
     /// and how a record that went wrong is set right.
     fn note_connected(&self) {
         for (agent, connected) in self.agents.connected() {
-            self.node.met_agent(agent.address(), &connected.hello);
+            self.node.record_agent(agent.address(), &connected.hello);
         }
     }
 
@@ -131,7 +131,7 @@
         let live = members.iter().filter(|member| member.state == MemberState::Live);
         let names: Vec<&str> = live.map(|member| member.record.name.as_str()).collect();
         let interval_ms = (self.interval.as_millis() as u64).max(1);
-        is_turn(&names, &self.node.own().name, (self.clock)() / interval_ms)
+        is_turn(&names, &self.node.own_record().name, (self.clock)() / interval_ms)
     }
 
     /// Looks at what the list shows and the directory does not, and tells those that must leave.
@@ -167,13 +167,13 @@
     async fn look_at(&self, address: SocketAddr, known: &HashMap<SocketAddr, &AgentRecord>) {
         match self.agents.fetch_hello(address).await {
             Some(hello) if matches!(hello.role, Role::Agent(_)) => {
-                self.node.met_agent(address, &hello);
+                self.node.record_agent(address, &hello);
             }
             Some(_) => {}
             // On no listed VM, and not reached either.
             None => {
                 if let Some(agent) = known.get(&address) {
-                    self.node.worsen_agent(&agent.name, MemberState::Gone);
+                    self.node.downgrade_agent(&agent.name, MemberState::Gone);
                 }
             }
         }
@@ -191,7 +191,7 @@
             return;
         };
         if connected.sender.send(EntryMessage::VmLeaving).await.is_ok() {
-            self.node.worsen_agent(&agent.name, MemberState::Leaving);
+            self.node.downgrade_agent(&agent.name, MemberState::Leaving);
         }
     }
 
--- a/crates/flamingowheeld/src/entry.rs
+++ b/crates/flamingowheeld/src/entry.rs
@@ -19,8 +19,8 @@
 use flamingowheel_config::settings::{EntrySettings, Role, Settings};
 use flamingowheel_config::store::Store;
 use flamingowheel_control::node::Node;
-use flamingowheel_control::operators::{Operators, OtherProcesses, router as operators_router};
-use flamingowheel_control::spread::{Spread, Timing as SpreadTiming};
+use flamingowheel_control::operators::{OperatorsApi, OtherProcesses, router as operators_router};
+use flamingowheel_control::synchronizer::{Synchronizer, Timing as SynchronizerTiming};
 use flamingowheel_control::transport::PeerTransport;
 use flamingowheel_control::websocket::{WebSocketPeers, serve as serve_peers};
 use flamingowheel_entry::addresses::AddressBook;
@@ -107,13 +107,13 @@
         let groups = Groups::new(kv, Arc::clone(&agents), node.clone()).with_loads(loads);
         let group_routes = groups.router();
         let peers: Arc<dyn PeerTransport> = Arc::new(WebSocketPeers::new(identity.clone()));
-        let spread = Spread {
+        let spread = Synchronizer {
             node: node.clone(),
             store: store.clone(),
             peers: Arc::clone(&peers),
             vms: vm_list(settings),
             seeds: settings.peers.clone(),
-            timing: SpreadTiming::default(),
+            timing: SynchronizerTiming::default(),
         };
         sample(&recorder, &state, &agents);
         node.set_lender(Arc::new(EntryLender(Arc::clone(&state))));
@@ -137,7 +137,7 @@
         let limits = limits(own);
         let callers_task = tokio::spawn(serve(callers, routes, limits, stop_accepting.clone()));
         let others = Arc::new(AgentList(Arc::clone(&agents)));
-        let routes = operators_router(Operators { node, store, peers, agents: others })
+        let routes = operators_router(OperatorsApi { node, store, peers, agents: others })
             .merge(group_routes)
             .merge(flamingowheel_entry::http::entries_router(Arc::clone(&state)))
             .merge(flamingowheel_observe::http::router(recorder));
--- a/crates/flamingowheeld/src/groups.rs
+++ b/crates/flamingowheeld/src/groups.rs
@@ -110,7 +110,7 @@
         let live = members.iter().filter(|member| member.state == MemberState::Live);
         let entries: Vec<EntryKey> =
             live.map(|member| EntryKey::from_name(&member.record.name)).collect();
-        let own = EntryKey::from_name(&self.node.own().name);
+        let own = EntryKey::from_name(&self.node.own_record().name);
         let listed = self.node.agents();
         let connected = self.agents.connected();
         let met = connected.iter().map(|(_, c)| (&c.profile.serves, c.profile.experts));
--- a/crates/flamingowheeld/src/keys.rs
+++ b/crates/flamingowheeld/src/keys.rs
@@ -47,7 +47,7 @@
     }
 
     fn choose(&self) -> Option<String> {
-        let own = self.node.own();
+        let own = self.node.own_record();
         let members = self.node.members();
         let live = members.iter().filter(|member| {
             member.state == MemberState::Live && member.record.region == own.region
--- a/crates/flamingowheeld/src/membership.rs
+++ b/crates/flamingowheeld/src/membership.rs
@@ -55,7 +55,7 @@
 /// Backend servers by what they serve and where: those of the directory, and those at hand whose
 /// record may not be in it yet, which count as near.
 fn scopes(node: &Node, connected: &[Scope]) -> Vec<RegionScope> {
-    let own = RegionKey::from_name(&node.own().region);
+    let own = RegionKey::from_name(&node.own_record().region);
     let members = node.members();
     let region = |member: &MemberView| RegionKey::from_name(&member.record.region);
     let regions: HashMap<&str, RegionKey> =
--- a/crates/flamingowheeld/tests/discovery.rs
+++ b/crates/flamingowheeld/tests/discovery.rs
@@ -234,7 +234,7 @@
         for agent in 0..AGENTS {
             let address = SocketAddr::new(agent_ip(agent).into(), 7_400);
             let hello = plain.connect(address).await.unwrap().peer;
-            node.met_agent(address, &hello);
+            node.record_agent(address, &hello);
         }
         links.push(start(&node, &list, &plain));
     }
--- a/crates/proof/benches/capacity/directory.rs
+++ b/crates/proof/benches/capacity/directory.rs
@@ -47,7 +47,7 @@
 pub fn measure() -> Result<(), Failure> {
     print("directory_bytes_per_agent", bytes_each(SERVERS, directory));
     let known = directory(SERVERS);
-    let all = known.after(0);
+    let all = known.changed_after(0);
     let one = news_bytes(all[..1].to_vec())?;
     print("directory_record_wire_bytes", (news_bytes(all[..2].to_vec())? - one) as f64);
     print("directory_whole_wire_bytes", news_bytes(all)? as f64);
@@ -55,10 +55,10 @@
     let mut other = known.clone();
     let changed = AgentRecord { version: 2, ..agent(17) };
     other.merge(changed, SERVERS as u64 + 1, Instant::now());
-    let parts = known.differing(other.digests());
-    print("directory_part_wire_bytes", news_bytes(other.parts(&parts))? as f64);
+    let parts = known.differing_parts(other.digests());
+    print("directory_part_wire_bytes", news_bytes(other.records_in_parts(&parts))? as f64);
     let compare_us = cpu_us_each(200, |_| {
-        std::hint::black_box(known.parts(&known.differing(other.digests())));
+        std::hint::black_box(known.records_in_parts(&known.differing_parts(other.digests())));
     })?;
     print("directory_compare_cpu_us", compare_us);
     let vm = |number: usize| Vm {
--- a/crates/proof/benches/capacity/membership.rs
+++ b/crates/proof/benches/capacity/membership.rs
@@ -5,7 +5,7 @@
 
 use flamingowheel_control::duties::Duties;
 use flamingowheel_control::membership::Table;
-use flamingowheel_control::node::{Asked, Node};
+use flamingowheel_control::node::{Node, SentHeartbeat};
 use flamingowheel_observe::recorder::Recorder;
 use flamingowheel_protocol::id::Incarnation;
 use flamingowheel_protocol::peer::{
@@ -86,7 +86,7 @@
         let mut table = Table::new(member(own), Instant::now());
         table.merge(news, Instant::now());
         let duties = Duties::new(&table);
-        duties.polls.len() + duties.polled_by.len()
+        duties.poll_targets.len() + duties.pollers.len()
     };
     let links: Vec<usize> = (0..ENTRIES).map(links).collect();
     print("membership_links_per_entry_mean", links.iter().sum::<usize>() as f64 / ENTRIES as f64);
@@ -96,12 +96,12 @@
 
 /// One heartbeat and its answer, encoded and decoded; returns the bytes of both.
 async fn heartbeat(child: &Node, parent: &Node) -> Result<(usize, usize), Failure> {
-    let asked = Asked { version: child.table_version(), at: Instant::now() };
-    let name = parent.own().name;
+    let asked = SentHeartbeat { table_version: child.table_version(), sent_at: Instant::now() };
+    let name = parent.own_record().name;
     let request = PeerRequest::Heartbeat(Box::new(child.heartbeat(Some(&name), Duration::ZERO)));
     let (request, request_bytes) = through_codec(request)?;
     let (answer, answer_bytes) = through_codec(parent.answer(request).await)?;
     let PeerAnswer::Heartbeat(answer) = answer else { return Err("no heartbeat".into()) };
-    child.take_answer(*answer, asked);
+    child.apply_heartbeat_answer(*answer, asked);
     Ok((request_bytes, answer_bytes))
 }
--- a/crates/proof/src/configuration/fleet.rs
+++ b/crates/proof/src/configuration/fleet.rs
@@ -13,7 +13,7 @@
 use flamingowheel_config::store::Store;
 use flamingowheel_config::token::TokenHash;
 use flamingowheel_control::node::Node;
-use flamingowheel_control::spread::{Spread, Timing};
+use flamingowheel_control::synchronizer::{Synchronizer, Timing};
 use flamingowheel_control::transport::{PeerError, PeerTransport};
 use flamingowheel_observe::reason::ConfigSource;
 use flamingowheel_observe::recorder::Recorder;
@@ -178,7 +178,7 @@
         let own = address(process);
         let fate = Fate::default();
         lock(&self.reach).nodes.insert(own, (node.clone(), fate.clone()));
-        let spread = Spread {
+        let spread = Synchronizer {
             node: node.clone(),
             store: Store::new(Arc::new(self.kv.clone())),
             peers: Arc::new(Port { reach: self.reach.clone(), own }),
