--- a/crates/agent/src/control.rs
+++ b/crates/agent/src/control.rs
@@ -301,7 +301,7 @@
     ) {
         self.records.add_attempt_tombstone(attempt);
         let event = Event::TombstoneWritten { attempt: attempt.number };
-        self.recorder.record_about(&Subject::request(attempt.request.0), event);
+        self.recorder.record_with_subject(&Subject::request(attempt.request.0), event);
         self.refuse_without_tombstone(sender, attempt, refusal);
     }
 
--- a/crates/agent/src/control/record.rs
+++ b/crates/agent/src/control/record.rs
@@ -34,7 +34,7 @@
     pub(super) fn record_start(&self, dispatch: &Dispatch) {
         let running = u32::try_from(self.running.len()).unwrap_or(u32::MAX);
         let attempt = dispatch.attempt.number;
-        self.recorder.record_about(&subject(dispatch), Event::Started { attempt, running });
+        self.recorder.record_with_subject(&subject(dispatch), Event::Started { attempt, running });
         if let ExecutionKey::Ticket { .. } = dispatch.key {
             let ticket = ticket_name(dispatch.key);
             self.record_ticket(dispatch, Event::TicketRun { ticket });
@@ -42,7 +42,7 @@
     }
 
     pub(super) fn record_ticket(&self, dispatch: &Dispatch, event: Event) {
-        self.recorder.record_about(&subject(dispatch), event);
+        self.recorder.record_with_subject(&subject(dispatch), event);
     }
 
     pub(super) fn record_end(&self, key: ExecutionKey, running: &Running, end: RunEnd) {
@@ -56,6 +56,6 @@
             chunks: execution.chunk_count(),
             duration_ms: running.since.elapsed().as_millis() as u64,
         };
-        self.recorder.record_about(&running.subject, event);
+        self.recorder.record_with_subject(&running.subject, event);
     }
 }
--- a/crates/agent/src/control/work.rs
+++ b/crates/agent/src/control/work.rs
@@ -129,7 +129,7 @@
                 self.accept(sender, attempt);
                 let queued = u32::from(self.load().waiting);
                 let event = Event::Admitted { attempt: attempt.number, queued };
-                self.recorder.record_about(&event_subject, event);
+                self.recorder.record_with_subject(&event_subject, event);
                 if let Some(shed) = shed {
                     self.refuse_pending(shed, Refusal::Full);
                 }
--- a/crates/entry/src/dispatch.rs
+++ b/crates/entry/src/dispatch.rs
@@ -118,7 +118,7 @@
     }
 
     fn start<'a>(&self, request: &'a Request) -> RequestProgress<'a> {
-        let log = self.recorder.about(events::subject(request));
+        let log = self.recorder.with_subject(events::subject(request));
         log.record(Event::RequestAccepted {
             class: events::class(request),
             idempotent: request.idempotent,
--- a/crates/entry/src/dispatch/home.rs
+++ b/crates/entry/src/dispatch/home.rs
@@ -41,7 +41,7 @@
         deadline: Instant,
     ) -> Result<Answer, Verdict> {
         let request = Request::of_stream(workspace, token.request, deadline);
-        let log = self.recorder.about(events::subject(&request));
+        let log = self.recorder.with_subject(events::subject(&request));
         let server = ServerKey::from_name(&token.agent);
         let home = self.home(&request, token.incarnation, server).await?;
         // A new attempt number. The entry that started the stream may still be running, and its
@@ -87,7 +87,7 @@
         ticket: &Ticket,
         timeout: Duration,
     ) -> Verdict {
-        let log = self.recorder.about(events::subject(request));
+        let log = self.recorder.with_subject(events::subject(request));
         let server = ServerKey::from_name(&ticket.agent);
         let home = match self.home(request, ticket.incarnation, server).await {
             Ok(home) => home,
@@ -158,7 +158,7 @@
             ticket: ticket.number.to_string().into(),
             backend_server: ticket.agent.as_str().into(),
         };
-        self.recorder.record_about(&events::subject(request), event);
+        self.recorder.record_with_subject(&events::subject(request), event);
         ticket
     }
 
--- a/crates/entry/src/http/answer.rs
+++ b/crates/entry/src/http/answer.rs
@@ -80,7 +80,7 @@
 pub fn refuse_request(state: &EntryState, headers: &HeaderMap, not_run: NotRun) -> Response {
     let workspace = intake::workspace(state, headers).ok();
     let class = workspace.map(|workspace| events::class_of(&workspace));
-    state.recorder.metrics().request_refused(class);
+    state.recorder.metrics().count_refused_request(class);
     refuse(not_run)
 }
 
@@ -184,7 +184,7 @@
             None | Some(Ok(Piece::End)) => return,
             Some(Ok(Piece::Chunk(number, data))) => {
                 admission.add_tokens(1.0);
-                timer.chunk();
+                timer.record_chunk();
                 Ok(if resumable { with_id(number, &data) } else { data })
             }
             Some(Err(verdict)) => Err(verdict),
--- a/crates/entry/src/http/keys.rs
+++ b/crates/entry/src/http/keys.rs
@@ -37,7 +37,7 @@
         Err(KeyEnd::Verdict(verdict)) => Err(verdict),
         Err(KeyEnd::Archived(answer)) => {
             let ticket = ticket.number.to_string().into();
-            state.recorder.record_about(&subject, Event::TicketReplayed { ticket });
+            state.recorder.record_with_subject(&subject, Event::TicketReplayed { ticket });
             return archived_response(answer, &meta);
         }
     };
@@ -70,7 +70,7 @@
         let ticket = Ticket::from_text(&claim.ticket, &self.state.config.fleet_key)
             .map_err(TicketRefusal::Invalid)?;
         let event = Event::TicketBound { ticket: ticket.number.to_string().into() };
-        self.state.recorder.record_about(&events::subject(request), event);
+        self.state.recorder.record_with_subject(&events::subject(request), event);
         Ok(BoundKey { claim, ticket })
     }
 }
--- a/crates/entry/src/http/services.rs
+++ b/crates/entry/src/http/services.rs
@@ -90,7 +90,7 @@
         match state.archive.lookup(&ticket, fingerprint).await {
             ArchiveLookup::Answer(answer) => {
                 let ticket = ticket.number.to_string().into();
-                state.recorder.record_about(&subject, Event::TicketReplayed { ticket });
+                state.recorder.record_with_subject(&subject, Event::TicketReplayed { ticket });
                 return archived_response(answer, &meta);
             }
             ArchiveLookup::NeverRan => {
--- a/crates/entry/src/state.rs
+++ b/crates/entry/src/state.rs
@@ -64,7 +64,7 @@
         if let Err(NotRun::LimitReached { limit, retry_after_ms }) = &admitted {
             let subject = Subject::default().workspace(&*workspace.name);
             let event = Event::LimitExceeded { limit: *limit, retry_after_ms: *retry_after_ms };
-            self.recorder.record_about(&subject, event);
+            self.recorder.record_with_subject(&subject, event);
         }
         admitted
     }
--- a/crates/flamingowheel/src/commands/diff.rs
+++ b/crates/flamingowheel/src/commands/diff.rs
@@ -5,7 +5,7 @@
 use flamingowheel_config::api::DiffAnswer;
 use flamingowheel_config::change::{Action, Conflict, DocumentDiff, FieldDiff};
 use flamingowheel_config::document::Kind;
-use flamingowheel_observe::words::counted;
+use flamingowheel_observe::text::count_with_noun;
 use serde_json::Value;
 
 use super::render;
@@ -49,7 +49,7 @@
         };
         let _ = write!(text, "{action} {} {}", kind_name(diff.kind), diff.name);
         if let Some(workspaces) = diff.workspaces {
-            let _ = write!(text, ", used by {}", counted(workspaces as u64, "workspace"));
+            let _ = write!(text, ", used by {}", count_with_noun(workspaces as u64, "workspace"));
         }
         text.push('\n');
         for field in &diff.fields {
--- a/crates/flamingowheel/src/commands/get.rs
+++ b/crates/flamingowheel/src/commands/get.rs
@@ -5,7 +5,7 @@
 };
 use flamingowheel_config::effective::Stored;
 use flamingowheel_config::workspace::Workspace;
-use flamingowheel_observe::words::counted;
+use flamingowheel_observe::text::count_with_noun;
 use serde::Serialize;
 use std::sync::Arc;
 
@@ -39,7 +39,7 @@
             let comment = format!(
                 "# revision {}, used by {}\n",
                 answer.template.revision.0,
-                counted(answer.workspaces as u64, "workspace")
+                count_with_noun(answer.workspaces as u64, "workspace")
             );
             let document = yaml("template", &*answer.template.document)?;
             render(&answer, json, |_| comment + &document)?
--- a/crates/flamingowheel/src/commands/timeline.rs
+++ b/crates/flamingowheel/src/commands/timeline.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use flamingowheel_observe::api::{EVENTS_PATH, EventQuery, EventsAnswer};
-use flamingowheel_observe::timeline::{Unreachable, merge};
+use flamingowheel_observe::timeline::{UnreachableProcess, merge};
 use serde::Deserialize;
 use tokio::task::JoinSet;
 
@@ -77,7 +77,7 @@
 #[derive(Default)]
 struct Asked {
     answers: Vec<EventsAnswer>,
-    unreachable: Vec<Unreachable>,
+    unreachable: Vec<UnreachableProcess>,
     last_error: Option<ClientError>,
 }
 
@@ -138,6 +138,6 @@
     }
 
     fn miss(&mut self, name: &str, reason: &str) {
-        self.unreachable.push(Unreachable { process: name.into(), reason: reason.into() });
+        self.unreachable.push(UnreachableProcess { process: name.into(), reason: reason.into() });
     }
 }
--- a/crates/flamingowheeld/src/agent.rs
+++ b/crates/flamingowheeld/src/agent.rs
@@ -13,7 +13,7 @@
     AgentSettings, BackendServerKind, ExpertSettings, Role, Settings,
 };
 use flamingowheel_observe::event::Event;
-use flamingowheel_observe::metrics::{Metrics, Occupancy};
+use flamingowheel_observe::metrics::{Metrics, OccupancyKind};
 use flamingowheel_observe::recorder::Recorder;
 use flamingowheel_protocol::link::{LinkOptions, Timing};
 use flamingowheel_protocol::message::{BackendProfile, ExpertShape, Serves};
@@ -83,9 +83,13 @@
         };
         spawn_control("control", move || control.run(commands))?;
         let status = handle.clone();
-        recorder.metrics().sample(Occupancy::Queue, move || status.status().waiting_count);
+        recorder
+            .metrics()
+            .register_sampler(OccupancyKind::Queue, move || status.status().waiting_count);
         let status = handle.clone();
-        recorder.metrics().sample(Occupancy::Records, move || status.status().record_count);
+        recorder
+            .metrics()
+            .register_sampler(OccupancyKind::Records, move || status.status().record_count);
         let stop = CancellationToken::new();
         tokio::spawn(serve::serve(inner, identity, handle.clone(), stop.clone()));
         let routes = flamingowheel_observe::http::router(recorder.clone());
--- a/crates/flamingowheeld/src/entry.rs
+++ b/crates/flamingowheeld/src/entry.rs
@@ -35,7 +35,7 @@
 use flamingowheel_entry::state::EntryState;
 use flamingowheel_observe::event::Event;
 use flamingowheel_observe::kv::ObservedKeyValue;
-use flamingowheel_observe::metrics::Occupancy;
+use flamingowheel_observe::metrics::OccupancyKind;
 use flamingowheel_observe::reason::LeaveCause;
 use flamingowheel_observe::recorder::Recorder;
 use flamingowheel_policy::key::EntryKey;
@@ -203,15 +203,15 @@
 fn sample(recorder: &Recorder, state: &Arc<EntryState>, agents: &Arc<Agents>) {
     let metrics = recorder.metrics();
     let weak = Arc::downgrade(state);
-    metrics.sample(Occupancy::InFlight, move || {
+    metrics.register_sampler(OccupancyKind::InFlight, move || {
         weak.upgrade().map_or(0, |state| state.in_progress.get())
     });
     let weak = Arc::downgrade(state);
-    metrics.sample(Occupancy::Suspects, move || {
+    metrics.register_sampler(OccupancyKind::Suspects, move || {
         weak.upgrade().map_or(0, |state| state.dispatcher.router().suspicions().len())
     });
     let weak = Arc::downgrade(agents);
-    metrics.sample(Occupancy::Links, move || {
+    metrics.register_sampler(OccupancyKind::Links, move || {
         weak.upgrade().map_or(0, |agents| agents.connected().len())
     });
 }
--- a/crates/flamingowheeld/src/groups.rs
+++ b/crates/flamingowheeld/src/groups.rs
@@ -171,7 +171,8 @@
             record: coordinator.record(),
             effective: self.node.effective(),
         };
-        let about = self.node.recorder().about(Subject::default().group(group.name.as_str()));
+        let about =
+            self.node.recorder().with_subject(Subject::default().group(group.name.as_str()));
         let teller = tell(about, group.name.clone(), records.clone(), coordinator.status());
         self.duties.insert(group.name.clone(), stop.clone());
         tokio::spawn(async move {
--- a/crates/flamingowheeld/src/orders.rs
+++ b/crates/flamingowheeld/src/orders.rs
@@ -61,7 +61,7 @@
         };
         let engine = HttpOrders::new(authority(own.backend_server), limits);
         let records = RecordStore::new(Arc::new(key_value(settings)), group);
-        let about = recorder.about(Subject::default().group(group.as_str()));
+        let about = recorder.with_subject(Subject::default().group(group.as_str()));
         let orders = Arc::new(Self { gate: OnceCell::new(), about });
         let intake = Arc::new(AgentIntake(agent.clone()));
         tokio::spawn(open(Arc::clone(&orders), engine, kind, incarnation, records, intake));
--- a/crates/flamingowheeld/src/run.rs
+++ b/crates/flamingowheeld/src/run.rs
@@ -55,7 +55,7 @@
         let settings = settings.clone();
         move || reload(&settings)
     };
-    logs::init_plain(&settings.vm, &settings.data_centre)?;
+    logs::init_stdout(&settings.vm, &settings.data_centre)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let exit = runtime.block_on(async {
         let mut signals = Signals::new()?;
--- a/crates/observe/benches/record.rs
+++ b/crates/observe/benches/record.rs
@@ -41,7 +41,7 @@
             candidates: 4,
             predicted_wait_ms: 12,
         };
-        recorder.record_about(&subject.workspace("bibb-county"), event);
+        recorder.record_with_subject(&subject.workspace("bibb-county"), event);
     }
 }
 
--- a/crates/observe/src/api.rs
+++ b/crates/observe/src/api.rs
@@ -6,7 +6,7 @@
 use uuid::Uuid;
 
 use crate::clock::Stamp;
-use crate::event::{Name, Stamped};
+use crate::event::{Name, StampedEvent};
 
 /// Path of the events of a process.
 pub const EVENTS_PATH: &str = "/v1/events";
@@ -41,9 +41,9 @@
     /// ```
     /// use flamingowheel_observe::api::EventQuery;
     /// use flamingowheel_observe::clock::Stamp;
-    /// use flamingowheel_observe::event::{Event, Stamped, Subject};
+    /// use flamingowheel_observe::event::{Event, StampedEvent, Subject};
     ///
-    /// let event = Stamped {
+    /// let event = StampedEvent {
     ///     stamp: Stamp::new(1_000, 0),
     ///     sequence: 1,
     ///     process: "entry-1".into(),
@@ -53,7 +53,7 @@
     /// let query = EventQuery { group: Some("runners-a".into()), ..EventQuery::default() };
     /// assert!(query.matches(&event));
     /// ```
-    pub fn matches(&self, event: &Stamped) -> bool {
+    pub fn matches(&self, event: &StampedEvent) -> bool {
         let subject = &event.subject;
         self.since_ms.is_none_or(|since_ms| event.stamp.wall_ms() >= since_ms)
             && (self.request.is_none() || self.request == subject.request)
@@ -89,5 +89,5 @@
     #[serde(default)]
     pub left_out: u64,
     /// The events asked for, oldest first.
-    pub events: Vec<Arc<Stamped>>,
+    pub events: Vec<Arc<StampedEvent>>,
 }
--- a/crates/observe/src/describe.rs
+++ b/crates/observe/src/describe.rs
@@ -4,7 +4,7 @@
 
 use crate::event::Event;
 use crate::reason::ConfigSource;
-use crate::words::{counted, short};
+use crate::text::{count_with_noun, short_id};
 
 impl fmt::Display for Event {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -41,7 +41,7 @@
             Self::Dispatched { backend_server, attempt, incarnation, remaining_ms } => format!(
                 "attempt {attempt} dispatched to {backend_server}, incarnation {}, \
                  {remaining_ms} ms to go",
-                short(incarnation)
+                short_id(incarnation)
             ),
             Self::Admitted { attempt, queued } => {
                 format!("attempt {attempt} admitted, {queued} in the queue")
@@ -50,7 +50,7 @@
                 format!("attempt {attempt} started, {running} running")
             }
             Self::Finished { attempt, chunks, duration_ms } => {
-                let chunks = counted(*chunks, "chunk");
+                let chunks = count_with_noun(*chunks, "chunk");
                 format!("attempt {attempt} finished: {chunks} in {duration_ms} ms")
             }
             Self::Refused { backend_server, attempt, reason } => {
@@ -71,14 +71,14 @@
             }
             Self::Completed { attempts, chunks, duration_ms, .. } => format!(
                 "COMPLETE: {} in {duration_ms} ms, {}",
-                counted(*chunks, "chunk"),
-                counted(*attempts, "attempt")
+                count_with_noun(*chunks, "chunk"),
+                count_with_noun(*attempts, "attempt")
             ),
             Self::NotRun { attempts, reason, .. } => {
-                format!("NOT RUN: {reason}, {}", counted(*attempts, "attempt"))
+                format!("NOT RUN: {reason}, {}", count_with_noun(*attempts, "attempt"))
             }
             Self::OutcomeUnknown { attempts, reason, .. } => {
-                format!("UNKNOWN: {reason}, {}", counted(*attempts, "attempt"))
+                format!("UNKNOWN: {reason}, {}", count_with_noun(*attempts, "attempt"))
             }
             _ => return None,
         })
@@ -99,7 +99,7 @@
             Self::TicketVoided { ticket } => format!("ticket {ticket} voided, it will never run"),
             Self::SuspectMarked { fingerprint, crashes } => format!(
                 "suspect {fingerprint}: was running in {}",
-                counted(*crashes, "engine crash")
+                count_with_noun(*crashes, "engine crash")
             ),
             Self::SuspectCleared { fingerprint } => {
                 format!("suspect {fingerprint} cleared by a finished run")
@@ -140,7 +140,7 @@
     fn describe_process(&self) -> Option<String> {
         Some(match self {
             Self::ProcessStarted { version, incarnation } => {
-                format!("process started: version {version}, incarnation {}", short(incarnation))
+                format!("process started: version {version}, incarnation {}", short_id(incarnation))
             }
             Self::ConnectionOpened { peer } => format!("connection to {peer} opened"),
             Self::ConnectionSilent { peer, silent_ms } => {
@@ -148,7 +148,7 @@
             }
             Self::ConnectionReplaced { peer, requests } => format!(
                 "connection to {peer} replaced, {} moved over",
-                counted(*requests, "request")
+                count_with_noun(*requests, "request")
             ),
             Self::ConnectionClosed { peer } => format!("connection to {peer} closed"),
             Self::ChangeAccepted { change, revision } => {
@@ -174,11 +174,11 @@
             }
             Self::MemberChanged { member, state } => format!("{member} seen {state}"),
             Self::LeaveBegan { cause, requests } => {
-                format!("leave began by {cause}, {} running", counted(*requests, "request"))
+                format!("leave began by {cause}, {} running", count_with_noun(*requests, "request"))
             }
             Self::LeaveFinished { waited_ms, cut_off } => format!(
                 "leave finished after {waited_ms} ms, {} cut off",
-                counted(*cut_off, "request")
+                count_with_noun(*cut_off, "request")
             ),
             Self::KeyValueDown { error } => format!("key-value service doesn't answer: {error}"),
             Self::KeyValueUp { down_ms } => {
--- a/crates/observe/src/event.rs
+++ b/crates/observe/src/event.rs
@@ -62,7 +62,7 @@
 
 /// An event with its stamp, its process and its subject.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Stamped {
+pub struct StampedEvent {
     /// Hybrid logical time of the event.
     pub stamp: Stamp,
     /// Number of the event within its process, from 1.
@@ -77,7 +77,7 @@
     pub event: Event,
 }
 
-impl Stamped {
+impl StampedEvent {
     /// Key of the total order over all processes; the process breaks ties of the stamp.
     pub fn order_key(&self) -> (Stamp, &str, u64) {
         (self.stamp, &self.process, self.sequence)
--- a/crates/observe/src/kv.rs
+++ b/crates/observe/src/kv.rs
@@ -44,12 +44,12 @@
         call: KvCall,
         answer: BoxFuture<'a, Result<T, KeyValueError>>,
     ) -> Result<T, KeyValueError> {
-        self.recorder.metrics().kv_call(call);
+        self.recorder.metrics().count_kv_call(call);
         let answer = answer.await;
         match &answer {
             Err(error) if is_outage(error) => self.seen_down(error),
             Err(_) => {
-                self.recorder.metrics().kv_error();
+                self.recorder.metrics().count_kv_error();
                 self.seen_up();
             }
             Ok(_) => self.seen_up(),
@@ -59,7 +59,7 @@
 
     /// Records the beginning of an outage only: calls go on failing many times a second.
     fn seen_down(&self, error: &KeyValueError) {
-        self.recorder.metrics().kv_error();
+        self.recorder.metrics().count_kv_error();
         let began = {
             let mut down_since = self.down_since.lock().unwrap_or_else(PoisonError::into_inner);
             let began = down_since.is_none();
--- a/crates/observe/src/lib.rs
+++ b/crates/observe/src/lib.rs
@@ -13,5 +13,5 @@
 pub mod recorder;
 mod repeats;
 pub mod ring;
+pub mod text;
 pub mod timeline;
-pub mod words;
--- a/crates/observe/src/logs.rs
+++ b/crates/observe/src/logs.rs
@@ -12,7 +12,7 @@
 use tracing_subscriber::registry::LookupSpan;
 
 use crate::api::ProcessInfo;
-use crate::output::{LINES_PER_S, Output};
+use crate::output::{MAX_LINES_PER_S, NonBlockingOutput};
 
 /// Field of a log line that carries a whole recorded event as JSON.
 const RECORD_FIELD: &str = "record";
@@ -65,9 +65,9 @@
 }
 
 /// Sends the logs of a process on a platform to standard output as JSON lines.
-pub fn init_plain(vm: &str, data_centre: &str) -> Result<(), LogError> {
+pub fn init_stdout(vm: &str, data_centre: &str) -> Result<(), LogError> {
     let process = ProcessInfo { name: vm.into(), vm: vm.into(), data_centre: data_centre.into() };
-    let output = Output::start(std::io::stdout(), LINES_PER_S)?;
+    let output = NonBlockingOutput::start(std::io::stdout(), MAX_LINES_PER_S)?;
     let subscriber = subscriber(process, "info", output)?;
     tracing::subscriber::set_global_default(subscriber)?;
     Ok(())
--- a/crates/observe/src/metrics.rs
+++ b/crates/observe/src/metrics.rs
@@ -45,7 +45,7 @@
 
 named_enum! {
     /// A place where work waits or is kept.
-    Occupancy {
+    OccupancyKind {
         /// Requests in flight in this process.
         InFlight = "in_flight",
         /// Attempts queued at the agent.
@@ -66,7 +66,7 @@
 /// use flamingowheel_observe::metrics::Metrics;
 ///
 /// let metrics = Metrics::new()?;
-/// metrics.count(&Event::EngineCrashed { backend_server: "runner-3".into(), running: 2 });
+/// metrics.count_event(&Event::EngineCrashed { backend_server: "runner-3".into(), running: 2 });
 /// assert!(metrics.encode()?.contains("flamingowheel_engine_crashes_total 1"));
 /// # Ok::<(), flamingowheel_observe::metrics::MetricsError>(())
 /// ```
@@ -103,7 +103,7 @@
 }
 
 /// Reads how many places of a kind are in use.
-type Sampler = (Occupancy, Box<dyn Fn() -> usize + Send + Sync>);
+type Sampler = (OccupancyKind, Box<dyn Fn() -> usize + Send + Sync>);
 
 impl Metrics {
     /// Metrics in a registry of their own.
@@ -173,7 +173,7 @@
     }
 
     /// Counts what a recorded event stands for; the recorder calls this for each event.
-    pub fn count(&self, event: &Event) {
+    pub fn count_event(&self, event: &Event) {
         let shared = &self.shared;
         match event {
             Event::Completed { class, .. } => self.request_ended(*class, Outcome::Complete),
@@ -207,12 +207,12 @@
     /// use flamingowheel_observe::metrics::Metrics;
     ///
     /// let metrics = Metrics::new()?;
-    /// metrics.request_refused(None);
+    /// metrics.count_refused_request(None);
     /// let line = r#"flamingowheel_requests_total{class="none",outcome="not_run"} 1"#;
     /// assert!(metrics.encode()?.contains(line));
     /// # Ok::<(), flamingowheel_observe::metrics::MetricsError>(())
     /// ```
-    pub fn request_refused(&self, class: Option<Class>) {
+    pub fn count_refused_request(&self, class: Option<Class>) {
         let class = class.map_or("none", Class::as_str);
         self.shared.requests.with_label_values(&[class, Outcome::NotRun.as_str()]).inc();
     }
@@ -229,8 +229,8 @@
     ///
     /// let metrics = Metrics::new()?;
     /// let mut timer = metrics.stream_timer(Instant::now());
-    /// timer.chunk();
-    /// timer.chunk();
+    /// timer.record_chunk();
+    /// timer.record_chunk();
     /// assert!(metrics.encode()?.contains("flamingowheel_chunks_total 2"));
     /// # Ok::<(), flamingowheel_observe::metrics::MetricsError>(())
     /// ```
@@ -241,14 +241,14 @@
     /// Has `read` called whenever the metrics are read, for how many places of a kind are in use.
     ///
     /// ```
-    /// use flamingowheel_observe::metrics::{Metrics, Occupancy};
+    /// use flamingowheel_observe::metrics::{Metrics, OccupancyKind};
     ///
     /// let metrics = Metrics::new()?;
-    /// metrics.sample(Occupancy::Queue, || 3);
+    /// metrics.register_sampler(OccupancyKind::Queue, || 3);
     /// assert!(metrics.encode()?.contains("flamingowheel_occupancy{kind=\"queue\"} 3"));
     /// # Ok::<(), flamingowheel_observe::metrics::MetricsError>(())
     /// ```
-    pub fn sample<F>(&self, kind: Occupancy, read: F)
+    pub fn register_sampler<F>(&self, kind: OccupancyKind, read: F)
     where
         F: Fn() -> usize + Send + Sync + 'static,
     {
@@ -256,12 +256,12 @@
     }
 
     /// A call on the key-value service was made.
-    pub fn kv_call(&self, call: KvCall) {
+    pub fn count_kv_call(&self, call: KvCall) {
         self.shared.kv_calls.with_label_values(&[call.as_str()]).inc();
     }
 
     /// A call on the key-value service failed.
-    pub fn kv_error(&self) {
+    pub fn count_kv_error(&self) {
         self.shared.kv_errors.inc();
     }
 
@@ -290,7 +290,7 @@
 
 impl StreamTimer {
     /// A chunk was passed on.
-    pub fn chunk(&mut self) {
+    pub fn record_chunk(&mut self) {
         let shared = &self.metrics.shared;
         let now = Instant::now();
         let since_last = milliseconds(now.duration_since(self.last));
@@ -324,7 +324,7 @@
         zero(&self.refusals, RefusalReason::ALL.iter().map(|reason| reason.as_str()));
         zero(&self.limited, Limit::ALL.iter().map(|limit| limit.as_str()));
         zero(&self.kv_calls, KvCall::ALL.iter().map(|call| call.as_str()));
-        for kind in Occupancy::ALL {
+        for kind in OccupancyKind::ALL {
             self.occupancy.with_label_values(&[kind.as_str()]);
         }
         self.kv_up.set(1);
--- a/crates/observe/src/output.rs
+++ b/crates/observe/src/output.rs
@@ -17,7 +17,7 @@
 
 /// Lines in a second, of all levels. A busy entry of today writes some 60; the bound keeps a
 /// tenfold load with failures from costing a tenth of its core.
-pub const LINES_PER_S: u32 = 1_000;
+pub const MAX_LINES_PER_S: u32 = 1_000;
 
 /// Share of the rate that plain messages may use; the rest is kept for warnings and errors, which
 /// matter most when much goes wrong at once.
@@ -27,10 +27,10 @@
 
 /// Makes writers that queue whole lines.
 #[derive(Clone, Debug)]
-pub struct Output {
+pub struct NonBlockingOutput {
     queue: SyncSender<Vec<u8>>,
     rate: Arc<Mutex<Rate>>,
-    left_out: Arc<AtomicU64>,
+    dropped_lines: Arc<AtomicU64>,
 }
 
 #[derive(Debug)]
@@ -40,34 +40,34 @@
     limit: u32,
 }
 
-impl Output {
+impl NonBlockingOutput {
     /// An output that `writer`, on a thread of its own, takes the lines of.
     ///
     /// ```
-    /// use flamingowheel_observe::output::{LINES_PER_S, Output};
-    /// assert!(Output::start(std::io::sink(), LINES_PER_S).is_ok());
+    /// use flamingowheel_observe::output::{MAX_LINES_PER_S, NonBlockingOutput};
+    /// assert!(NonBlockingOutput::start(std::io::sink(), MAX_LINES_PER_S).is_ok());
     /// ```
     pub fn start<W>(writer: W, lines_per_s: u32) -> io::Result<Self>
     where
         W: Write + Send + 'static,
     {
         let (queue, lines) = sync_channel(QUEUE_LINES);
-        let left_out = Arc::new(AtomicU64::new(0));
-        let counter = Arc::clone(&left_out);
+        let dropped_lines = Arc::new(AtomicU64::new(0));
+        let counter = Arc::clone(&dropped_lines);
         std::thread::Builder::new()
             .name("logs".to_owned())
             .stack_size(128 * 1024)
             .spawn(move || write_lines(&lines, writer, &counter))?;
         let rate = Rate { second_began: Instant::now(), lines: 0, limit: lines_per_s };
-        Ok(Self { queue, rate: Arc::new(Mutex::new(rate)), left_out })
+        Ok(Self { queue, rate: Arc::new(Mutex::new(rate)), dropped_lines })
     }
 
     /// Lines left out and not yet told of.
-    pub fn left_out(&self) -> u64 {
-        self.left_out.load(Ordering::Relaxed)
+    pub fn dropped_lines(&self) -> u64 {
+        self.dropped_lines.load(Ordering::Relaxed)
     }
 
-    fn line(&self, level: Level) -> Line {
+    fn line(&self, level: Level) -> LineWriter {
         let mut rate = self.rate.lock().unwrap_or_else(PoisonError::into_inner);
         if rate.second_began.elapsed() >= SECOND {
             rate.second_began = Instant::now();
@@ -78,18 +78,18 @@
         if is_allowed {
             rate.lines += 1;
         } else {
-            self.left_out.fetch_add(1, Ordering::Relaxed);
+            self.dropped_lines.fetch_add(1, Ordering::Relaxed);
         }
-        Line { bytes: Vec::new(), output: is_allowed.then(|| self.clone()) }
+        LineWriter { bytes: Vec::new(), output: is_allowed.then(|| self.clone()) }
     }
 }
 
-fn write_lines<W>(lines: &Receiver<Vec<u8>>, mut writer: W, left_out: &AtomicU64)
+fn write_lines<W>(lines: &Receiver<Vec<u8>>, mut writer: W, dropped_lines: &AtomicU64)
 where
     W: Write,
 {
     while let Ok(line) = lines.recv() {
-        let missing = left_out.swap(0, Ordering::Relaxed);
+        let missing = dropped_lines.swap(0, Ordering::Relaxed);
         let told = match missing {
             0 => Ok(()),
             count => {
@@ -105,12 +105,12 @@
 
 /// One line; queued when it is dropped.
 #[derive(Debug)]
-pub struct Line {
+pub struct LineWriter {
     bytes: Vec<u8>,
-    output: Option<Output>,
+    output: Option<NonBlockingOutput>,
 }
 
-impl Write for Line {
+impl Write for LineWriter {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         if self.output.is_some() {
             self.bytes.extend_from_slice(bytes);
@@ -123,25 +123,25 @@
     }
 }
 
-impl Drop for Line {
+impl Drop for LineWriter {
     fn drop(&mut self) {
         let Some(output) = self.output.take() else {
             return;
         };
         if output.queue.try_send(std::mem::take(&mut self.bytes)).is_err() {
-            output.left_out.fetch_add(1, Ordering::Relaxed);
+            output.dropped_lines.fetch_add(1, Ordering::Relaxed);
         }
     }
 }
 
-impl<'a> MakeWriter<'a> for Output {
-    type Writer = Line;
+impl<'a> MakeWriter<'a> for NonBlockingOutput {
+    type Writer = LineWriter;
 
-    fn make_writer(&'a self) -> Line {
+    fn make_writer(&'a self) -> LineWriter {
         self.line(Level::INFO)
     }
 
-    fn make_writer_for(&'a self, metadata: &tracing::Metadata<'_>) -> Line {
+    fn make_writer_for(&'a self, metadata: &tracing::Metadata<'_>) -> LineWriter {
         self.line(*metadata.level())
     }
 }
--- a/crates/observe/src/recorder.rs
+++ b/crates/observe/src/recorder.rs
@@ -7,7 +7,7 @@
 
 use crate::api::{EventQuery, EventsAnswer, ProcessInfo};
 use crate::clock::{HybridClock, Stamp, SystemClock};
-use crate::event::{Event, Name, Stamped, Subject};
+use crate::event::{Event, Name, StampedEvent, Subject};
 use crate::metrics::Metrics;
 use crate::repeats::Repeats;
 use crate::ring::{DEFAULT_CAPACITY, Ring};
@@ -23,7 +23,7 @@
 /// use flamingowheel_observe::recorder::Recorder;
 ///
 /// let recorder = Recorder::for_tests("entry-1");
-/// let request = recorder.about(Subject::default().workspace("roadside"));
+/// let request = recorder.with_subject(Subject::default().workspace("roadside"));
 /// request.record(Event::ConnectionOpened { peer: "runner-2".into() });
 /// assert_eq!(recorder.answer(&EventQuery::default()).events.len(), 1);
 /// ```
@@ -69,18 +69,18 @@
 
     /// Records an event that concerns no single request, workspace or group.
     pub fn record(&self, event: Event) {
-        self.record_about(&Subject::default(), event);
+        self.record_with_subject(&Subject::default(), event);
     }
 
     /// Records an event about `subject`. What lasts and is found anew again and again, as an outage
     /// of the key-value service, is counted each time and recorded once a minute.
-    pub fn record_about(&self, subject: &Subject, event: Event) {
+    pub fn record_with_subject(&self, subject: &Subject, event: Event) {
         let shared = &self.shared;
-        shared.metrics.count(&event);
+        shared.metrics.count_event(&event);
         if !shared.repeats.is_due(&event, shared.clock.wall_ms()) {
             return;
         }
-        let stamped = shared.ring.push_with(|sequence| Stamped {
+        let stamped = shared.ring.push_with(|sequence| StampedEvent {
             stamp: shared.clock.now(),
             sequence,
             process: shared.process.name.clone(),
@@ -91,7 +91,7 @@
     }
 
     /// A handle whose events are all about `subject`.
-    pub fn about(&self, subject: Subject) -> SubjectRecorder {
+    pub fn with_subject(&self, subject: Subject) -> SubjectRecorder {
         SubjectRecorder { recorder: self.clone(), subject: Arc::new(subject) }
     }
 
@@ -182,7 +182,7 @@
 impl SubjectRecorder {
     /// Records an event about the subject.
     pub fn record(&self, event: Event) {
-        self.recorder.record_about(&self.subject, event);
+        self.recorder.record_with_subject(&self.subject, event);
     }
 
     /// What the events are about.
@@ -191,7 +191,7 @@
     }
 }
 
-fn log(stamped: &Stamped) {
+fn log(stamped: &StampedEvent) {
     // Serialising costs more than recording, so it waits until somebody listens.
     if stamped.event.is_warning() {
         if tracing::enabled!(target: LOG_TARGET, tracing::Level::WARN) {
@@ -202,7 +202,7 @@
     }
 }
 
-fn json(stamped: &Stamped) -> String {
+fn json(stamped: &StampedEvent) -> String {
     // Serialising these types to memory has no failing case; an empty line beats a panic.
     serde_json::to_string(stamped).unwrap_or_default()
 }
--- a/crates/observe/src/ring.rs
+++ b/crates/observe/src/ring.rs
@@ -5,7 +5,7 @@
 
 use crate::api::EventQuery;
 use crate::clock::Stamp;
-use crate::event::Stamped;
+use crate::event::StampedEvent;
 
 /// Events kept by default; at 264 bytes each, as the bench `record` measured, 4.3 MB.
 pub const DEFAULT_CAPACITY: usize = 16_384;
@@ -22,7 +22,7 @@
 
 #[derive(Debug, Default)]
 struct State {
-    events: VecDeque<Arc<Stamped>>,
+    events: VecDeque<Arc<StampedEvent>>,
     pushed: u64,
 }
 
@@ -45,10 +45,10 @@
     ///
     /// ```
     /// use flamingowheel_observe::clock::Stamp;
-    /// use flamingowheel_observe::event::{Event, Stamped, Subject};
+    /// use flamingowheel_observe::event::{Event, StampedEvent, Subject};
     /// use flamingowheel_observe::ring::Ring;
     ///
-    /// let pushed = Ring::new(16).push_with(|sequence| Stamped {
+    /// let pushed = Ring::new(16).push_with(|sequence| StampedEvent {
     ///     stamp: Stamp::default(),
     ///     sequence,
     ///     process: "entry-1".into(),
@@ -57,9 +57,9 @@
     /// });
     /// assert_eq!(pushed.sequence, 1);
     /// ```
-    pub fn push_with<F>(&self, make: F) -> Arc<Stamped>
+    pub fn push_with<F>(&self, make: F) -> Arc<StampedEvent>
     where
-        F: FnOnce(u64) -> Stamped,
+        F: FnOnce(u64) -> StampedEvent,
     {
         let mut state = self.lock();
         state.pushed += 1;
@@ -75,7 +75,7 @@
     ///
     /// Without a limit, a question about all of a large fleet would bring some 100 million events
     /// to one reader.
-    pub fn select(&self, query: &EventQuery) -> (Vec<Arc<Stamped>>, u64) {
+    pub fn select(&self, query: &EventQuery) -> (Vec<Arc<StampedEvent>>, u64) {
         let mut events = self.matching(query);
         let left_out = events.len().saturating_sub(query.limit.unwrap_or(usize::MAX));
         events.drain(..left_out);
@@ -83,15 +83,15 @@
     }
 
     /// The events that match; for a request also the context that explains it.
-    fn matching(&self, query: &EventQuery) -> Vec<Arc<Stamped>> {
+    fn matching(&self, query: &EventQuery) -> Vec<Arc<StampedEvent>> {
         let state = self.lock();
-        let matching: Vec<&Arc<Stamped>> =
+        let matching: Vec<&Arc<StampedEvent>> =
             state.events.iter().filter(|event| query.matches(event)).collect();
         let context = query.request.and_then(|_| Context::of(&matching));
         let Some(context) = context else {
             return matching.into_iter().cloned().collect();
         };
-        let wanted = |event: &&Arc<Stamped>| query.matches(event) || context.explains(event);
+        let wanted = |event: &&Arc<StampedEvent>| query.matches(event) || context.explains(event);
         state.events.iter().filter(wanted).cloned().collect()
     }
 
@@ -123,7 +123,7 @@
 }
 
 impl<'a> Context<'a> {
-    fn of(events: &[&'a Arc<Stamped>]) -> Option<Self> {
+    fn of(events: &[&'a Arc<StampedEvent>]) -> Option<Self> {
         let first = events.first()?.stamp;
         let last = events.last()?.stamp;
         Some(Self {
@@ -138,7 +138,7 @@
         self.peers.is_empty() || self.peers.contains(peer)
     }
 
-    fn explains(&self, event: &Stamped) -> bool {
+    fn explains(&self, event: &StampedEvent) -> bool {
         let at_ms = event.stamp.wall_ms();
         event.subject.request.is_none()
             && event.event.is_context()
--- a/crates/observe/src/words.rs
+++ b/crates/observe/src/text.rs
@@ -5,12 +5,12 @@
 /// A count with its noun in the singular or plural.
 ///
 /// ```
-/// use flamingowheel_observe::words::counted;
+/// use flamingowheel_observe::text::count_with_noun;
 ///
-/// assert_eq!(counted(1_u32, "process"), "1 process");
-/// assert_eq!(counted(2_u32, "engine crash"), "2 engine crashes");
+/// assert_eq!(count_with_noun(1_u32, "process"), "1 process");
+/// assert_eq!(count_with_noun(2_u32, "engine crash"), "2 engine crashes");
 /// ```
-pub fn counted<C>(count: C, noun: &str) -> String
+pub fn count_with_noun<C>(count: C, noun: &str) -> String
 where
     C: Into<u64>,
 {
@@ -26,11 +26,11 @@
 /// The end of an id, which differs between ids drawn at the same time.
 ///
 /// ```
-/// use flamingowheel_observe::words::short;
+/// use flamingowheel_observe::text::short_id;
 ///
-/// assert_eq!(short(&uuid::Uuid::from_u128(0xabcd)), "0000abcd");
+/// assert_eq!(short_id(&uuid::Uuid::from_u128(0xabcd)), "0000abcd");
 /// ```
-pub fn short(id: &Uuid) -> String {
+pub fn short_id(id: &Uuid) -> String {
     let text = id.simple().to_string();
     text[text.len() - 8..].to_owned()
 }
--- a/crates/observe/src/timeline.rs
+++ b/crates/observe/src/timeline.rs
@@ -8,8 +8,8 @@
 
 use crate::api::{EventQuery, EventsAnswer, ProcessInfo};
 use crate::clock::{DEFAULT_MAX_DRIFT_MS, Stamp};
-use crate::event::{Event, Name, Stamped, Subject};
-use crate::words::{counted, short};
+use crate::event::{Event, Name, StampedEvent, Subject};
+use crate::text::{count_with_noun, short_id};
 
 /// Widest line of the text form.
 pub const COLUMNS: usize = 100;
@@ -25,7 +25,7 @@
 
 /// A process whose events are missing.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Unreachable {
+pub struct UnreachableProcess {
     /// Its name, or its address where the name isn't known.
     pub process: Name,
     /// Why it could not be asked.
@@ -34,7 +34,7 @@
 
 /// A process that did not give all events of the span asked for.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Incomplete {
+pub struct IncompleteAnswer {
     /// Its name.
     pub process: Name,
     /// Stamp of its oldest event.
@@ -47,7 +47,7 @@
 
 /// A process whose clock differs from the others'.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct ClockOff {
+pub struct ClockOffset {
     /// Its name.
     pub process: Name,
     /// How far it is ahead of the middle of all processes; negative if behind.
@@ -62,13 +62,13 @@
     /// Processes that answered.
     pub processes: Vec<ProcessInfo>,
     /// Processes that could not be reached.
-    pub unreachable: Vec<Unreachable>,
+    pub unreachable: Vec<UnreachableProcess>,
     /// Processes that have overwritten or left out events of the span.
-    pub incomplete: Vec<Incomplete>,
+    pub incomplete: Vec<IncompleteAnswer>,
     /// Processes whose events may stand in the wrong place.
-    pub clocks_off: Vec<ClockOff>,
+    pub clocks_off: Vec<ClockOffset>,
     /// The events, causes before effects.
-    pub events: Vec<Stamped>,
+    pub events: Vec<StampedEvent>,
 }
 
 /// Merges processes' answers to `query`.
@@ -88,7 +88,7 @@
 pub fn merge(
     query: EventQuery,
     mut answers: Vec<EventsAnswer>,
-    mut unreachable: Vec<Unreachable>,
+    mut unreachable: Vec<UnreachableProcess>,
 ) -> Timeline {
     answers.sort_by(|a, b| a.process.name.cmp(&b.process.name));
     let incomplete = answers.iter().filter_map(|answer| incomplete(&query, answer)).collect();
@@ -100,11 +100,11 @@
     Timeline { query, processes, unreachable, incomplete, clocks_off, events }
 }
 
-fn merge_events(answers: &[EventsAnswer]) -> Vec<Stamped> {
-    let mut events: Vec<Stamped> = answers
+fn merge_events(answers: &[EventsAnswer]) -> Vec<StampedEvent> {
+    let mut events: Vec<StampedEvent> = answers
         .iter()
         .flat_map(|answer| &answer.events)
-        .map(|event| Stamped::clone(event))
+        .map(|event| StampedEvent::clone(event))
         .collect();
     events.sort_by(|a, b| a.order_key().cmp(&b.order_key()));
     // A process with two addresses may have been asked twice.
@@ -117,10 +117,10 @@
 /// A process that is gone drops out of the list of processes after a while. Its part of the story
 /// is missing all the same, and a time line that doesn't say so looks complete.
 fn unlisted(
-    events: &[Stamped],
+    events: &[StampedEvent],
     processes: &[ProcessInfo],
-    unreachable: &[Unreachable],
-) -> Vec<Unreachable> {
+    unreachable: &[UnreachableProcess],
+) -> Vec<UnreachableProcess> {
     let known = processes.iter().map(|process| &process.name);
     let known: HashSet<&Name> = known.chain(unreachable.iter().map(|one| &one.process)).collect();
     let mut missing: Vec<&Name> = events
@@ -134,16 +134,16 @@
     missing.sort();
     missing.dedup();
     let reason: Name = "got attempts, and is no longer in the list of processes".into();
-    let missed = |name: &Name| Unreachable { process: name.clone(), reason: reason.clone() };
+    let missed = |name: &Name| UnreachableProcess { process: name.clone(), reason: reason.clone() };
     missing.into_iter().map(missed).collect()
 }
 
-fn incomplete(query: &EventQuery, answer: &EventsAnswer) -> Option<Incomplete> {
+fn incomplete(query: &EventQuery, answer: &EventsAnswer) -> Option<IncompleteAnswer> {
     let covers = |since_ms| answer.oldest.is_some_and(|oldest| oldest.wall_ms() < since_ms);
     let covered = query.since_ms.is_some_and(covers);
     let overwritten = if covered { 0 } else { answer.overwritten };
     let left_out = answer.left_out;
-    (overwritten > 0 || left_out > 0).then(|| Incomplete {
+    (overwritten > 0 || left_out > 0).then(|| IncompleteAnswer {
         process: answer.process.name.clone(),
         oldest: answer.oldest,
         overwritten,
@@ -153,7 +153,7 @@
 
 /// Compares the clocks that came with the answers. The median is the reference: the reader's own
 /// clock may be the wrong one.
-fn clocks_off(answers: &[EventsAnswer]) -> Vec<ClockOff> {
+fn clocks_off(answers: &[EventsAnswer]) -> Vec<ClockOffset> {
     let mut readings_ms: Vec<u64> = answers.iter().map(|answer| answer.now.wall_ms()).collect();
     readings_ms.sort_unstable();
     let Some(median_ms) = readings_ms.get(readings_ms.len() / 2).copied() else {
@@ -161,7 +161,7 @@
     };
     answers
         .iter()
-        .map(|answer| ClockOff {
+        .map(|answer| ClockOffset {
             process: answer.process.name.clone(),
             ahead_ms: answer.now.wall_ms().cast_signed() - median_ms.cast_signed(),
         })
@@ -169,7 +169,7 @@
         .collect()
 }
 
-impl Incomplete {
+impl IncompleteAnswer {
     fn lines(&self) -> Vec<String> {
         let name = &self.process;
         let mut lines = Vec::new();
@@ -182,7 +182,7 @@
             ));
         }
         if self.left_out > 0 {
-            let left_out = counted(self.left_out, "older event");
+            let left_out = count_with_noun(self.left_out, "older event");
             lines.push(format!("INCOMPLETE {name}: {left_out} left out, ask for a shorter time"));
         }
         lines
@@ -226,7 +226,7 @@
         for process in &self.unreachable {
             lines.push(format!("NOT REACHED {}: {}", process.process, process.reason));
         }
-        lines.extend(self.incomplete.iter().flat_map(Incomplete::lines));
+        lines.extend(self.incomplete.iter().flat_map(IncompleteAnswer::lines));
         for clock in &self.clocks_off {
             lines.push(format!(
                 "CLOCK OFF {}: {} ms {} the others, its events may stand in the wrong place",
@@ -241,8 +241,8 @@
     fn title(&self) -> String {
         let mut title = format!(
             "{} from {}",
-            counted(self.events.len() as u64, "event"),
-            counted(self.processes.len() as u64, "process")
+            count_with_noun(self.events.len() as u64, "event"),
+            count_with_noun(self.processes.len() as u64, "process")
         );
         let shared = self.shared_subject();
         if let Some(request) = &shared.request {
@@ -292,7 +292,7 @@
     }
 }
 
-fn sentence(event: &Stamped, shared: &Subject) -> String {
+fn sentence(event: &StampedEvent, shared: &Subject) -> String {
     let mut sentence = event.event.to_string();
     let parts = differing_parts(event, shared);
     if !parts.is_empty() {
@@ -302,14 +302,14 @@
 }
 
 /// The parts of a subject that the title doesn't tell.
-fn differing_parts(event: &Stamped, shared: &Subject) -> Vec<String> {
+fn differing_parts(event: &StampedEvent, shared: &Subject) -> Vec<String> {
     let subject = &event.subject;
     let mut parts = Vec::new();
     if let (Some(request), None) = (&subject.request, &shared.request) {
         // Whole once, so that it can be asked for alone; short where it repeats.
         parts.push(match event.event {
             Event::RequestAccepted { .. } => format!("request {request}"),
-            _ => format!("request ..{}", short(request)),
+            _ => format!("request ..{}", short_id(request)),
         });
     }
     if let (Some(workspace), None) = (&subject.workspace, &shared.workspace) {
--- a/crates/observe/tests/logs.rs
+++ b/crates/observe/tests/logs.rs
@@ -50,7 +50,8 @@
     let metrics = Metrics::new().expect("metrics register");
     let recorder = Recorder::new(process(), HybridClock::new(wall), 16, metrics);
     tracing::subscriber::with_default(subscriber, || {
-        let about = recorder.about(Subject::request(Uuid::from_u128(7)).workspace("roadside"));
+        let about =
+            recorder.with_subject(Subject::request(Uuid::from_u128(7)).workspace("roadside"));
         about.record(Event::LeaveBegan { cause: LeaveCause::Signal, requests: 2 });
         tracing::info!(vm = "forged", listeners = 2, "listening");
     });
--- a/crates/observe/tests/output.rs
+++ b/crates/observe/tests/output.rs
@@ -1,6 +1,6 @@
 //! Log lines when their reader stops, or when there are too many.
 
-use flamingowheel_observe::output::Output;
+use flamingowheel_observe::output::NonBlockingOutput;
 use std::io::{self, Write};
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::sync::{Arc, Mutex};
@@ -45,7 +45,7 @@
     let (entered, is_stuck) = channel();
     let written = Arc::new(Mutex::new(Vec::new()));
     let stuck = Stuck { entered, go: wait, written: Arc::clone(&written), done };
-    let output = Output::start(stuck, 1_000_000).unwrap();
+    let output = NonBlockingOutput::start(stuck, 1_000_000).unwrap();
     output.make_writer().write_all(b"line\n").unwrap();
     // A writer that begins late would take over the count of the lines that were left out by then.
     is_stuck.recv().unwrap();
@@ -53,7 +53,7 @@
         output.make_writer().write_all(b"line\n").unwrap();
     }
     assert_eq!(
-        output.left_out(),
+        output.dropped_lines(),
         10_000 - 1 - 4_096,
         "all but the queue and the line at the reader"
     );
@@ -68,9 +68,9 @@
 /// Much goes wrong at once. Plain lines stop at their share of the rate, and are counted.
 #[test]
 fn write_above_rate() {
-    let output = Output::start(io::sink(), 100).unwrap();
+    let output = NonBlockingOutput::start(io::sink(), 100).unwrap();
     for _ in 0..100 {
         output.make_writer().write_all(b"line\n").unwrap();
     }
-    assert!(output.left_out() >= 20, "{}", output.left_out());
+    assert!(output.dropped_lines() >= 20, "{}", output.dropped_lines());
 }
--- a/crates/observe/tests/recorder.rs
+++ b/crates/observe/tests/recorder.rs
@@ -81,10 +81,10 @@
 fn answer_query_gives_matching_events_only() {
     let (recorder, wall) = recorder(16);
     let request = Uuid::from_u128(7);
-    let about = recorder.about(Subject::request(request).workspace("roadside"));
+    let about = recorder.with_subject(Subject::request(request).workspace("roadside"));
     about.record(Event::ConnectionOpened { peer: "entry-2".into() });
     wall.set_ms(9_000);
-    recorder.record_about(&Subject::default().group("runners-a"), lease_lost());
+    recorder.record_with_subject(&Subject::default().group("runners-a"), lease_lost());
 
     let by_request = EventQuery { request: Some(request), ..EventQuery::default() };
     assert_eq!(recorder.answer(&by_request).events.len(), 1);
@@ -110,7 +110,7 @@
         attempt: 1,
         reason: RefusalReason::Full,
     };
-    recorder.record_about(&Subject::request(request), refused);
+    recorder.record_with_subject(&Subject::request(request), refused);
     recorder.record(closed("runner-7"));
     recorder.record(closed("runner-8"));
     recorder.record(lease_lost());
@@ -140,7 +140,7 @@
     let (recorder, _wall) = recorder(16);
     let request = Uuid::from_u128(7);
     let started = Event::Started { attempt: 1, running: 1 };
-    recorder.record_about(&Subject::request(request), started);
+    recorder.record_with_subject(&Subject::request(request), started);
     recorder.record(Event::EngineCrashed { backend_server: "runner-7".into(), running: 1 });
     let query = EventQuery { request: Some(request), ..EventQuery::default() };
     assert_eq!(recorder.answer(&query).events.len(), 2);
@@ -198,7 +198,7 @@
     let mut timer = metrics.stream_timer(Instant::now());
     for wait_ms in [250, 40, 60] {
         tokio::time::advance(Duration::from_millis(wait_ms)).await;
-        timer.chunk();
+        timer.record_chunk();
     }
     let text = metrics.encode().expect("metrics encode");
     for line in [
--- a/crates/observe/tests/timeline.rs
+++ b/crates/observe/tests/timeline.rs
@@ -2,13 +2,13 @@
 
 use flamingowheel_observe::api::{EventQuery, EventsAnswer, ProcessInfo};
 use flamingowheel_observe::clock::{HybridClock, ManualClock, Stamp};
-use flamingowheel_observe::event::{Event, Stamped, Subject};
+use flamingowheel_observe::event::{Event, StampedEvent, Subject};
 use flamingowheel_observe::metrics::Metrics;
 use flamingowheel_observe::reason::{
     Class, RefusalReason, RetryDenial, RouteReason, SwitchStep, UnknownReason,
 };
 use flamingowheel_observe::recorder::Recorder;
-use flamingowheel_observe::timeline::{COLUMNS, Unreachable, merge};
+use flamingowheel_observe::timeline::{COLUMNS, UnreachableProcess, merge};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use uuid::Uuid;
@@ -74,7 +74,7 @@
     let entry = process("entry-1", START_MS);
     let runner = process("runner-2", START_MS - 700);
     let subject = Subject::request(request_id()).workspace("roadside").group("runners-a");
-    let at_entry = entry.recorder.about(subject.clone());
+    let at_entry = entry.recorder.with_subject(subject.clone());
     at_entry.record(Event::RequestAccepted {
         class: Class::High,
         idempotent: false,
@@ -83,7 +83,7 @@
     at_entry.record(routed("runner-2", 1));
     at_entry.record(dispatched("runner-2", 1));
     entry.tells(&runner);
-    runner.recorder.record_about(
+    runner.recorder.record_with_subject(
         &subject,
         Event::Refused {
             backend_server: "runner-2".into(),
@@ -107,7 +107,8 @@
 
     let query = by_request();
     let answers = vec![runner.answer(&query), entry.answer(&query)];
-    let lost = Unreachable { process: "runner-7".into(), reason: "connection refused".into() };
+    let lost =
+        UnreachableProcess { process: "runner-7".into(), reason: "connection refused".into() };
     let timeline = merge(query, answers, vec![lost]);
     insta::assert_snapshot!(timeline.to_text());
     insta::assert_json_snapshot!(timeline);
@@ -118,7 +119,7 @@
 #[test]
 fn to_text_workspace_tells_whole_request_ids() {
     let entry = process("entry-1", START_MS);
-    let request = entry.recorder.about(Subject::request(request_id()).workspace("roadside"));
+    let request = entry.recorder.with_subject(Subject::request(request_id()).workspace("roadside"));
     request.record(Event::RequestAccepted {
         class: Class::Normal,
         idempotent: true,
@@ -131,7 +132,7 @@
         duration_ms: 40,
     });
     let other = Subject::request(Uuid::from_u128(9)).workspace("roadside");
-    entry.recorder.record_about(&other, routed("runner-2", 1));
+    entry.recorder.record_with_subject(&other, routed("runner-2", 1));
     let query = EventQuery { workspace: Some("roadside".into()), ..EventQuery::default() };
     let text = merge(query.clone(), vec![entry.answer(&query)], Vec::new()).to_text();
     assert!(text.contains(&format!("{}]", request_id())), "{text}");
@@ -145,7 +146,7 @@
     let agent = process("runner-2", START_MS);
     let started = Event::Started { attempt: 1, running: 1 };
     let subject = Subject::request(request_id()).workspace("roadside");
-    agent.recorder.record_about(&subject, started);
+    agent.recorder.record_with_subject(&subject, started);
     agent.recorder.record(Event::EngineCrashed { backend_server: "runner-2".into(), running: 1 });
     let text = merge(by_request(), vec![agent.answer(&by_request())], Vec::new()).to_text();
     assert_eq!(text.matches("workspace roadside").count(), 1, "{text}");
@@ -199,11 +200,11 @@
     let group = Subject::default().group("runners-a");
     for _ in 0..70 {
         let step = Event::Switch { step: SwitchStep::Staged, map_revision: 41 };
-        busy.recorder.record_about(&group, step);
+        busy.recorder.record_with_subject(&group, step);
     }
     for process in [&fast, &calm] {
         let step = Event::Switch { step: SwitchStep::Resumed, map_revision: 42 };
-        process.recorder.record_about(&group, step);
+        process.recorder.record_with_subject(&group, step);
     }
     let query = EventQuery { group: Some("runners-a".into()), ..EventQuery::default() };
     let answers = [&fast, &busy, &calm].map(|process| process.answer(&query));
@@ -269,7 +270,7 @@
     #[test]
     fn to_text_any_names_fit_the_columns(names in prop::collection::vec("\\PC{0,120}|[\\x00-\\x1f\\x7f ]{0,9}", 1..4)) {
         let events = names.iter().enumerate().map(|(index, name)| {
-            Stamped {
+            StampedEvent {
                 stamp: Stamp::new(START_MS, index as u16),
                 sequence: 1,
                 process: name.as_str().into(),
@@ -281,7 +282,7 @@
         let process = ProcessInfo { name: name.into(), vm: name.into(), data_centre: name.into() };
         let now = Stamp::new(START_MS, 0);
         let answer = EventsAnswer { process, now, oldest: None, overwritten: 3, left_out: 2, events };
-        let lost = Unreachable { process: name.into(), reason: name.into() };
+        let lost = UnreachableProcess { process: name.into(), reason: name.into() };
         let text = merge(EventQuery::default(), vec![answer], vec![lost]).to_text();
         for line in text.lines() {
             prop_assert!(line.chars().count() <= COLUMNS, "{line}");
