--- a/crates/observe/src/api.rs
+++ b/crates/observe/src/api.rs
@@ -14,7 +14,7 @@
 /// Path of the metrics of a process.
 pub const METRICS_PATH: &str = "/metrics";
 
-/// Which events to give; parts left out match everything.
+/// Filter for events; absent fields match everything.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EventQuery {
@@ -30,13 +30,13 @@
     /// Events from this wall-clock time on, in milliseconds since the Unix epoch.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub since_ms: Option<u64>,
-    /// The newest of them only, at most so many.
+    /// Most events to return; the newest ones are kept.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub limit: Option<usize>,
 }
 
 impl EventQuery {
-    /// Whether an event is asked for.
+    /// Whether an event passes all filters; `limit` is not considered.
     ///
     /// ```
     /// use flamingowheel_observe::api::EventQuery;
@@ -62,7 +62,7 @@
     }
 }
 
-/// Who a process is.
+/// Name and location of a process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProcessInfo {
     /// Name, unique in the fleet.
@@ -76,18 +76,18 @@
 /// Answer of `GET /v1/events`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EventsAnswer {
-    /// The process that answers.
+    /// The process that recorded the events.
     pub process: ProcessInfo,
     /// Its hybrid logical clock when it answered.
     pub now: Stamp,
-    /// The oldest event it still keeps, of any subject.
+    /// Stamp of the oldest event that it still keeps, of any subject.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub oldest: Option<Stamp>,
     /// Events that were overwritten since it started.
     pub overwritten: u64,
-    /// Older events that match but exceed the limit asked for.
+    /// Older matching events omitted because of the query's limit.
     #[serde(default)]
     pub left_out: u64,
-    /// The events asked for, oldest first.
+    /// The matching events, oldest first.
     pub events: Vec<Arc<StampedEvent>>,
 }
--- a/crates/observe/src/clock.rs
+++ b/crates/observe/src/clock.rs
@@ -44,7 +44,7 @@
         self.0
     }
 
-    /// Reads [`Stamp::packed`] back.
+    /// Converts from the integer of [`Stamp::packed`].
     ///
     /// ```
     /// use flamingowheel_observe::clock::Stamp;
@@ -115,7 +115,7 @@
     where
         D: Deserializer<'de>,
     {
-        // Not decided by is_human_readable: tagged enums buffer their content and lose that word.
+        // is_human_readable is not reliable here: tagged enums buffer their content and lose it.
         deserializer.deserialize_any(StampVisitor)
     }
 }
@@ -186,7 +186,7 @@
     }
 }
 
-/// Wall clock set by hand.
+/// Wall clock that only changes when it is set, for tests.
 #[derive(Clone, Debug, Default)]
 pub struct ManualClock(Arc<AtomicU64>);
 
@@ -248,11 +248,11 @@
         self.advance(0)
     }
 
-    /// Takes in the stamp of a received message; later local stamps are larger.
+    /// Advances the clock by the stamp of a received message; later local stamps are larger.
     ///
-    /// A process whose wall clock runs far ahead would drag every process it talks to into the
-    /// future, and theirs in turn; the time line would then show minutes that never were. Its
-    /// stamps are ignored beyond the drift bound; the caller records that, so it shows up as an
+    /// A stamp beyond the drift bound is ignored: a process whose wall clock runs far ahead would
+    /// otherwise advance the clocks of all processes it talks to, and through them of all others,
+    /// and the time line would show minutes that never passed. The caller records the error as an
     /// event and in a metric. Events caused by that process may then sort before their cause.
     ///
     /// ```
@@ -260,7 +260,7 @@
     ///
     /// let clock = HybridClock::new(ManualClock::default());
     /// let remote = Stamp::new(5, 0);
-    /// assert!(clock.observe(remote).is_ok_and(|own| own > remote));
+    /// assert!(clock.observe(remote).is_ok_and(|local| local > remote));
     /// assert!(clock.observe(Stamp::new(60_000, 0)).is_err());
     /// ```
     pub fn observe(&self, remote: Stamp) -> Result<Stamp, DriftExceeded> {
@@ -276,9 +276,9 @@
         self.wall.now_ms()
     }
 
-    fn advance(&self, seen: u64) -> Stamp {
+    fn advance(&self, observed: u64) -> Stamp {
         let wall = Stamp::new(self.wall.now_ms(), 0).0;
-        let next = |last: u64| wall.max(last.max(seen) + 1);
+        let next = |last: u64| wall.max(last.max(observed) + 1);
         let mut last = self.last.load(Ordering::Relaxed);
         loop {
             // A full counter carries into the milliseconds, so the order holds.
--- a/crates/observe/src/describe.rs
+++ b/crates/observe/src/describe.rs
@@ -1,4 +1,4 @@
-//! One sentence for each event, as the time line shows it.
+//! `Display` of events: the sentence that the time line shows for each.
 
 use std::fmt;
 
@@ -17,7 +17,7 @@
     }
 }
 
-/// Each function describes one kind of events and leaves the others to the next.
+/// Each function describes one category of events and returns `None` for the others.
 impl Event {
     fn describe_request(&self) -> Option<String> {
         Some(match self {
--- a/crates/observe/src/event.rs
+++ b/crates/observe/src/event.rs
@@ -1,4 +1,4 @@
-//! What a process decided or noticed, as typed events.
+//! Typed events: the decisions and observations of a process.
 
 use std::sync::Arc;
 
@@ -14,7 +14,7 @@
 /// A shared name, as of a workspace, a group, a process or a backend server.
 pub type Name = Arc<str>;
 
-/// What an event is about; all parts are optional.
+/// The request, workspace and group that an event concerns; each may be absent.
 ///
 /// ```
 /// use flamingowheel_observe::event::Subject;
@@ -24,13 +24,13 @@
 /// ```
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Subject {
-    /// The caller's request.
+    /// Id of the caller's request.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub request: Option<Uuid>,
-    /// The workspace it belongs to.
+    /// Workspace that the event concerns.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub workspace: Option<Name>,
-    /// The rank group concerned.
+    /// Rank group that the event concerns.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub group: Option<Name>,
 }
@@ -60,7 +60,7 @@
     }
 }
 
-/// An event with its stamp, its process and its subject.
+/// An event with its time, the process that recorded it and its subject.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StampedEvent {
     /// Hybrid logical time of the event.
@@ -69,22 +69,22 @@
     pub sequence: u64,
     /// The process that recorded it.
     pub process: Name,
-    /// What it is about.
+    /// Request, workspace and group that the event concerns.
     #[serde(flatten)]
     pub subject: Subject,
-    /// What happened.
+    /// Type of the event and its fields.
     #[serde(flatten)]
     pub event: Event,
 }
 
 impl StampedEvent {
-    /// Key of the total order over all processes; the process breaks ties of the stamp.
+    /// Sort key of the total order over all processes; equal stamps are ordered by process.
     pub fn order_key(&self) -> (Stamp, &str, u64) {
         (self.stamp, &self.process, self.sequence)
     }
 }
 
-/// Everything a process can report.
+/// The events that a process can record.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 #[allow(missing_docs, reason = "the fields carry their unit and their meaning in the name")]
@@ -92,7 +92,7 @@
     /// The process started.
     ProcessStarted { version: Name, incarnation: Uuid },
 
-    /// An entry took a caller's request.
+    /// An entry accepted a caller's request.
     RequestAccepted { class: Class, idempotent: bool, deadline_ms: u64 },
     /// A limit of the workspace was exceeded.
     LimitExceeded { limit: Limit, retry_after_ms: u64 },
@@ -106,101 +106,101 @@
     },
     /// An attempt was sent to a backend server's agent.
     Dispatched { backend_server: Name, attempt: u32, incarnation: Uuid, remaining_ms: u64 },
-    /// An agent took an attempt into its queue.
+    /// An agent queued an attempt.
     Admitted { attempt: u32, queued: u32 },
     /// The engine began an attempt.
     Started { attempt: u32, running: u32 },
-    /// The engine finished an attempt; its answer is kept for resends.
+    /// The engine finished an attempt; the agent keeps its answer for resends.
     Finished { attempt: u32, chunks: u64, duration_ms: u64 },
     /// An agent refused an attempt.
     Refused { backend_server: Name, attempt: u32, reason: RefusalReason },
-    /// A further attempt follows.
+    /// The request is attempted again.
     Retried { attempt: u32, reason: RetryReason },
-    /// No further attempt may follow.
+    /// The request must not be attempted again.
     RetryDenied { attempt: u32, reason: RetryDenial },
     /// An attempt was cancelled.
     Cancelled { attempt: u32, cause: CancelCause },
-    /// An agent bound itself to refuse late copies of an attempt.
+    /// An agent recorded a tombstone, by which it refuses late copies of an attempt.
     TombstoneWritten { attempt: u32 },
-    /// A stream goes on from a chunk over a new connection.
+    /// A stream was resumed from a chunk over a new connection.
     Resumed { backend_server: Name, attempt: u32, from_chunk: u64 },
     /// The whole answer was delivered.
     Completed { class: Class, attempts: u32, chunks: u64, duration_ms: u64 },
     /// The request provably did not run.
     NotRun { class: Class, attempts: u32, reason: NotRunReason },
-    /// Nobody can know whether the request ran.
+    /// It cannot be determined whether the request ran.
     OutcomeUnknown { class: Class, attempts: u32, reason: UnknownReason },
 
-    /// A ticket for one run was given out.
+    /// A ticket for one run was issued.
     TicketIssued { ticket: Name, backend_server: Name },
     /// A caller's own idempotency key was bound to a ticket.
     TicketBound { ticket: Name },
-    /// A ticket's one run began.
+    /// The one run of a ticket began.
     TicketRun { ticket: Name },
-    /// A resend got the stored answer.
+    /// A repeated request with a ticket got the stored answer.
     TicketReplayed { ticket: Name },
-    /// A ticket was made void; it will never run.
+    /// A ticket was voided; it will never run.
     TicketVoided { ticket: Name },
 
-    /// A fingerprint was running when a backend server crashed.
+    /// A request with this fingerprint was running when a backend server's engine crashed.
     SuspectMarked { fingerprint: Name, crashes: u32 },
-    /// A suspect finished a run and is cleared.
+    /// A request suspected of causing crashes finished a run, which clears its fingerprint.
     SuspectCleared { fingerprint: Name },
     /// A backend server's engine crashed.
     EngineCrashed { backend_server: Name, running: u32 },
-    /// A backend server's engine answers again.
+    /// A backend server's engine responds again.
     EngineReady { backend_server: Name },
 
     /// A connection was opened.
     ConnectionOpened { peer: Name },
     /// A connection went silent without closing.
     ConnectionSilent { peer: Name, silent_ms: u64 },
-    /// A fresh connection took a silent one's place.
+    /// A new connection replaced a silent one.
     ConnectionReplaced { peer: Name, requests: u32 },
     /// A connection closed.
     ConnectionClosed { peer: Name },
 
     /// An expert-map switch reached a step.
     Switch { step: SwitchStep, map_revision: u64 },
-    /// A rank could not be read back and is out of service.
+    /// A rank's expert map could not be read back, so the rank is out of service.
     RankUnverified { backend_server: Name, map_revision: u64 },
     /// An order to an engine took effect.
     OrderApplied { order: OrderKind, fencing_number: u64 },
-    /// An order carried an old fencing number.
+    /// An order was refused because its fencing number is too old.
     OrderRefused { order: OrderKind, fencing_number: u64, lowest_accepted: u64 },
-    /// A lease was won.
+    /// This process acquired a lease.
     LeaseWon { lease: Name, fencing_number: u64 },
-    /// A lease was lost or lapsed.
+    /// A lease was lost or expired.
     LeaseLost { lease: Name },
 
-    /// A configuration change is known to be stored.
+    /// A configuration change was confirmed as stored.
     ChangeAccepted { change: Uuid, revision: u64 },
-    /// A configuration change met a newer one.
+    /// A configuration change was refused because a newer one exists.
     ChangeConflict { change: Uuid, revision: u64 },
     /// It is not known whether a configuration change is stored.
     ChangeUnknown { change: Uuid },
     /// A configuration revision is in force in this process.
     ConfigurationInForce { revision: u64, source: ConfigSource },
-    /// An older revision was offered and not taken.
+    /// A revision older than the one in force was received and ignored.
     OlderConfigurationRefused { revision: u64, in_force: u64 },
 
-    /// Another process is seen in a new state.
+    /// This process sees another process in a new state.
     MemberChanged { member: Name, state: MemberState },
-    /// This process stops taking new work.
+    /// This process began to leave and accepts no new work.
     LeaveBegan { cause: LeaveCause, requests: u32 },
-    /// This process has let all its work finish.
+    /// This process finished leaving; requests still open at the end were cut off.
     LeaveFinished { waited_ms: u64, cut_off: u32 },
 
     /// The key-value service doesn't answer.
     KeyValueDown { error: Name },
     /// The key-value service answers again.
     KeyValueUp { down_ms: u64 },
-    /// A peer's clock is too far ahead to be followed.
+    /// A peer's stamp was ignored because its clock is too far ahead.
     ClockDriftIgnored { peer: Name, ahead_ms: u64 },
 }
 
 impl Event {
-    /// Whether an operator should look at it even when nobody asks.
+    /// Whether the event may need an operator's attention; such events are logged as warnings.
     ///
     /// ```
     /// use flamingowheel_observe::event::Event;
@@ -222,7 +222,7 @@
                 | Self::ClockDriftIgnored { .. }
         )
     }
-    /// The other party of the event: a backend server, or a process by its name.
+    /// Name of the backend server or process that the event refers to, if any.
     ///
     /// ```
     /// use flamingowheel_observe::event::Event;
@@ -249,7 +249,7 @@
         }
     }
 
-    /// Whether it can explain what befell a request although it names none.
+    /// Whether the event can explain what happened to a request although it names none.
     pub(crate) fn is_context(&self) -> bool {
         matches!(
             self,
--- a/crates/observe/src/http.rs
+++ b/crates/observe/src/http.rs
@@ -11,7 +11,7 @@
 
 const TEXT_FORMAT: &str = "text/plain; version=0.0.4";
 
-/// Serves a process's metrics and events; whoever mounts it checks the operator's token.
+/// Routes that serve a process's metrics and events. The caller must check the operator's token.
 ///
 /// ```
 /// use flamingowheel_observe::http::router;
@@ -21,12 +21,12 @@
 /// ```
 pub fn router(recorder: Recorder) -> Router {
     Router::new()
-        .route(METRICS_PATH, get(give_metrics))
-        .route(EVENTS_PATH, get(give_events))
+        .route(METRICS_PATH, get(get_metrics))
+        .route(EVENTS_PATH, get(get_events))
         .with_state(recorder)
 }
 
-async fn give_metrics(State(recorder): State<Recorder>) -> Response {
+async fn get_metrics(State(recorder): State<Recorder>) -> Response {
     recorder.metrics().set_events_overwritten(recorder.overwritten());
     match recorder.metrics().encode() {
         Ok(text) => ([(header::CONTENT_TYPE, TEXT_FORMAT)], text).into_response(),
@@ -34,7 +34,7 @@
     }
 }
 
-async fn give_events(
+async fn get_events(
     State(recorder): State<Recorder>,
     Query(query): Query<EventQuery>,
 ) -> Json<EventsAnswer> {
--- a/crates/observe/src/kv.rs
+++ b/crates/observe/src/kv.rs
@@ -1,4 +1,4 @@
-//! Counts calls on the key-value service and notices when it goes down and comes back.
+//! Counts calls to the key-value service and records its outages.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -14,8 +14,8 @@
 use crate::metrics::KvCall;
 use crate::recorder::Recorder;
 
-/// A key-value service whose calls are counted. It stands before the client that all code of a
-/// process shares, so that no call can be missed.
+/// Wraps a key-value client to count its calls and record outages. All code of a process shares
+/// the wrapped client, so no call is missed.
 pub struct ObservedKeyValue {
     inner: Arc<dyn KeyValue>,
     recorder: Recorder,
@@ -23,7 +23,7 @@
 }
 
 impl ObservedKeyValue {
-    /// Observes the calls on `inner`.
+    /// Wraps `inner`; its calls and outages are recorded in `recorder`.
     ///
     /// ```
     /// use std::sync::Arc;
@@ -47,18 +47,18 @@
         self.recorder.metrics().count_kv_call(call);
         let answer = answer.await;
         match &answer {
-            Err(error) if is_outage(error) => self.seen_down(error),
+            Err(error) if is_outage(error) => self.record_down(error),
             Err(_) => {
                 self.recorder.metrics().count_kv_error();
-                self.seen_up();
+                self.record_up();
             }
-            Ok(_) => self.seen_up(),
+            Ok(_) => self.record_up(),
         }
         answer
     }
 
-    /// Records the beginning of an outage only: calls go on failing many times a second.
-    fn seen_down(&self, error: &KeyValueError) {
+    /// Records an event only when an outage begins: calls fail many times a second while it lasts.
+    fn record_down(&self, error: &KeyValueError) {
         self.recorder.metrics().count_kv_error();
         let began = {
             let mut down_since = self.down_since.lock().unwrap_or_else(PoisonError::into_inner);
@@ -71,7 +71,7 @@
         }
     }
 
-    fn seen_up(&self) {
+    fn record_up(&self) {
         let mut down_since = self.down_since.lock().unwrap_or_else(PoisonError::into_inner);
         let Some(since) = down_since.take() else { return };
         drop(down_since);
@@ -80,7 +80,7 @@
     }
 }
 
-/// Whether the service did not answer; a refusal is an answer.
+/// Whether the service did not answer. An error that it returns is an answer.
 fn is_outage(error: &KeyValueError) -> bool {
     matches!(error, KeyValueError::Unreachable | KeyValueError::NoAnswer { .. })
 }
@@ -89,7 +89,7 @@
     duration.as_millis() as u64
 }
 
-fn kind(transaction: &Transaction) -> KvCall {
+fn call_kind(transaction: &Transaction) -> KvCall {
     let mut operations = transaction.on_success.iter().chain(&transaction.on_failure);
     match operations.all(|operation| matches!(operation, Operation::Get { .. })) {
         true => KvCall::Read,
@@ -106,7 +106,7 @@
         &self,
         transaction: Transaction,
     ) -> BoxFuture<'_, Result<TransactionAnswer, KeyValueError>> {
-        let kind = kind(&transaction);
+        let kind = call_kind(&transaction);
         Box::pin(self.observe(kind, self.inner.transact(transaction)))
     }
 
--- a/crates/observe/src/logs.rs
+++ b/crates/observe/src/logs.rs
@@ -17,16 +17,16 @@
 /// Field of a log line that carries a whole recorded event as JSON.
 const RECORD_FIELD: &str = "record";
 
-/// A log filter that can't be used.
+/// Logging could not be set up.
 #[derive(Debug, thiserror::Error)]
 pub enum LogError {
-    /// The filter's text is wrong.
-    #[error("log filter not understood: {0}")]
+    /// The filter could not be parsed.
+    #[error("invalid log filter: {0}")]
     Filter(#[from] tracing_subscriber::filter::ParseError),
-    /// The thread that writes can't be started.
-    #[error("no thread for log lines: {0}")]
+    /// The thread that writes log lines could not be started.
+    #[error("failed to start the log writer thread: {0}")]
     Thread(#[from] std::io::Error),
-    /// Logging was set up before.
+    /// The process already has a global subscriber.
     #[error("logging is already set up: {0}")]
     AlreadySet(#[from] tracing::subscriber::SetGlobalDefaultError),
 }
@@ -91,7 +91,7 @@
         let mut fields = Fields(Map::new());
         event.record(&mut fields);
         let mut line = fields.0;
-        // Set last, so that no field of a message can pass for them.
+        // Set last, so that fields of a message cannot overwrite them.
         let time = humantime::format_rfc3339_millis(SystemTime::now());
         line.insert("time".into(), time.to_string().into());
         line.insert("level".into(), event.metadata().level().as_str().into());
--- a/crates/observe/src/metrics.rs
+++ b/crates/observe/src/metrics.rs
@@ -16,15 +16,15 @@
 use crate::event::Event;
 use crate::reason::{Class, Limit, Outcome, RefusalReason, RetryDenial, RetryReason, named_enum};
 
-/// Buckets of the time to the first token; its target is 900 ms for 95 in 100.
+/// Buckets of the time to the first token, whose target is a 95th percentile of 900 ms.
 const FIRST_TOKEN_BUCKETS_MS: [f64; 12] =
     [25.0, 50.0, 100.0, 200.0, 300.0, 450.0, 600.0, 900.0, 1_350.0, 2_000.0, 5_000.0, 15_000.0];
 
-/// Buckets of the time between tokens; its target is 52 ms for 95 in 100.
+/// Buckets of the time between tokens, whose target is a 95th percentile of 52 ms.
 const BETWEEN_TOKENS_BUCKETS_MS: [f64; 10] =
     [5.0, 10.0, 20.0, 30.0, 40.0, 52.0, 75.0, 100.0, 250.0, 1_000.0];
 
-/// Metrics could not be registered or written.
+/// Metrics could not be registered or encoded.
 #[derive(Debug, thiserror::Error)]
 #[error("metrics: {0}")]
 pub struct MetricsError(#[from] prometheus::Error);
@@ -36,7 +36,7 @@
         Read = "read",
         /// A write or compare-and-swap.
         Write = "write",
-        /// A watch, counted when it is opened and when it waits again.
+        /// A watch, counted when it is opened and each time it waits again.
         Watch = "watch",
         /// A lease granted, renewed or revoked.
         Lease = "lease",
@@ -44,7 +44,7 @@
 }
 
 named_enum! {
-    /// A place where work waits or is kept.
+    /// What the occupancy gauge counts; the value of its label `kind`.
     OccupancyKind {
         /// Requests in flight in this process.
         InFlight = "in_flight",
@@ -102,77 +102,87 @@
     samplers: Mutex<Vec<Sampler>>,
 }
 
-/// Reads how many places of a kind are in use.
+/// Returns how many places of a kind are in use.
 type Sampler = (OccupancyKind, Box<dyn Fn() -> usize + Send + Sync>);
 
 impl Metrics {
-    /// Metrics in a registry of their own.
+    /// Registers the metrics in a new registry.
     pub fn new() -> Result<Self, MetricsError> {
         let registry = Registry::new_custom(Some("flamingowheel".into()), None)?;
-        let new = Builder { registry: &registry };
+        let builder = Builder { registry: &registry };
         let shared = Shared {
-            requests: new.counters(
+            requests: builder.counters(
                 "requests_total",
                 "Requests ended, by workspace class and outcome",
                 &["class", "outcome"],
             )?,
-            attempts: new.counter("attempts_total", "Attempts dispatched to backend servers")?,
-            retries: new.counters("retries_total", "Further attempts, by reason", &["reason"])?,
-            retries_denied: new.counters(
+            attempts: builder
+                .counter("attempts_total", "Attempts dispatched to backend servers")?,
+            retries: builder.counters(
+                "retries_total",
+                "Further attempts, by reason",
+                &["reason"],
+            )?,
+            retries_denied: builder.counters(
                 "retries_denied_total",
                 "Requests that could not be tried again, by reason",
                 &["reason"],
             )?,
-            refusals: new.counters("refusals_total", "Attempts refused, by reason", &["reason"])?,
-            limited: new.counters(
+            refusals: builder.counters(
+                "refusals_total",
+                "Attempts refused, by reason",
+                &["reason"],
+            )?,
+            limited: builder.counters(
                 "limited_total",
                 "Requests over a limit of their workspace",
                 &["limit"],
             )?,
-            first_token: new.histogram(
+            first_token: builder.histogram(
                 "first_token_ms",
                 "Time from the request to its first token",
                 &FIRST_TOKEN_BUCKETS_MS,
             )?,
-            between_tokens: new.histogram(
+            between_tokens: builder.histogram(
                 "between_tokens_ms",
                 "Time between two chunks of a stream",
                 &BETWEEN_TOKENS_BUCKETS_MS,
             )?,
-            chunks: new.counter("chunks_total", "Chunks of streams passed on")?,
-            resumes: new.counter("resumes_total", "Streams resumed over another connection")?,
-            silent_connections: new
+            chunks: builder.counter("chunks_total", "Chunks of streams passed on")?,
+            resumes: builder.counter("resumes_total", "Streams resumed over another connection")?,
+            silent_connections: builder
                 .counter("silent_connections_total", "Connections given up as silent")?,
-            engine_crashes: new.counter("engine_crashes_total", "Engine crashes seen")?,
-            stale_orders: new
+            engine_crashes: builder.counter("engine_crashes_total", "Engine crashes seen")?,
+            stale_orders: builder
                 .counter("stale_orders_total", "Orders refused for an old fencing number")?,
-            ranks_unverified: new
+            ranks_unverified: builder
                 .counter("ranks_unverified_total", "Ranks taken out of service as unverified")?,
-            cut_off: new.counter("cut_off_total", "Requests cut off at the end of a leave")?,
-            occupancy: new.gauges("occupancy", "Places in use, by kind", &["kind"])?,
-            config_revision: new.gauge("config_revision", "Configuration revision in force")?,
-            kv_calls: new.counters(
+            cut_off: builder.counter("cut_off_total", "Requests cut off at the end of a leave")?,
+            occupancy: builder.gauges("occupancy", "Places in use, by kind", &["kind"])?,
+            config_revision: builder.gauge("config_revision", "Configuration revision in force")?,
+            kv_calls: builder.counters(
                 "kv_calls_total",
                 "Calls on the key-value service",
                 &["call"],
             )?,
-            kv_errors: new.counter("kv_errors_total", "Failed calls on the key-value service")?,
-            kv_up: new.gauge(
+            kv_errors: builder
+                .counter("kv_errors_total", "Failed calls on the key-value service")?,
+            kv_up: builder.gauge(
                 "kv_up",
                 "0 from the event that the key-value service is down until it is up",
             )?,
-            events_overwritten: new
+            events_overwritten: builder
                 .gauge("events_overwritten", "Events lost from the ring since the start")?,
-            clock_drift_ignored: new
+            clock_drift_ignored: builder
                 .counter("clock_drift_ignored_total", "Stamps too far ahead to be followed")?,
             samplers: Mutex::default(),
             registry: registry.clone(),
         };
-        shared.begin();
+        shared.initialise();
         Ok(Self { shared: Arc::new(shared) })
     }
 
-    /// Counts what a recorded event stands for; the recorder calls this for each event.
+    /// Updates the metrics that an event affects; the recorder calls this for each event.
     pub fn count_event(&self, event: &Event) {
         let shared = &self.shared;
         match event {
@@ -200,8 +210,8 @@
         }
     }
 
-    /// Counts a request that was refused before it had an identity; `None` if its workspace is not
-    /// known, and so not its class.
+    /// Counts a request that was refused before it got an id. `class` is `None` if the workspace is
+    /// unknown, and with it the class.
     ///
     /// ```
     /// use flamingowheel_observe::metrics::Metrics;
@@ -221,7 +231,7 @@
         self.shared.requests.with_label_values(&[class.as_str(), outcome.as_str()]).inc();
     }
 
-    /// Times the chunks of an answer whose request came at `requested`.
+    /// Starts timing the chunks of an answer whose request arrived at `received_at`.
     ///
     /// ```
     /// use flamingowheel_observe::metrics::Metrics;
@@ -234,11 +244,12 @@
     /// assert!(metrics.encode()?.contains("flamingowheel_chunks_total 2"));
     /// # Ok::<(), flamingowheel_observe::metrics::MetricsError>(())
     /// ```
-    pub fn stream_timer(&self, requested: Instant) -> StreamTimer {
-        StreamTimer { metrics: self.clone(), last: requested, begun: false }
+    pub fn stream_timer(&self, received_at: Instant) -> StreamTimer {
+        StreamTimer { metrics: self.clone(), previous_at: received_at, has_begun: false }
     }
 
-    /// Has `read` called whenever the metrics are read, for how many places of a kind are in use.
+    /// Registers `read`, which returns how many places of a kind are in use. It is called whenever
+    /// the metrics are encoded.
     ///
     /// ```
     /// use flamingowheel_observe::metrics::{Metrics, OccupancyKind};
@@ -255,22 +266,22 @@
         self.shared.samplers().push((kind, Box::new(read)));
     }
 
-    /// A call on the key-value service was made.
+    /// Counts a call to the key-value service.
     pub fn count_kv_call(&self, call: KvCall) {
         self.shared.kv_calls.with_label_values(&[call.as_str()]).inc();
     }
 
-    /// A call on the key-value service failed.
+    /// Counts a failed call to the key-value service.
     pub fn count_kv_error(&self) {
         self.shared.kv_errors.inc();
     }
 
-    /// Events that the ring has overwritten.
+    /// Sets the number of events that the ring has overwritten.
     pub fn set_events_overwritten(&self, overwritten: u64) {
         self.shared.events_overwritten.set(gauge_value(overwritten));
     }
 
-    /// All metrics in Prometheus's text format.
+    /// Calls the samplers and returns all metrics in Prometheus's text format.
     pub fn encode(&self) -> Result<String, MetricsError> {
         for (kind, read) in self.shared.samplers().iter() {
             let gauge = self.shared.occupancy.with_label_values(&[kind.as_str()]);
@@ -284,22 +295,22 @@
 #[derive(Clone)]
 pub struct StreamTimer {
     metrics: Metrics,
-    last: Instant,
-    begun: bool,
+    previous_at: Instant,
+    has_begun: bool,
 }
 
 impl StreamTimer {
-    /// A chunk was passed on.
+    /// Records the time since the previous chunk, or since the request for the first chunk.
     pub fn record_chunk(&mut self) {
         let shared = &self.metrics.shared;
         let now = Instant::now();
-        let since_last = milliseconds(now.duration_since(self.last));
+        let wait_ms = milliseconds(now.duration_since(self.previous_at));
         shared.chunks.inc();
-        match self.begun {
-            true => shared.between_tokens.observe(since_last),
-            false => shared.first_token.observe(since_last),
+        match self.has_begun {
+            true => shared.between_tokens.observe(wait_ms),
+            false => shared.first_token.observe(wait_ms),
         }
-        (self.last, self.begun) = (now, true);
+        (self.previous_at, self.has_begun) = (now, true);
     }
 }
 
@@ -308,22 +319,22 @@
         self.samplers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Brings out every label value from the start, and counts as up what was not seen down.
+    /// Creates the series of every label value, and sets `kv_up` to 1 until an outage is seen.
     ///
     /// A counter that first appears with its first event shows no increase to a rate query, so the
     /// first crash or unknown outcome after a start would raise no alarm.
-    fn begin(&self) {
+    fn initialise(&self) {
         for class in Class::ALL {
             let outcomes = Outcome::ALL.iter().map(|outcome| outcome.as_str());
             outcomes.for_each(|outcome| {
                 self.requests.with_label_values(&[class.as_str(), outcome]);
             });
         }
-        zero(&self.retries, RetryReason::ALL.iter().map(|reason| reason.as_str()));
-        zero(&self.retries_denied, RetryDenial::ALL.iter().map(|reason| reason.as_str()));
-        zero(&self.refusals, RefusalReason::ALL.iter().map(|reason| reason.as_str()));
-        zero(&self.limited, Limit::ALL.iter().map(|limit| limit.as_str()));
-        zero(&self.kv_calls, KvCall::ALL.iter().map(|call| call.as_str()));
+        create_series(&self.retries, RetryReason::ALL.iter().map(|reason| reason.as_str()));
+        create_series(&self.retries_denied, RetryDenial::ALL.iter().map(|reason| reason.as_str()));
+        create_series(&self.refusals, RefusalReason::ALL.iter().map(|reason| reason.as_str()));
+        create_series(&self.limited, Limit::ALL.iter().map(|limit| limit.as_str()));
+        create_series(&self.kv_calls, KvCall::ALL.iter().map(|call| call.as_str()));
         for kind in OccupancyKind::ALL {
             self.occupancy.with_label_values(&[kind.as_str()]);
         }
@@ -331,7 +342,7 @@
     }
 }
 
-fn zero<I>(counters: &IntCounterVec, labels: I)
+fn create_series<I>(counters: &IntCounterVec, labels: I)
 where
     I: Iterator<Item = &'static str>,
 {
--- a/crates/observe/src/output.rs
+++ b/crates/observe/src/output.rs
@@ -1,8 +1,8 @@
-//! Log lines to standard output that never make their writer wait.
+//! Log output that never blocks the threads that write log lines.
 //!
-//! A reader of the logs that stops reading would otherwise stop the process: its pipe fills, and
-//! the next line blocks the thread that serves callers. Lines go through a bounded queue to a thread of their
-//! own; what does not fit, or is above the rate, is counted and left out.
+//! If the reader of the logs stopped reading, its pipe would fill and the next line would block the
+//! thread that serves callers. Lines therefore go through a bounded queue to a separate thread;
+//! lines that don't fit into the queue or exceed the rate are counted and dropped.
 
 use std::io::{self, Write};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -12,20 +12,20 @@
 use tracing::Level;
 use tracing_subscriber::fmt::MakeWriter;
 
-/// Lines that wait for the reader; some 300 bytes each, so about a megabyte at the most.
+/// Capacity of the queue; at some 300 bytes a line about a megabyte.
 const QUEUE_LINES: usize = 4_096;
 
-/// Lines in a second, of all levels. A busy entry of today writes some 60; the bound keeps a
-/// tenfold load with failures from costing a tenth of its core.
+/// Most lines a second, of all levels. A busy entry writes some 60; the bound keeps a tenfold load
+/// with failures from using a tenth of its core.
 pub const MAX_LINES_PER_S: u32 = 1_000;
 
-/// Share of the rate that plain messages may use; the rest is kept for warnings and errors, which
-/// matter most when much goes wrong at once.
+/// Share of the rate for levels below warning; the rest is reserved for warnings and errors, which
+/// matter most during many simultaneous failures.
 const INFO_SHARE: f64 = 0.8;
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Makes writers that queue whole lines.
+/// Creates writers that queue whole lines.
 #[derive(Clone, Debug)]
 pub struct NonBlockingOutput {
     queue: SyncSender<Vec<u8>>,
@@ -35,13 +35,13 @@
 
 #[derive(Debug)]
 struct Rate {
-    second_began: Instant,
+    window_start: Instant,
     lines: u32,
     limit: u32,
 }
 
 impl NonBlockingOutput {
-    /// An output that `writer`, on a thread of its own, takes the lines of.
+    /// Starts a thread that writes the queued lines to `writer`, at most `lines_per_s`.
     ///
     /// ```
     /// use flamingowheel_observe::output::{MAX_LINES_PER_S, NonBlockingOutput};
@@ -58,19 +58,19 @@
             .name("logs".to_owned())
             .stack_size(128 * 1024)
             .spawn(move || write_lines(&lines, writer, &counter))?;
-        let rate = Rate { second_began: Instant::now(), lines: 0, limit: lines_per_s };
+        let rate = Rate { window_start: Instant::now(), lines: 0, limit: lines_per_s };
         Ok(Self { queue, rate: Arc::new(Mutex::new(rate)), dropped_lines })
     }
 
-    /// Lines left out and not yet told of.
+    /// Number of lines dropped and not yet reported in the output.
     pub fn dropped_lines(&self) -> u64 {
         self.dropped_lines.load(Ordering::Relaxed)
     }
 
     fn line(&self, level: Level) -> LineWriter {
         let mut rate = self.rate.lock().unwrap_or_else(PoisonError::into_inner);
-        if rate.second_began.elapsed() >= SECOND {
-            rate.second_began = Instant::now();
+        if rate.window_start.elapsed() >= SECOND {
+            rate.window_start = Instant::now();
             rate.lines = 0;
         }
         let share = if level <= Level::WARN { 1.0 } else { INFO_SHARE };
@@ -89,21 +89,21 @@
     W: Write,
 {
     while let Ok(line) = lines.recv() {
-        let missing = dropped_lines.swap(0, Ordering::Relaxed);
-        let told = match missing {
+        let unreported = dropped_lines.swap(0, Ordering::Relaxed);
+        let reported = match unreported {
             0 => Ok(()),
             count => {
                 writeln!(writer, r#"{{"level":"WARN","message":"lines left out","count":{count}}}"#)
             }
         };
-        // Without a reader there is nobody left to tell.
-        if told.and_then(|()| writer.write_all(&line)).and_then(|()| writer.flush()).is_err() {
+        // A failed write means that the reader is gone, so no further line can be delivered.
+        if reported.and_then(|()| writer.write_all(&line)).and_then(|()| writer.flush()).is_err() {
             return;
         }
     }
 }
 
-/// One line; queued when it is dropped.
+/// Buffers one line and queues it when dropped.
 #[derive(Debug)]
 pub struct LineWriter {
     bytes: Vec<u8>,
--- a/crates/observe/src/reason.rs
+++ b/crates/observe/src/reason.rs
@@ -1,6 +1,6 @@
 //! Closed sets of reasons that events and metrics carry.
 
-/// Declares an enum whose variants have one fixed snake-case text, for JSON, labels and time line.
+/// Declares an enum whose variants have one fixed snake-case text in JSON and metric labels.
 macro_rules! named_enum {
     ($(#[$meta:meta])* $name:ident { $($(#[$variant_meta:meta])* $variant:ident = $text:literal,)+ }) => {
         $(#[$meta])*
@@ -42,13 +42,13 @@
 }
 
 named_enum! {
-    /// What a caller was told.
+    /// Outcome of a request as reported to the caller.
     Outcome {
         /// The whole answer was delivered.
         Complete = "complete",
         /// The request provably did not run.
         NotRun = "not_run",
-        /// Nobody can know.
+        /// It cannot be determined whether the request ran.
         Unknown = "unknown",
     }
 }
@@ -62,11 +62,11 @@
         PrefixCached = "prefix_cached",
         /// It has the adapter or model loaded.
         AdapterLoaded = "adapter_loaded",
-        /// No other was left.
+        /// No other candidate was left.
         OnlyCandidate = "only_candidate",
-        /// The ticket names it.
+        /// The ticket names this backend server.
         TicketHome = "ticket_home",
-        /// A suspect runs alone there.
+        /// The request is suspected of causing crashes and runs there alone.
         Quarantine = "quarantine",
     }
 }
@@ -82,7 +82,7 @@
         WrongIncarnation = "wrong_incarnation",
         /// The attempt was cancelled before it arrived.
         Tombstone = "tombstone",
-        /// The attempt arrived before.
+        /// The same attempt has already arrived.
         Duplicate = "duplicate",
         /// No room for another execution record.
         RecordsFull = "records_full",
@@ -102,7 +102,7 @@
 }
 
 named_enum! {
-    /// Why another attempt follows.
+    /// Why a request is attempted again.
     RetryReason {
         /// The agent refused, so the attempt did not run.
         Refused = "refused",
@@ -118,7 +118,7 @@
 }
 
 named_enum! {
-    /// Why no other attempt may follow.
+    /// Why a request must not be attempted again.
     RetryDenial {
         /// The request is not idempotent and may have run.
         NotIdempotent = "not_idempotent",
@@ -138,7 +138,7 @@
 }
 
 named_enum! {
-    /// What made an entry or agent cancel an attempt.
+    /// Why an entry or agent cancelled an attempt.
     CancelCause {
         /// The caller closed its connection.
         CallerGone = "caller_gone",
@@ -182,7 +182,7 @@
 }
 
 named_enum! {
-    /// Why nobody can know whether a request ran.
+    /// Why it cannot be determined whether a request ran.
     UnknownReason {
         /// The agent's process was lost with its records.
         AgentLost = "agent_lost",
@@ -220,13 +220,13 @@
         Held = "held",
         /// The new map is committed in the key-value service.
         Committed = "committed",
-        /// Every rank was told the new map.
+        /// Every rank was ordered to use the new map.
         Switched = "switched",
-        /// Every rank was read back.
+        /// The map in use was read back from every rank.
         ReadBack = "read_back",
-        /// The group runs on.
+        /// The group continues to run.
         Resumed = "resumed",
-        /// The switch was given up before its commit.
+        /// The switch was abandoned before its commit.
         RolledBack = "rolled_back",
     }
 }
@@ -242,7 +242,7 @@
         Hold = "hold",
         /// Use an expert map.
         SwitchMap = "switch_map",
-        /// Go on stepping.
+        /// Continue with the next step.
         Resume = "resume",
     }
 }
@@ -264,19 +264,19 @@
 named_enum! {
     /// State of a member as seen by a process.
     MemberState {
-        /// It answers.
+        /// The member responds.
         Live = "live",
-        /// It has gone silent.
+        /// The member has stopped responding.
         Suspected = "suspected",
-        /// It takes no new work.
+        /// The member accepts no new work.
         Leaving = "leaving",
-        /// It is out of the list.
+        /// The member is no longer in the list of members.
         Gone = "gone",
     }
 }
 
 named_enum! {
-    /// What made a process leave.
+    /// Why a process leaves.
     LeaveCause {
         /// A termination signal.
         Signal = "signal",
--- a/crates/observe/src/recorder.rs
+++ b/crates/observe/src/recorder.rs
@@ -1,4 +1,4 @@
-//! Handle by which all code of a process records events.
+//! Recorder of events, shared by all code of a process.
 
 use std::fmt;
 use std::sync::Arc;
@@ -9,13 +9,13 @@
 use crate::clock::{HybridClock, Stamp, SystemClock};
 use crate::event::{Event, Name, StampedEvent, Subject};
 use crate::metrics::Metrics;
-use crate::repeats::Repeats;
+use crate::repeats::RepeatFilter;
 use crate::ring::{DEFAULT_CAPACITY, Ring};
 
 /// Target of the log lines that repeat recorded events.
 pub const LOG_TARGET: &str = "flamingowheel::event";
 
-/// Records events: counts, stamps, keeps and logs them. Clones share all of it.
+/// Counts, stamps, stores and logs events. Clones share their state.
 ///
 /// ```
 /// use flamingowheel_observe::api::EventQuery;
@@ -37,7 +37,7 @@
     clock: HybridClock,
     ring: Ring,
     metrics: Metrics,
-    repeats: Repeats,
+    repeat_filter: RepeatFilter,
 }
 
 impl Recorder {
@@ -50,7 +50,13 @@
     ) -> Self {
         let ring = Ring::new(capacity);
         Self {
-            shared: Arc::new(Shared { process, clock, ring, metrics, repeats: Repeats::default() }),
+            shared: Arc::new(Shared {
+                process,
+                clock,
+                ring,
+                metrics,
+                repeat_filter: RepeatFilter::default(),
+            }),
         }
     }
 
@@ -59,7 +65,7 @@
         Self::new(process, HybridClock::new(SystemClock), DEFAULT_CAPACITY, metrics)
     }
 
-    /// A recorder for tests that don't look at times.
+    /// A recorder for tests that don't depend on times.
     pub fn for_tests(name: &str) -> Self {
         let process =
             ProcessInfo { name: name.into(), vm: "vm-test".into(), data_centre: "dc-test".into() };
@@ -72,12 +78,12 @@
         self.record_with_subject(&Subject::default(), event);
     }
 
-    /// Records an event about `subject`. What lasts and is found anew again and again, as an outage
-    /// of the key-value service, is counted each time and recorded once a minute.
+    /// Records an event about `subject`. An event that repeats while a condition lasts, such as an
+    /// outage of the key-value service, is counted each time but recorded once a minute.
     pub fn record_with_subject(&self, subject: &Subject, event: Event) {
         let shared = &self.shared;
         shared.metrics.count_event(&event);
-        if !shared.repeats.is_due(&event, shared.clock.wall_ms()) {
+        if !shared.repeat_filter.should_record(&event, shared.clock.wall_ms()) {
             return;
         }
         let stamped = shared.ring.push_with(|sequence| StampedEvent {
@@ -90,7 +96,7 @@
         log(&stamped);
     }
 
-    /// A handle whose events are all about `subject`.
+    /// Returns a recorder whose events are all about `subject`.
     pub fn with_subject(&self, subject: Subject) -> SubjectRecorder {
         SubjectRecorder { recorder: self.clone(), subject: Arc::new(subject) }
     }
@@ -100,7 +106,7 @@
         self.shared.clock.now()
     }
 
-    /// Takes in the stamp of a message from `peer`, so that what follows sorts after it.
+    /// Advances the clock by the stamp of a message from `peer`; later events sort after it.
     ///
     /// ```
     /// use flamingowheel_observe::recorder::Recorder;
@@ -118,7 +124,7 @@
         }
     }
 
-    /// Who this process is.
+    /// Name and location of this process.
     pub fn process(&self) -> &ProcessInfo {
         &self.shared.process
     }
@@ -185,14 +191,14 @@
         self.recorder.record_with_subject(&self.subject, event);
     }
 
-    /// What the events are about.
+    /// Subject of all events that it records.
     pub fn subject(&self) -> &Subject {
         &self.subject
     }
 }
 
 fn log(stamped: &StampedEvent) {
-    // Serialising costs more than recording, so it waits until somebody listens.
+    // Serialising costs more than recording, so it is done only if the log line is enabled.
     if stamped.event.is_warning() {
         if tracing::enabled!(target: LOG_TARGET, tracing::Level::WARN) {
             tracing::warn!(target: LOG_TARGET, record = json(stamped));
@@ -203,6 +209,6 @@
 }
 
 fn json(stamped: &StampedEvent) -> String {
-    // Serialising these types to memory has no failing case; an empty line beats a panic.
+    // Serialising these types to memory cannot fail; an empty line is better than a panic.
     serde_json::to_string(stamped).unwrap_or_default()
 }
--- a/crates/observe/src/ring.rs
+++ b/crates/observe/src/ring.rs
@@ -1,4 +1,4 @@
-//! Bounded ring of a process's last events.
+//! Bounded ring of a process's most recent events.
 
 use std::collections::{HashSet, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -7,13 +7,13 @@
 use crate::clock::Stamp;
 use crate::event::StampedEvent;
 
-/// Events kept by default; at 264 bytes each, as the bench `record` measured, 4.3 MB.
+/// Events kept by default; 4.3 MB at 264 bytes each, the size that the bench `record` prints.
 pub const DEFAULT_CAPACITY: usize = 16_384;
 
-/// How long before and after a request's own events others may explain it.
+/// Time before and after a request's own events within which other events may explain it.
 const CONTEXT_SLACK_MS: u64 = 1_000;
 
-/// The last events of a process; the oldest are overwritten and counted.
+/// The most recent events of a process; the oldest are overwritten and counted.
 #[derive(Debug)]
 pub struct Ring {
     capacity: usize,
@@ -38,10 +38,10 @@
         Self { capacity: capacity.max(1), state: Mutex::default() }
     }
 
-    /// Adds the event that `make` builds from its number.
+    /// Adds the event that `make` builds from its sequence number.
     ///
-    /// Threads that stamp first and then race to the ring would leave it out of order, and a time
-    /// line would show an effect before its cause; so the event is built under the ring's lock.
+    /// The event is built under the ring's lock: if threads stamped their events before taking the
+    /// lock, the ring could get out of order and a time line would show an effect before its cause.
     ///
     /// ```
     /// use flamingowheel_observe::clock::Stamp;
@@ -73,8 +73,8 @@
 
     /// The newest events that match, oldest first, and how many older ones the limit left out.
     ///
-    /// Without a limit, a question about all of a large fleet would bring some 100 million events
-    /// to one reader.
+    /// Without a limit, a query to all processes of a large fleet would return some 100 million
+    /// events to one reader.
     pub fn select(&self, query: &EventQuery) -> (Vec<Arc<StampedEvent>>, u64) {
         let mut events = self.matching(query);
         let left_out = events.len().saturating_sub(query.limit.unwrap_or(usize::MAX));
@@ -82,7 +82,7 @@
         (events, left_out as u64)
     }
 
-    /// The events that match; for a request also the context that explains it.
+    /// The events that match; for a request also the events that explain it.
     fn matching(&self, query: &EventQuery) -> Vec<Arc<StampedEvent>> {
         let state = self.lock();
         let matching: Vec<&Arc<StampedEvent>> =
@@ -107,15 +107,15 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
-        // Nothing under the lock can leave the ring half changed, so a poisoned one is still whole.
+        // No code under the lock can leave the ring half changed, so a poisoned lock is usable.
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Where and when a request was handled, by which events about no request can explain it.
+/// Time span and peers of a request, to find events that explain it without naming it.
 ///
 /// A lost connection or a crashed engine is recorded once, not once for each of the hundreds of
-/// requests it concerned; without it a request's time line would show a retry without its cause.
+/// requests it affected; without it a request's time line would show a retry without its cause.
 struct Context<'a> {
     from_ms: u64,
     to_ms: u64,
@@ -133,8 +133,8 @@
         })
     }
 
-    /// An agent's own events name no other party: there, all that happened then is of interest.
-    fn concerns(&self, peer: &str) -> bool {
+    /// An agent's events about a request name no peer; then the events of all peers are included.
+    fn includes_peer(&self, peer: &str) -> bool {
         self.peers.is_empty() || self.peers.contains(peer)
     }
 
@@ -143,6 +143,6 @@
         event.subject.request.is_none()
             && event.event.is_context()
             && (self.from_ms..=self.to_ms).contains(&at_ms)
-            && event.event.peer().is_none_or(|peer| self.concerns(peer))
+            && event.event.peer().is_none_or(|peer| self.includes_peer(peer))
     }
 }
--- a/crates/observe/src/text.rs
+++ b/crates/observe/src/text.rs
@@ -1,4 +1,4 @@
-//! Small pieces of text that several outputs share.
+//! Text formatting shared by several outputs.
 
 use uuid::Uuid;
 
@@ -23,7 +23,8 @@
     format!("{count} {noun}{plural}")
 }
 
-/// The end of an id, which differs between ids drawn at the same time.
+/// The last 8 hex digits of an id. Unlike the first ones they differ between ids generated at the
+/// same time.
 ///
 /// ```
 /// use flamingowheel_observe::text::short_id;
--- a/crates/observe/src/timeline.rs
+++ b/crates/observe/src/timeline.rs
@@ -11,7 +11,7 @@
 use crate::event::{Event, Name, StampedEvent, Subject};
 use crate::text::{count_with_noun, short_id};
 
-/// Widest line of the text form.
+/// Most characters in a line of the text form.
 pub const COLUMNS: usize = 100;
 
 const TIME_COLUMNS: usize = 10;
@@ -19,53 +19,53 @@
 /// The last millisecond of the year 9999.
 const LAST_UTC_MS: u64 = 253_402_300_799_999;
 const GAP: &str = "  ";
-/// What to think of a time line without events.
-const NOTHING: &str = "NOTHING FOUND: either the name is wrong, or it belongs to another fleet, or it \
+/// Header line of a time line without events.
+const NO_EVENTS: &str = "NOTHING FOUND: either the name is wrong, or it belongs to another fleet, or it \
      is older than what these processes keep (then see their logs)";
 
 /// A process whose events are missing.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct UnreachableProcess {
-    /// Its name, or its address where the name isn't known.
+    /// Name of the process, or its address if the name isn't known.
     pub process: Name,
-    /// Why it could not be asked.
+    /// Why its events could not be read.
     pub reason: Name,
 }
 
-/// A process that did not give all events of the span asked for.
+/// A process whose answer does not contain all events of the queried time span.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct IncompleteAnswer {
-    /// Its name.
+    /// Name of the process, unique in the fleet.
     pub process: Name,
-    /// Stamp of its oldest event.
+    /// Stamp of the oldest event that it still keeps; absent if it keeps none.
     pub oldest: Option<Stamp>,
-    /// Events it has overwritten since its start, if they may belong to the span.
+    /// Events overwritten since its start; 0 if none of them can belong to the time span.
     pub overwritten: u64,
-    /// Events of the span beyond the limit asked for.
+    /// Matching events omitted because of the query's limit.
     pub left_out: u64,
 }
 
-/// A process whose clock differs from the others'.
+/// A process whose clock differs from the others' by more than the default drift bound.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct ClockOffset {
-    /// Its name.
+    /// Name of the process, unique in the fleet.
     pub process: Name,
-    /// How far it is ahead of the middle of all processes; negative if behind.
+    /// How far it is ahead of the median of all processes; negative if behind.
     pub ahead_ms: i64,
 }
 
 /// Events of many processes in causal order, and what is missing from them.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Timeline {
-    /// What was asked.
+    /// The query that the processes answered.
     pub query: EventQuery,
     /// Processes that answered.
     pub processes: Vec<ProcessInfo>,
-    /// Processes that could not be reached.
+    /// Processes whose events could not be read.
     pub unreachable: Vec<UnreachableProcess>,
-    /// Processes that have overwritten or left out events of the span.
+    /// Processes whose answers are incomplete.
     pub incomplete: Vec<IncompleteAnswer>,
-    /// Processes whose events may stand in the wrong place.
+    /// Processes whose events may be out of order because their clocks are wrong.
     pub clocks_off: Vec<ClockOffset>,
     /// The events, causes before effects.
     pub events: Vec<StampedEvent>,
@@ -92,10 +92,10 @@
 ) -> Timeline {
     answers.sort_by(|a, b| a.process.name.cmp(&b.process.name));
     let incomplete = answers.iter().filter_map(|answer| incomplete(&query, answer)).collect();
-    let clocks_off = clocks_off(&answers);
+    let clocks_off = find_clock_offsets(&answers);
     let events = merge_events(&answers);
     let processes: Vec<ProcessInfo> = answers.into_iter().map(|answer| answer.process).collect();
-    unreachable.extend(unlisted(&events, &processes, &unreachable));
+    unreachable.extend(unlisted_backend_servers(&events, &processes, &unreachable));
     unreachable.sort_by(|a, b| a.process.cmp(&b.process));
     Timeline { query, processes, unreachable, incomplete, clocks_off, events }
 }
@@ -112,30 +112,32 @@
     events
 }
 
-/// Backend servers that got attempts and are in neither list.
+/// Backend servers that were sent attempts and are in neither list.
 ///
-/// A process that is gone drops out of the list of processes after a while. Its part of the story
-/// is missing all the same, and a time line that doesn't say so looks complete.
-fn unlisted(
+/// A process that is gone is removed from the list of processes after a while. Its events are
+/// missing nevertheless, and a time line that doesn't say so would look complete.
+fn unlisted_backend_servers(
     events: &[StampedEvent],
     processes: &[ProcessInfo],
     unreachable: &[UnreachableProcess],
 ) -> Vec<UnreachableProcess> {
-    let known = processes.iter().map(|process| &process.name);
-    let known: HashSet<&Name> = known.chain(unreachable.iter().map(|one| &one.process)).collect();
+    let listed = processes.iter().map(|process| &process.name);
+    let listed: HashSet<&Name> =
+        listed.chain(unreachable.iter().map(|process| &process.process)).collect();
     let mut missing: Vec<&Name> = events
         .iter()
         .filter_map(|event| match &event.event {
             Event::Dispatched { backend_server, .. } => Some(backend_server),
             _ => None,
         })
-        .filter(|name| !known.contains(name))
+        .filter(|name| !listed.contains(name))
         .collect();
     missing.sort();
     missing.dedup();
     let reason: Name = "got attempts, and is no longer in the list of processes".into();
-    let missed = |name: &Name| UnreachableProcess { process: name.clone(), reason: reason.clone() };
-    missing.into_iter().map(missed).collect()
+    let to_unreachable =
+        |name: &Name| UnreachableProcess { process: name.clone(), reason: reason.clone() };
+    missing.into_iter().map(to_unreachable).collect()
 }
 
 fn incomplete(query: &EventQuery, answer: &EventsAnswer) -> Option<IncompleteAnswer> {
@@ -151,9 +153,9 @@
     })
 }
 
-/// Compares the clocks that came with the answers. The median is the reference: the reader's own
-/// clock may be the wrong one.
-fn clocks_off(answers: &[EventsAnswer]) -> Vec<ClockOffset> {
+/// Compares the clock readings in the answers with their median. The local clock is no reference,
+/// since it may be wrong itself.
+fn find_clock_offsets(answers: &[EventsAnswer]) -> Vec<ClockOffset> {
     let mut readings_ms: Vec<u64> = answers.iter().map(|answer| answer.now.wall_ms()).collect();
     readings_ms.sort_unstable();
     let Some(median_ms) = readings_ms.get(readings_ms.len() / 2).copied() else {
@@ -221,7 +223,7 @@
         let mut lines = vec![self.title()];
         lines.extend(self.start().map(|start| format!("begins {}", utc(start))));
         if self.events.is_empty() {
-            lines.push(NOTHING.to_owned());
+            lines.push(NO_EVENTS.to_owned());
         }
         for process in &self.unreachable {
             lines.push(format!("NOT REACHED {}: {}", process.process, process.reason));
@@ -260,7 +262,7 @@
         title
     }
 
-    /// What was asked about, and what all events turn out to have in common.
+    /// The subject of the query, completed by what all events have in common.
     fn shared_subject(&self) -> Subject {
         let query = &self.query;
         Subject {
@@ -278,10 +280,10 @@
         P: PartialEq,
         F: Fn(&Subject) -> Option<P>,
     {
-        // Asked for one request, the title tells about that, not about what explains it.
+        // In the time line of one request only its own events count, not those that explain it.
         let of_request = self.query.request.is_some();
-        let told = self.events.iter().filter(|e| !of_request || e.subject.request.is_some());
-        let mut parts = told.map(|event| part(&event.subject));
+        let relevant = self.events.iter().filter(|e| !of_request || e.subject.request.is_some());
+        let mut parts = relevant.map(|event| part(&event.subject));
         let first = parts.next()??;
         parts.all(|other| other.as_ref() == Some(&first)).then_some(first)
     }
@@ -301,12 +303,12 @@
     sentence
 }
 
-/// The parts of a subject that the title doesn't tell.
+/// The parts of an event's subject that the title doesn't contain.
 fn differing_parts(event: &StampedEvent, shared: &Subject) -> Vec<String> {
     let subject = &event.subject;
     let mut parts = Vec::new();
     if let (Some(request), None) = (&subject.request, &shared.request) {
-        // Whole once, so that it can be asked for alone; short where it repeats.
+        // The full id appears once, so that it can be used in a query; later it is shortened.
         parts.push(match event.event {
             Event::RequestAccepted { .. } => format!("request {request}"),
             _ => format!("request ..{}", short_id(request)),
@@ -326,7 +328,7 @@
     let mut line = first.to_owned();
     let mut used = first.trim_start_matches('\n').chars().count();
     let mut begun = false;
-    for word in words(sentence, COLUMNS - used.max(indent.len())) {
+    for word in split_words(sentence, COLUMNS - used.max(indent.len())) {
         let width = word.chars().count();
         if begun && used + 1 + width > COLUMNS {
             text.push_str(line.trim_end());
@@ -346,7 +348,7 @@
 }
 
 /// Splits a sentence into words of at most `width` characters.
-fn words(sentence: &str, width: usize) -> Vec<String> {
+fn split_words(sentence: &str, width: usize) -> Vec<String> {
     let characters: Vec<char> = printable(sentence).chars().collect();
     characters
         .split(|&c| c == ' ')
@@ -358,7 +360,7 @@
 /// Replaces control characters.
 ///
 /// Names and error texts come from other processes. A control character in them would move the
-/// reader's cursor and could hide lines of the time line, so none gets through.
+/// terminal's cursor and could hide lines of the time line.
 fn printable(text: &str) -> String {
     text.chars().map(|c| if c.is_control() { '?' } else { c }).collect()
 }
@@ -382,7 +384,7 @@
 }
 
 fn utc(stamp: Stamp) -> String {
-    // A clock beyond the year 9999 is wrong and has no text form; writing it anyway would panic.
+    // Times after the year 9999 come from a wrong clock; humantime panics when formatting them.
     if stamp.wall_ms() > LAST_UTC_MS {
         return format!("{} ms after 1970", stamp.wall_ms());
     }
