--- a/crates/config/src/api.rs
+++ b/crates/config/src/api.rs
@@ -1,4 +1,5 @@
-//! Answers of the operators' HTTP interface, shared by the daemon and the command-line tool.
+//! Response types of the operators' HTTP interface, shared by the daemon and the command-line
+//! tool.
 
 use crate::change::{ChangeId, Conflict, DocumentDiff, Origin};
 use crate::document::DocumentError;
@@ -13,54 +14,55 @@
 /// Answer to `POST /v1/config/apply`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ApplyAnswer {
-    /// What became of the change.
+    /// Whether the change was written.
     pub outcome: ApplyOutcome,
-    /// Id of the change, if one was accepted.
+    /// Id of the accepted change; absent unless the outcome is `accepted`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub change: Option<ChangeId>,
-    /// The revision that holds the change; for a dry run the one it was checked against.
+    /// The revision of the configuration that includes the change; for a dry run the revision it
+    /// was checked against.
     pub revision: ConfigRevision,
-    /// What differs through the change.
+    /// The differences that the change makes.
     pub diff: Vec<DocumentDiff>,
-    /// Where it is in force, if the operator asked to wait.
+    /// Which processes apply the revision; absent unless the operator asked to wait for them.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub in_force: Option<InForce>,
 }
 
-/// What became of a change that was not refused.
+/// The outcome of a change that was not refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ApplyOutcome {
-    /// The write is known to have taken effect; it is never reverted.
+    /// The write took effect and is permanent.
     Accepted,
-    /// Everything is already as the documents say.
+    /// All documents already were as requested; nothing was written.
     Unchanged,
-    /// It would be accepted; nothing was written.
+    /// The change would be accepted; nothing was written.
     DryRun,
 }
 
 /// Which processes have a revision in force.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct InForce {
-    /// Whether every process that is not silent has it.
+    /// Whether every process that answered has the revision; silent ones are not counted.
     pub everywhere: bool,
-    /// How long the answer waited, in milliseconds.
+    /// Time that the request waited for the processes.
     pub waited_ms: u64,
-    /// Processes that have it.
+    /// Names of the processes that have the revision in force.
     pub processes: Vec<String>,
-    /// Live or leaving processes that do not have it, and what they have.
+    /// Live or leaving processes that have an older revision.
     pub behind: Vec<LaggingProcess>,
-    /// Processes that have not been heard: they may or may not have it. They fetch it before
-    /// they are counted as live again.
+    /// Names of the processes that did not answer: they may or may not have the revision. They
+    /// fetch it before they count as live again.
     pub silent: Vec<String>,
 }
 
-/// A process that has an older revision.
+/// A process that has an older revision in force.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LaggingProcess {
-    /// Its name.
+    /// Name of the process.
     pub process: String,
-    /// The revision it has.
+    /// The revision that it has in force.
     pub revision: ConfigRevision,
 }
 
@@ -69,7 +71,7 @@
 pub struct TemplatesAnswer {
     /// The revision of the answer.
     pub revision: ConfigRevision,
-    /// All templates.
+    /// All templates with the revisions that last wrote them, in the order of names.
     pub templates: Vec<Stored<Arc<Template>>>,
 }
 
@@ -78,9 +80,9 @@
 pub struct TemplateAnswer {
     /// The revision of the answer.
     pub revision: ConfigRevision,
-    /// The template.
+    /// The template with the revision that last wrote it.
     pub template: Stored<Arc<Template>>,
-    /// How many workspaces use it.
+    /// Number of workspaces that use the template.
     pub workspaces: usize,
 }
 
@@ -89,9 +91,9 @@
 pub struct WorkspacesAnswer {
     /// The revision of the answer.
     pub revision: ConfigRevision,
-    /// One page of workspaces.
+    /// The workspaces of this page, in the order of names.
     pub workspaces: Vec<Stored<Arc<Workspace>>>,
-    /// Give this as `after` for the next page; absent on the last.
+    /// Value of `after` for the next page; absent on the last page.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub next: Option<String>,
 }
@@ -101,161 +103,161 @@
 pub struct WorkspaceAnswer {
     /// The revision of the answer.
     pub revision: ConfigRevision,
-    /// The workspace as written.
+    /// The workspace as the operator wrote it.
     pub workspace: Stored<Arc<Workspace>>,
-    /// Its parameters with the template's.
+    /// The template's parameters with the workspace's overrides applied.
     pub effective: Parameters,
 }
 
 /// Answer to `POST /v1/config/diff`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DiffAnswer {
-    /// The revision compared against.
+    /// The revision that the documents were compared with.
     pub revision: ConfigRevision,
-    /// What the documents would change.
+    /// The differences that applying the documents would make.
     pub diff: Vec<DocumentDiff>,
 }
 
-/// Answer to `GET /v1/config/history`, the newest first.
+/// Answer to `GET /v1/config/history`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HistoryAnswer {
-    /// The changes that the log still has.
+    /// The changes that are still kept, newest first.
     pub changes: Vec<ChangeSummary>,
 }
 
 /// One accepted change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ChangeSummary {
-    /// Its id, with its revision.
+    /// Id, which holds the revision of the change.
     pub id: ChangeId,
-    /// Who made it, and when.
+    /// The operator who made it, the time and the comment.
     pub origin: Origin,
-    /// What it did, one entry a document, such as `workspace bibb-county`.
+    /// The documents that it wrote or removed, each such as `workspace bibb-county`.
     pub edits: Vec<String>,
 }
 
 /// Answer to `GET /v1/config/changes/{id}`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ChangeAnswer {
-    /// The id asked for.
+    /// The id as given in the request.
     pub change: String,
-    /// What is known of it.
+    /// Whether the change was accepted, if that is known.
     pub state: ChangeState,
 }
 
-/// What is known of a change.
+/// Whether a change was accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "state", rename_all = "snake_case")]
 pub enum ChangeState {
-    /// It was accepted.
+    /// The change was accepted.
     Accepted {
-        /// The revision it made.
+        /// The revision that it created.
         revision: ConfigRevision,
     },
-    /// It was not accepted, and never will be.
+    /// The change was not accepted and never will be.
     NotAccepted,
-    /// It can't be known now; ask again.
+    /// It can't be determined now; query it again later.
     Unknown,
 }
 
 /// Answer to `GET /v1/status`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StatusAnswer {
-    /// The process that answers.
+    /// Name of the process that answers.
     pub process: String,
-    /// The revision it has in force.
+    /// The revision that this process has in force.
     pub revision: ConfigRevision,
     /// Where its configuration came from.
     pub source: ConfigSource,
-    /// How long ago the key-value service last answered it, in milliseconds.
+    /// Time since the key-value service last answered this process; absent if it never did.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub key_value_answered_ms_ago: Option<u64>,
-    /// Every process it knows of, itself included.
+    /// All processes that this process knows of, including itself.
     pub processes: Vec<ProcessStatus>,
 }
 
-/// Where a process has its configuration from.
+/// The source of a process's configuration.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ConfigSource {
-    /// It has none yet and refuses requests.
+    /// The process has no configuration yet and refuses requests.
     #[default]
     None,
-    /// The key-value service, by itself or through peers that watch it.
+    /// The key-value service, directly or through peers that watch it.
     KeyValue,
-    /// Peers only, the key-value service not having answered since its start: the highest
-    /// revision among them, which may not be the newest that was accepted.
+    /// Peers only, because the key-value service has not answered since the start of the process:
+    /// the highest revision among the peers, which may be older than the newest accepted one.
     PeersOnly,
 }
 
-/// What is known of one process.
+/// State of one process, as known to the process that answers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ProcessStatus {
-    /// Its name.
+    /// Name of the process, unique in the fleet.
     pub name: String,
     /// `entry` or `agent`.
     pub role: ProcessRole,
-    /// Its VM.
+    /// Name of the VM that the process runs on.
     pub vm: String,
-    /// Its data centre.
+    /// Name of the data centre of the VM.
     pub data_centre: String,
-    /// Whether it takes work.
+    /// Whether the process accepts work.
     pub state: ProcessState,
-    /// The revision it last reported to the process that answers; 0 if it never did.
+    /// The revision that the process last reported to the one that answers; 0 if it never did.
     pub revision: ConfigRevision,
-    /// Where operators reach it, if known.
+    /// Address of its operators' interface; absent if unknown.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub operators_address: Option<SocketAddr>,
-    /// How long ago it was heard, in milliseconds.
+    /// Time since the last message from the process.
     pub heard_ms_ago: u64,
 }
 
-/// Role of a process.
+/// The role of a process in the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ProcessRole {
-    /// Takes callers' requests.
+    /// Accepts callers' requests.
     Entry,
-    /// Guards a backend server.
+    /// Forwards requests to one backend server.
     Agent,
 }
 
-/// Whether a process takes work.
+/// Whether a process accepts work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ProcessState {
-    /// It is heard and takes work.
+    /// Reachable and accepts work.
     Live,
-    /// It finishes what it has and takes no more.
+    /// Drains: finishes requests in progress and accepts no more.
     Leaving,
-    /// It has not been heard for a while; it may be gone, or only cut off.
+    /// Has not been heard from for some time; it may have stopped or be unreachable.
     Silent,
 }
 
-/// An error answer.
+/// The body of an error response.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, thiserror::Error)]
 #[error("{code:?}: {message}")]
 pub struct ApiError {
-    /// What went wrong; never renamed.
+    /// Stable code of the error; part of the interface.
     pub code: ErrorCode,
-    /// The same in words.
+    /// Description of the error in words.
     pub message: String,
-    /// Files that can't be read: every error found.
+    /// All syntax errors, if the documents can't be parsed.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub syntax: Vec<DocumentError>,
-    /// Documents that are refused: every problem found.
+    /// All validation problems, if the documents are refused.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub problems: Vec<Problem>,
-    /// What others changed in between.
+    /// All conflicts, if other changes wrote the same documents.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub conflicts: Vec<Conflict>,
-    /// The change to ask for again, where the outcome is unknown.
+    /// Id to query the change by, if its outcome is unknown.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub change: Option<ChangeId>,
 }
 
 impl ApiError {
-    /// An error without details.
+    /// Creates an error without details.
     ///
     /// ```
     /// use flamingowheel_config::api::{ApiError, ErrorCode};
@@ -276,33 +278,33 @@
     }
 }
 
-/// What went wrong. The names are part of the interface.
+/// Code of an error. The serialised names are part of the interface.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ErrorCode {
     /// The operators' token is missing or wrong.
     Unauthorized,
-    /// The request itself can't be read.
+    /// The request itself is malformed.
     BadRequest,
-    /// The documents are not YAML of the right form.
+    /// The documents are not valid YAML, or have unknown, missing or mistyped fields.
     InvalidSyntax,
-    /// The documents break a rule.
+    /// The documents violate a validation rule.
     InvalidDocuments,
-    /// Somebody else changed the same documents.
+    /// Another change wrote the same documents after the revision that the operator had read.
     Conflict,
-    /// No such template, workspace or path.
+    /// The template, workspace or path does not exist.
     NotFound,
-    /// The change, or a bucket with it, would be too large.
+    /// The change, or a bucket with it, exceeds the size limit of a stored value.
     TooLarge,
-    /// Not accepted: the key-value service can't be reached, or others kept changing. Send it
-    /// again.
+    /// Not accepted: the key-value service is unreachable, or too many other changes came first.
+    /// The request can be sent again.
     Unavailable,
-    /// Nobody can tell yet whether it was accepted; ask for the change again.
+    /// It is not known yet whether the change was accepted; query it by its id.
     UnknownOutcome,
 }
 
 impl ErrorCode {
-    /// The HTTP status it goes with.
+    /// HTTP status code of the response.
     pub fn status(self) -> u16 {
         match self {
             Self::Unauthorized => 401,
--- a/crates/config/src/apply.rs
+++ b/crates/config/src/apply.rs
@@ -1,5 +1,5 @@
-//! Accepting a change: checks, then one compare-and-swap whose outcome is always found out or
-//! called unknown.
+//! Accepting a change: validation, then one compare-and-swap write whose outcome is either
+//! determined or reported as unknown.
 
 use crate::bucket::{SizeError, check_sizes};
 use crate::change::{Change, ChangeId, Conflict, DocumentDiff, Origin, diff, diff_one};
@@ -14,77 +14,78 @@
 use tokio::time::Instant;
 use uuid::Uuid;
 
-/// How often a change is tried again after another operator's unrelated one came first.
-const MAX_RACES: usize = 16;
-/// How long a lost answer is followed up before the outcome is called unknown.
-const RESOLVE_LIMIT: Duration = Duration::from_secs(5);
-/// Time between two questions about a lost answer.
+/// Attempts to accept a change when other changes are accepted first.
+const MAX_ATTEMPTS: usize = 16;
+/// How long an unanswered write is retried before its outcome is reported as unknown.
+const RESOLVE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time between two attempts of an unanswered write.
 const RESOLVE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What an operator asks for.
+/// An operator's request to change documents.
 #[derive(Clone, Debug)]
 pub struct ApplyRequest {
-    /// Random part of the change's id. The same request sent again under it is accepted once.
+    /// Random part of the change's id. Requests with the same value are accepted only once, so a
+    /// request can be retried.
     pub uuid: Uuid,
-    /// Who, when and why.
+    /// The operator, the time and the comment.
     pub origin: Origin,
-    /// What is to change.
+    /// The documents to write or remove.
     pub edits: Vec<Edit>,
-    /// The revision the operator looked at when writing them.
+    /// The revision that the operator had read before writing the edits.
     pub seen: ConfigRevision,
 }
 
-/// A request that was not refused.
+/// The result of a request that was not refused.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Applied {
-    /// It took effect as this change.
+    /// The request was accepted as this change.
     Accepted(Arc<Change>),
-    /// Everything was as asked already.
+    /// All documents already were as requested; nothing was written.
     Unchanged,
 }
 
-/// Why a change is not known to be accepted.
+/// Why a change was refused, or failed, or has an unknown outcome.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum ApplyError {
-    /// Documents break rules.
+    /// Documents violate validation rules; all violations are listed.
     #[error("{} problems in the documents", .0.len())]
     Invalid(Vec<Problem>),
-    /// Others changed the same documents.
+    /// Other changes wrote the same documents after the revision that the operator had read.
     #[error("{} documents were changed by others", .0.len())]
     Conflict(Vec<Conflict>),
-    /// It would not fit.
+    /// The change, or a bucket with it, exceeds the size limit of a value.
     #[error(transparent)]
     TooLarge(#[from] SizeError),
     /// Not accepted: the configuration could not be read or written.
     #[error("not accepted: {0}")]
     Store(#[from] StoreError),
-    /// Not accepted: others kept changing.
-    #[error("not accepted: others changed the configuration {MAX_RACES} times meanwhile")]
+    /// Not accepted: other changes came first in all attempts.
+    #[error("not accepted: others changed the configuration {MAX_ATTEMPTS} times meanwhile")]
     Contended,
-    /// Not accepted: somebody asked for its outcome before it was known, which voided it.
+    /// Not accepted: its outcome was queried before the write took effect, which voided the change.
     #[error("not accepted: voided by a question about its outcome")]
     Voided,
-    /// Nobody can tell yet whether it was accepted.
+    /// The change may or may not have been accepted; its state can be queried by its id.
     #[error("change {id} may have been accepted: {source}")]
     Unknown {
-        /// The id to ask with.
+        /// Id for [`Store::change_state`].
         id: ChangeId,
-        /// The last failure.
+        /// The error of the last attempt.
         source: KeyValueError,
     },
 }
 
-/// How one attempt to append ended.
-enum Appended {
+/// Outcome of one attempt to append a change to the log.
+enum AppendOutcome {
     Accepted,
-    /// The head had moved; the attempt has no effect and never will.
-    Raced,
-    /// An empty change took the revision.
+    /// The head had changed; the attempt has no effect and never will have.
+    LostRace,
+    /// An empty change used up the revision.
     Voided,
 }
 
 impl Store {
-    /// Has a change accepted; `replica` is brought up to date on the way.
+    /// Validates a change and writes it to the log; also brings `replica` up to date.
     pub async fn apply(
         &self,
         replica: &mut Replica,
@@ -93,57 +94,61 @@
         Ok(self.apply_with_diff(replica, request).await?.0)
     }
 
-    /// The same, with what differs through the change from what was in force before it.
+    /// Like [`Store::apply`], and also returns the difference that the change makes.
     pub async fn apply_with_diff(
         &self,
         replica: &mut Replica,
         request: &ApplyRequest,
     ) -> Result<(Applied, Vec<DocumentDiff>), ApplyError> {
-        for _ in 0..MAX_RACES {
-            let entry = self.catch_up(replica).await?;
+        for _ in 0..MAX_ATTEMPTS {
+            let current = self.catch_up(replica).await?;
             if let Some(change) = replica.find(request.uuid) {
                 return Ok((Applied::Accepted(Arc::clone(change)), Vec::new()));
             }
-            let entry = self.make_room(replica, entry).await?;
+            let current = self.ensure_free_slot(replica, current).await?;
             let Some(change) = prepare_change(replica, request)? else {
                 return Ok((Applied::Unchanged, Vec::new()));
             };
-            let differs = diff(replica.documents(), &change.edits);
-            match self.append(&entry, &change).await? {
-                Appended::Accepted => return Ok((accept(replica, change), differs)),
-                Appended::Raced => {}
-                Appended::Voided => return Err(ApplyError::Voided),
+            let diffs = diff(replica.documents(), &change.edits);
+            match self.append(&current, &change).await? {
+                AppendOutcome::Accepted => return Ok((accept(replica, change), diffs)),
+                AppendOutcome::LostRace => {}
+                AppendOutcome::Voided => return Err(ApplyError::Voided),
             }
         }
         Err(ApplyError::Contended)
     }
 
-    /// Folds the log first if the change would overwrite a slot that is not yet folded.
-    async fn make_room(
+    /// Folds the log if the next change would overwrite a slot that is not yet folded.
+    async fn ensure_free_slot(
         &self,
         replica: &mut Replica,
-        entry: VersionedHead,
+        current: VersionedHead,
     ) -> Result<VersionedHead, StoreError> {
-        if entry.has_room() {
-            return Ok(entry);
+        if current.has_free_slot() {
+            return Ok(current);
         }
         self.fold(replica).await?;
         self.catch_up(replica).await
     }
 
-    /// Sends the transaction until its outcome is known or the time is up.
+    /// Sends the transaction until its outcome is known or [`RESOLVE_TIMEOUT`] has passed.
     ///
-    /// An answer can be lost after the write took effect, or the write can arrive late, after a
-    /// read that did not find it. So the same transaction is sent again rather than read back
-    /// alone: once it either succeeds or fails its comparison, no earlier copy can take effect
-    /// any more, and the slot tells whose change is there.
-    async fn append(&self, entry: &VersionedHead, change: &Change) -> Result<Appended, ApplyError> {
-        let transaction = append_transaction(entry, change);
-        let deadline = Instant::now() + RESOLVE_LIMIT;
+    /// A response can be lost after the write took effect, or the write can arrive late, after a
+    /// read that did not find it. So the same transaction is sent again instead of only reading
+    /// the slot: once a copy succeeds or fails its comparison, no earlier copy can take effect any
+    /// more, and the slot shows which change was accepted.
+    async fn append(
+        &self,
+        current: &VersionedHead,
+        change: &Change,
+    ) -> Result<AppendOutcome, ApplyError> {
+        let transaction = append_transaction(current, change);
+        let deadline = Instant::now() + RESOLVE_TIMEOUT;
         let mut in_doubt = false;
         loop {
             let source = match self.append_once(&transaction, change.id).await {
-                Ok(Some(appended)) => return Ok(appended),
+                Ok(Some(outcome)) => return Ok(outcome),
                 Ok(None) => KeyValueError::Malformed { what: "slot used again" },
                 Err(StoreError::KeyValue(source)) => source,
                 Err(error) if !in_doubt => return Err(error.into()),
@@ -160,36 +165,37 @@
         }
     }
 
-    /// One try; `None` if the slot has gone to a change a whole ring later.
+    /// Sends the transaction once; `None` if the slot was reused by a later change, so that the
+    /// outcome can't be read any more.
     async fn append_once(
         &self,
         transaction: &Transaction,
         id: ChangeId,
-    ) -> Result<Option<Appended>, StoreError> {
+    ) -> Result<Option<AppendOutcome>, StoreError> {
         let answer = self.kv.transact(transaction.clone()).await?;
         if answer.succeeded {
-            return Ok(Some(Appended::Accepted));
+            return Ok(Some(AppendOutcome::Accepted));
         }
         let Some(found) = slot_change(answer.reads.first().and_then(Option::as_ref))? else {
-            return Ok(Some(Appended::Raced));
+            return Ok(Some(AppendOutcome::LostRace));
         };
         Ok(match found.revision() {
-            _ if found.id == id => Some(Appended::Accepted),
+            _ if found.id == id => Some(AppendOutcome::Accepted),
             revision if revision > id.revision => None,
-            _ if found.voids == Some(id) => Some(Appended::Voided),
-            _ => Some(Appended::Raced),
+            _ if found.voids == Some(id) => Some(AppendOutcome::Voided),
+            _ => Some(AppendOutcome::LostRace),
         })
     }
 }
 
 fn accept(replica: &mut Replica, change: Change) -> Applied {
     let change = Arc::new(change);
-    // It follows directly: the append compared the head that the replica had been brought to.
+    // This change is the next one: the append compared the head that the replica was brought to.
     let _ = replica.advance(Arc::clone(&change));
     Applied::Accepted(change)
 }
 
-/// The change to write, `None` if there is nothing to do.
+/// Validates a request and builds the change to write; `None` if no document would differ.
 pub fn prepare_change(
     replica: &Replica,
     request: &ApplyRequest,
@@ -213,24 +219,24 @@
     Ok(Some(change))
 }
 
-/// Documents that somebody else wrote or removed after the operator looked.
+/// Documents that other changes wrote or removed after the revision that the operator had read.
 fn find_conflicts(replica: &Replica, request: &ApplyRequest, edits: &[Edit]) -> Vec<Conflict> {
-    let newer = |edit: &&Edit| last_change(replica, edit).is_some_and(|at| at > request.seen);
+    let newer = |edit: &&Edit| last_revision(replica, edit).is_some_and(|at| at > request.seen);
     edits.iter().filter(newer).map(|edit| conflict(replica, request.seen, edit)).collect()
 }
 
-fn last_change(replica: &Replica, edit: &Edit) -> Option<ConfigRevision> {
+fn last_revision(replica: &Replica, edit: &Edit) -> Option<ConfigRevision> {
     let stored = replica.documents().revision_of(edit.kind(), edit.name());
-    stored.or_else(|| changed_by(replica, edit).map(|change| change.revision()))
+    stored.or_else(|| latest_change(replica, edit).map(|change| change.revision()))
 }
 
-fn changed_by<'a>(replica: &'a Replica, edit: &Edit) -> Option<&'a Arc<Change>> {
+fn latest_change<'a>(replica: &'a Replica, edit: &Edit) -> Option<&'a Arc<Change>> {
     let same = |other: &Edit| other.kind() == edit.kind() && other.name() == edit.name();
     replica.history().find(|change| change.edits.iter().any(same))
 }
 
 fn conflict(replica: &Replica, seen: ConfigRevision, edit: &Edit) -> Conflict {
-    let change = changed_by(replica, edit);
+    let change = latest_change(replica, edit);
     Conflict {
         kind: edit.kind(),
         name: edit.name().to_owned(),
--- a/crates/config/src/bucket.rs
+++ b/crates/config/src/bucket.rs
@@ -1,11 +1,11 @@
-//! How the configuration lies in the key-value service.
+//! Layout of the configuration in the key-value service.
 //!
-//! * `head` names the newest revision. Every write to the configuration compares it, so that it
-//!   orders all writers.
-//! * `log/NNN` is a ring of slots, one change each. A change is accepted by one transaction that
-//!   writes its slot and `head`; a watch on the log therefore brings each change by itself.
-//! * `bucket/…` hold the documents, folded now and then from the log. A reader takes the buckets
-//!   and applies what the log has beyond them.
+//! * `head` holds the newest revision. Every write to the configuration compares it, which orders
+//!   all writers.
+//! * `log/NNN` is a ring of slots with one change each. A change is accepted by one transaction that
+//!   writes its slot and `head`; a watch on the log therefore delivers each change separately.
+//! * `bucket/…` hold the documents. The log is folded (compacted) into them when enough changes
+//!   have accumulated. A reader loads the buckets and applies the newer changes of the log.
 
 use crate::change::{Change, ChangeId};
 use crate::document::{Edit, Kind};
@@ -18,45 +18,45 @@
 use std::sync::Arc;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// What all keys of the configuration begin with.
+/// Prefix of all keys of the configuration.
 pub const CONFIG_PREFIX: &str = "flamingowheel/config/";
-/// Key of the [`Head`].
+/// Key under which the [`Head`] is stored.
 pub const HEAD_KEY: &str = "flamingowheel/config/head";
-/// What the keys of the log begin with.
+/// Prefix of the keys of the log slots.
 pub const LOG_PREFIX: &str = "flamingowheel/config/log/";
-/// What the keys of the buckets begin with.
+/// Prefix of the keys of the buckets.
 pub const BUCKET_PREFIX: &str = "flamingowheel/config/bucket/";
-/// Buckets of workspaces. It is part of the stored form: a change of it needs a migration.
+/// Number of buckets for workspaces. Part of the stored format: changing it needs a migration.
 pub const WORKSPACE_BUCKETS: u8 = 48;
-/// Slots of the log, and so the changes that history reaches back.
+/// Number of log slots, and thereby of the changes that the history covers.
 pub const LOG_SLOTS: u64 = 512;
-/// Unfolded changes at which the log is folded into the buckets.
+/// Number of unfolded changes at which the log is folded into the buckets.
 pub const FOLD_THRESHOLD: u64 = 256;
 
-/// The newest revision, and how far the buckets are.
+/// The newest revision, and the revision up to which the log is folded into the buckets.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Head {
-    /// The newest revision.
+    /// Revision of the newest accepted change; 0 before the first.
     pub revision: ConfigRevision,
-    /// The change that made it.
+    /// Id of the newest accepted change; absent before the first.
     pub change: Option<ChangeId>,
-    /// Every bucket holds at least all changes up to here, so that the log slots up to here may
-    /// be used again.
+    /// Every bucket holds at least all changes up to this revision, so the log slots of these
+    /// changes may be reused.
     pub folded: ConfigRevision,
 }
 
-/// A bucket of documents.
+/// Identifies a bucket of documents.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum BucketId {
-    /// All templates.
+    /// The bucket of all templates.
     Templates,
-    /// The workspaces whose names hash to this number.
+    /// The bucket of the workspaces whose names hash to this number, below [`WORKSPACE_BUCKETS`].
     Workspaces(u8),
 }
 
 impl BucketId {
-    /// The bucket of a document.
+    /// The bucket that stores the document of this kind and name.
     pub fn of(kind: Kind, name: &str) -> Self {
         match kind {
             Kind::Template => Self::Templates,
@@ -67,12 +67,12 @@
         }
     }
 
-    /// All buckets.
+    /// The bucket of templates, then those of workspaces by number.
     pub fn all() -> impl Iterator<Item = Self> {
         std::iter::once(Self::Templates).chain((0..WORKSPACE_BUCKETS).map(Self::Workspaces))
     }
 
-    /// Its key.
+    /// Key of the bucket in the key-value service.
     ///
     /// ```
     /// use flamingowheel_config::bucket::BucketId;
@@ -85,32 +85,32 @@
         }
     }
 
-    /// Prefixes that together cover all buckets, so that no answer to a range read is larger
-    /// than sixteen values.
+    /// Prefixes that together cover all buckets, each matching at most 16 values, to limit the
+    /// size of one range read.
     pub fn range_prefixes() -> impl Iterator<Item = String> {
         let digits = (0..WORKSPACE_BUCKETS / 16).map(|digit| format!("{BUCKET_PREFIX}{digit:x}"));
         std::iter::once(Self::Templates.key()).chain(digits)
     }
 }
 
-/// The documents of a bucket, as stored.
+/// The stored value of a bucket.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Bucket {
-    /// Which one it is.
+    /// Id of this bucket.
     pub id: BucketId,
-    /// It holds all changes up to here.
+    /// The bucket holds all changes up to this revision.
     pub folded: ConfigRevision,
-    /// Templates; in their own bucket only.
+    /// All templates; empty except in [`BucketId::Templates`].
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub templates: Vec<Stored<Arc<Template>>>,
-    /// Workspaces.
+    /// The workspaces of this bucket; empty in [`BucketId::Templates`].
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub workspaces: Vec<Stored<Arc<Workspace>>>,
 }
 
 impl Bucket {
-    /// The part of `documents` that belongs here.
+    /// The documents of `documents` that belong to this bucket.
     ///
     /// ```
     /// use flamingowheel_config::{bucket::{Bucket, BucketId}, effective::Documents};
@@ -123,21 +123,21 @@
         if id == BucketId::Templates {
             bucket.templates = documents.templates.values().cloned().collect();
         } else {
-            let own = |name: &str| BucketId::of(Kind::Workspace, name) == id;
-            let workspaces = documents.workspaces.iter().filter(|(name, _)| own(name));
+            let belongs = |name: &str| BucketId::of(Kind::Workspace, name) == id;
+            let workspaces = documents.workspaces.iter().filter(|(name, _)| belongs(name));
             bucket.workspaces = workspaces.map(|(_, stored)| stored.clone()).collect();
         }
         bucket
     }
 
-    /// Adds the bucket's documents to `documents`.
+    /// Inserts the bucket's documents into `documents`, replacing those of the same names.
     pub fn add_to(self, documents: &mut Documents) {
         self.templates.into_iter().for_each(|stored| documents.put_template(stored));
         self.workspaces.into_iter().for_each(|stored| documents.put_workspace(stored));
     }
 }
 
-/// Key of the log slot of a revision.
+/// Key of the log slot for a revision; revisions [`LOG_SLOTS`] apart share a slot.
 ///
 /// ```
 /// use flamingowheel_config::{bucket, effective::ConfigRevision};
@@ -147,34 +147,34 @@
     format!("{LOG_PREFIX}{:03}", revision.0 % LOG_SLOTS)
 }
 
-/// The buckets that these edits touch.
+/// The buckets that store the documents of these edits.
 pub fn affected_buckets(edits: &[Edit]) -> BTreeSet<BucketId> {
     edits.iter().map(|edit| BucketId::of(edit.kind(), edit.name())).collect()
 }
 
-/// A value that the service would not store.
+/// A value is larger than the key-value service accepts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SizeError {
-    /// The change itself.
+    /// The change, as stored in its log slot.
     #[error("the change has {bytes} bytes, more than the {MAX_VALUE_BYTES} of one value")]
     Change {
-        /// Its size.
+        /// Encoded size of the change.
         bytes: usize,
     },
-    /// A bucket, once the change is folded into it.
+    /// A bucket after the change is folded into it.
     #[error(
         "bucket {bucket:?} would have {bytes} bytes, more than the {MAX_VALUE_BYTES} of a value"
     )]
     Bucket {
-        /// Which.
+        /// The bucket that would be too large.
         bucket: BucketId,
-        /// Its size.
+        /// Encoded size of the bucket.
         bytes: usize,
     },
 }
 
-/// Refuses a change that could be written to the log but never folded: it would block the log for
-/// every later change, which nobody would notice until the ring is full.
+/// Refuses a change that could be written to the log but not folded into its buckets. Folding
+/// would fail on it, which goes unnoticed until the ring is full and no change is accepted.
 pub fn check_sizes(after: &Documents, change: &Change) -> Result<(), SizeError> {
     let bytes = encode(change).len();
     if bytes > MAX_VALUE_BYTES {
@@ -189,11 +189,11 @@
     Ok(())
 }
 
-/// A value as stored.
+/// Encodes a value as it is stored, in JSON.
 pub fn encode<T>(value: &T) -> Vec<u8>
 where
     T: Serialize,
 {
-    // The types of this module have text keys only and finite numbers, the two things JSON needs.
+    // The stored types have only string keys and finite numbers, as JSON requires.
     serde_json::to_vec(value).unwrap_or_default()
 }
--- a/crates/config/src/desired.rs
+++ b/crates/config/src/desired.rs
@@ -1,30 +1,30 @@
-//! What operators want served of a model, over all templates and workspaces.
+//! The version and adapters of a model that templates and workspaces configure.
 
 use crate::effective::{EffectiveConfig, EffectiveWorkspace};
 use crate::template::Model;
 use std::collections::{BTreeSet, HashSet};
 use std::sync::Arc;
 
-/// Version and adapters of one model.
+/// The version and adapters that the engines of a model have to serve.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DesiredModel {
-    /// The version that is named; `None` if nobody names one.
+    /// The configured version; `None` if no document names one.
     pub version: Option<String>,
-    /// Every adapter that some workspace may name.
+    /// All adapters that requests of some workspace may name.
     pub adapters: BTreeSet<String>,
 }
 
-/// What is wanted of a model; `None` if no workspace may ask for it.
+/// The desired state of a model; `None` if no workspace may use it.
 ///
-/// Validation lets no two versions of a model through. Documents that were stored before it did may
-/// still name two; then the one of the first template by name counts, and of its first workspace.
+/// Validation accepts only one version per model. Documents stored before that check existed may
+/// name two; then the first one wins, ordered by template name and then by workspace name.
 ///
 /// ```
 /// use flamingowheel_config::{desired::desired_model, effective::EffectiveConfig};
 /// assert_eq!(desired_model(&EffectiveConfig::default(), "notes"), None);
 /// ```
 pub fn desired_model(effective: &EffectiveConfig, model: &str) -> Option<DesiredModel> {
-    // Most workspaces share their template's parameters, so few have to be looked at.
+    // Most workspaces share their template's parameters; each set is read once.
     let mut seen = HashSet::new();
     let mut workspaces: Vec<(&EffectiveWorkspace, &Model)> = effective
         .workspaces()
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -1,4 +1,4 @@
-//! The YAML that operators write: one or more documents in a file.
+//! The YAML format of operators' changes: one or more documents in a file.
 //!
 //! ```yaml
 //! kind: template
@@ -21,35 +21,35 @@
 use crate::yaml;
 use serde::{Deserialize, Serialize};
 
-/// The largest file of documents that is read, in bytes.
+/// Largest accepted file of documents.
 pub const MAX_FILE_BYTES: usize = 256 * 1024;
 
-/// One step of a change: what a document asks for.
+/// One document of a change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Edit {
-    /// Create or replace a template.
+    /// Creates or replaces a template.
     PutTemplate(Template),
-    /// Create or replace a workspace.
+    /// Creates or replaces a workspace.
     PutWorkspace(Workspace),
-    /// Remove a template that no workspace uses.
+    /// Removes a template by name; refused while a workspace uses it.
     RemoveTemplate(String),
-    /// Remove a workspace.
+    /// Removes a workspace by name.
     RemoveWorkspace(String),
 }
 
-/// What a document is about.
+/// The kind of object that a document defines or removes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
-    /// A template.
+    /// Parameters shared by many workspaces.
     Template,
-    /// A workspace.
+    /// Tokens, a template's name and overrides.
     Workspace,
 }
 
 impl Edit {
-    /// What the edit is about.
+    /// The kind of object that the edit writes or removes.
     pub fn kind(&self) -> Kind {
         match self {
             Self::PutTemplate(_) | Self::RemoveTemplate(_) => Kind::Template,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Name of the template or workspace.
+    /// Name of the template or workspace that the edit writes or removes.
     ///
     /// ```
     /// use flamingowheel_config::document::Edit;
@@ -72,26 +72,26 @@
     }
 }
 
-/// Why a file of documents can't be read.
+/// An error of reading a file of documents.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[serde(tag = "code", rename_all = "snake_case")]
 pub enum DocumentError {
     /// Not YAML, or a field is unknown, missing or of the wrong type.
     #[error("document {document}, line {line}, column {column}: {message}")]
     Syntax {
-        /// Which document of the file, from 1.
+        /// Position of the document in the file, from 1.
         document: usize,
-        /// Line in the file, from 1; 0 where the parser names none.
+        /// Line in the file, from 1; 0 if the parser gives no position.
         line: usize,
-        /// Column, from 1.
+        /// Column, from 1; 0 if the parser gives no position.
         column: usize,
-        /// What the parser said.
+        /// The parser's error message.
         message: String,
     },
-    /// The file is too large.
+    /// The file is larger than [`MAX_FILE_BYTES`].
     #[error("{bytes} bytes are more than the {MAX_FILE_BYTES} that one change may have")]
     TooLarge {
-        /// Its size.
+        /// Size of the file.
         bytes: usize,
     },
     /// The file holds no document.
@@ -100,7 +100,8 @@
 }
 
 impl DocumentError {
-    /// Whether it is the same error at the same place, whatever document it is counted to.
+    /// Whether both are the same error at the same position, whatever document they are reported
+    /// for.
     fn is_repeat_of(&self, other: &Self) -> bool {
         match (self, other) {
             (
@@ -112,7 +113,7 @@
     }
 }
 
-/// Reads all documents of a file, or every syntax error that can be found in one pass.
+/// Parses all documents of a file, or returns every syntax error found in one pass.
 ///
 /// ```
 /// use flamingowheel_config::document::{Edit, parse};
@@ -127,13 +128,13 @@
     let kinds = serde_yaml_ng::Deserializer::from_str(text);
     let bodies = serde_yaml_ng::Deserializer::from_str(text);
     for (index, (kind, body)) in kinds.zip(bodies).enumerate() {
-        match yaml::guard(|| read_one(kind, body)) {
+        match yaml::catch_panic(|| parse_document(kind, body)) {
             Ok(Some(edit)) => edits.push(edit),
             Ok(None) => {}
             Err(error) => {
-                let error = syntax(index + 1, &error);
-                // After text that is no YAML at all the parser gives the same error as the next
-                // document, and the next, without end; taking them all would eat the memory.
+                let error = syntax_error(index + 1, &error);
+                // After text that is not YAML the parser returns the same error for every
+                // following document, without end; collecting them would exhaust the memory.
                 if errors.last().is_some_and(|last| error.is_repeat_of(last)) {
                     break;
                 }
@@ -150,9 +151,9 @@
     Ok(edits)
 }
 
-/// Reads the kind first and the body by it, since an enum tagged inside would lose the lines of
-/// its errors.
-fn read_one(
+/// Parses the kind first and then the body of that kind: an internally tagged enum would lose the
+/// line numbers of errors.
+fn parse_document(
     kind: serde_yaml_ng::Deserializer<'_>,
     body: serde_yaml_ng::Deserializer<'_>,
 ) -> Result<Option<Edit>, serde_yaml_ng::Error> {
@@ -165,7 +166,7 @@
     Ok(Some(edit))
 }
 
-fn syntax(document: usize, error: &serde_yaml_ng::Error) -> DocumentError {
+fn syntax_error(document: usize, error: &serde_yaml_ng::Error) -> DocumentError {
     let (line, column) = error.location().map_or((0, 0), |at| (at.line(), at.column()));
     DocumentError::Syntax { document, line, column, message: error.to_string() }
 }
--- a/crates/config/src/effective.rs
+++ b/crates/config/src/effective.rs
@@ -1,4 +1,4 @@
-//! What traffic looks up: every workspace with its template's parameters resolved.
+//! The configuration as requests use it: workspaces with their template's parameters resolved.
 
 use crate::document::{Edit, Kind};
 use crate::template::{Parameters, Rebalancing, Template};
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-/// Number of a change: the first is 1, and each accepted change has the next.
+/// Revision of the configuration: 0 when empty, increased by 1 by each accepted change.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -16,25 +16,26 @@
 pub struct ConfigRevision(pub u64);
 
 impl ConfigRevision {
-    /// The revision of the next change.
+    /// The revision that the next accepted change gets.
     pub fn next(self) -> Self {
         Self(self.0 + 1)
     }
 }
 
-/// A document and the change that wrote it last.
+/// A document with the revision that last wrote it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Stored<T> {
-    /// Revision of the last change to it.
+    /// Revision of the change that last wrote the document.
     pub revision: ConfigRevision,
-    /// The document.
+    /// The document as the operator wrote it.
     pub document: T,
 }
 
-/// All documents as of one revision. Clones share their tables until one of them is edited.
+/// All documents as of one revision. Clones share their maps until one of them is edited
+/// (copy-on-write).
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Documents {
-    /// The revision.
+    /// Revision of the last applied change.
     pub revision: ConfigRevision,
     /// Templates by name.
     pub templates: Arc<BTreeMap<String, Stored<Arc<Template>>>>,
@@ -43,7 +44,7 @@
 }
 
 impl Documents {
-    /// Takes the edits of one change and becomes its revision.
+    /// Applies the edits of one change and sets the revision to that of the change.
     pub fn apply(&mut self, revision: ConfigRevision, edits: &[Edit]) {
         for edit in edits {
             self.apply_one(revision, edit);
@@ -70,17 +71,17 @@
         }
     }
 
-    /// Takes a stored template as it is.
+    /// Inserts a template with its stored revision, replacing the one of the same name.
     pub fn put_template(&mut self, stored: Stored<Arc<Template>>) {
         Arc::make_mut(&mut self.templates).insert(stored.document.name.clone(), stored);
     }
 
-    /// Takes a stored workspace as it is.
+    /// Inserts a workspace with its stored revision, replacing the one of the same name.
     pub fn put_workspace(&mut self, stored: Stored<Arc<Workspace>>) {
         Arc::make_mut(&mut self.workspaces).insert(stored.document.name.clone(), stored);
     }
 
-    /// The change that last wrote the document of this kind and name, if it exists.
+    /// Revision of the change that last wrote this document; `None` if it does not exist.
     pub fn revision_of(&self, kind: Kind, name: &str) -> Option<ConfigRevision> {
         match kind {
             Kind::Template => self.templates.get(name).map(|stored| stored.revision),
@@ -89,28 +90,29 @@
     }
 }
 
-/// A workspace as requests see it. A request keeps the one it began with, so that removing or
-/// changing a workspace leaves requests in progress alone.
+/// A workspace as requests use it. A request keeps the value it started with, so changing or
+/// removing a workspace does not affect requests in progress.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EffectiveWorkspace {
-    /// Its name.
+    /// Name of the workspace.
     pub name: Arc<str>,
-    /// The template it comes from.
+    /// Name of its template.
     pub template: Arc<str>,
-    /// Hashes of its tokens.
+    /// Hashes of the tokens that its callers may use.
     pub token_sha256: Arc<[TokenHash]>,
-    /// Its parameters; shared with the template's other workspaces if nothing is overridden.
+    /// The template's parameters with the workspace's overrides applied; shared with the
+    /// template's other workspaces if nothing is overridden.
     pub parameters: Arc<Parameters>,
-    /// How experts of the groups that serve it are rebalanced.
+    /// The template's weights for rebalancing the experts of the groups that serve the workspace.
     pub rebalancing: Arc<Rebalancing>,
 }
 
 impl EffectiveWorkspace {
-    /// Whether a caller with this token belongs to the workspace. All hashes are compared, so
-    /// that the time tells nothing.
+    /// Whether this token belongs to the workspace. Compares all hashes in constant time, so that
+    /// the timing reveals nothing about the stored hashes.
     pub fn accepts_token(&self, token: &[u8]) -> bool {
         let hash = TokenHash::of(token);
-        self.token_sha256.iter().fold(false, |found, own| found | own.ct_eq(&hash))
+        self.token_sha256.iter().fold(false, |found, stored| found | stored.ct_eq(&hash))
     }
 }
 
@@ -147,8 +149,8 @@
     }
 }
 
-/// Every workspace as of one revision; built at once, so that a template's change is seen in all
-/// of its workspaces or in none.
+/// All workspaces as of one revision. The value is replaced as a whole, so a change of a template
+/// takes effect in all of its workspaces or in none.
 #[derive(Clone, Debug, Default)]
 pub struct EffectiveConfig {
     revision: ConfigRevision,
@@ -158,8 +160,8 @@
 }
 
 impl EffectiveConfig {
-    /// Resolves all workspaces. One whose template is missing is left out: validation lets none
-    /// through, and a request for it is refused rather than served without limits.
+    /// Resolves all workspaces. A workspace without its template is left out: validation accepts
+    /// none, and requests for it are refused rather than served without limits.
     ///
     /// ```
     /// use flamingowheel_config::effective::{Documents, EffectiveConfig};
@@ -170,7 +172,9 @@
         let templates = templates.map(|stored| EffectiveTemplate::new(&stored.document));
         let mut effective = Self {
             revision: documents.revision,
-            templates: Arc::new(templates.map(|own| (Arc::clone(&own.name), own)).collect()),
+            templates: Arc::new(
+                templates.map(|template| (Arc::clone(&template.name), template)).collect(),
+            ),
             ..Self::default()
         };
         for stored in documents.workspaces.values() {
@@ -181,9 +185,9 @@
         effective
     }
 
-    /// The same as [`EffectiveConfig::new`] of these documents, given the edits that led to them from
-    /// those this was made of. Almost all changes are of single workspaces, and resolving the
-    /// others again would cost more than all the rest of a change.
+    /// Equals [`EffectiveConfig::new`] of `documents`, where `edits` turn the documents that `self`
+    /// was built from into `documents`. Almost all changes affect single workspaces, and resolving
+    /// all the others again would cost more than the rest of a change.
     pub fn with_edits(&self, documents: &Documents, edits: &[Edit]) -> Self {
         if edits.iter().any(|edit| edit.kind() == Kind::Template) {
             return Self::new(documents);
@@ -193,7 +197,7 @@
             next.remove(edit.name());
         }
         for edit in edits {
-            next.resolve(documents, edit.name());
+            next.resolve_workspace(documents, edit.name());
         }
         next
     }
@@ -205,7 +209,7 @@
         }
     }
 
-    fn resolve(&mut self, documents: &Documents, name: &str) {
+    fn resolve_workspace(&mut self, documents: &Documents, name: &str) {
         let Some(workspace) = documents.workspaces.get(name) else { return };
         if let Some(template) = self.templates.get(workspace.document.template.as_str()) {
             self.insert(template.resolve(&workspace.document));
@@ -220,24 +224,24 @@
         self.by_name.insert(Arc::clone(&workspace.name), workspace);
     }
 
-    /// The revision all of it belongs to.
+    /// The revision of the documents that all workspaces were resolved from.
     pub fn revision(&self) -> ConfigRevision {
         self.revision
     }
 
-    /// A workspace by name.
+    /// Looks up a workspace by name.
     pub fn workspace(&self, name: &str) -> Option<&Arc<EffectiveWorkspace>> {
         self.by_name.get(name)
     }
 
-    /// The workspace whose caller presents this token. The table is keyed by hash: what a caller
-    /// can learn from its timing is about hashes it can't choose.
+    /// The workspace that this token belongs to. The map is keyed by hash, so the timing of a
+    /// lookup reveals only something about hashes, which a caller can't choose.
     pub fn workspace_by_token(&self, token: &[u8]) -> Option<&Arc<EffectiveWorkspace>> {
         let workspace = self.by_token.get(&TokenHash::of(token))?;
         workspace.accepts_token(token).then_some(workspace)
     }
 
-    /// All workspaces, in no order.
+    /// All workspaces, in no particular order.
     pub fn workspaces(&self) -> impl Iterator<Item = &Arc<EffectiveWorkspace>> {
         self.by_name.values()
     }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,9 +1,9 @@
-//! Settings of the daemon, and the operators' configuration: templates, workspaces and how they
-//! are stored.
+//! Settings of the daemon, and the fleet-wide configuration that operators write: templates,
+//! workspaces and their storage.
 //!
-//! [`settings`] is what one process is told by its own file. Everything else is what the whole
-//! fleet agrees on: operators write [`document`]s, [`validate`] checks them, [`store`] appends
-//! them to the log in the key-value service, and [`effective`] is what traffic looks up.
+//! [`settings`] are read by each process from its own file. Everything else is shared by the
+//! fleet: operators write [`document`]s, [`validate`] checks them, [`store`] appends them to the
+//! log in the key-value service, and requests are resolved through [`effective`].
 
 pub mod api;
 pub mod apply;
--- a/crates/config/src/problem.rs
+++ b/crates/config/src/problem.rs
@@ -1,4 +1,4 @@
-//! Why a value is refused; shared by settings and documents.
+//! Reasons for refusing a value, shared by settings and documents.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,121 +6,121 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, thiserror::Error)]
 #[serde(tag = "reason", rename_all = "snake_case")]
 pub enum Reason {
-    /// A field that is needed here is absent.
+    /// A required field is absent.
     #[error("is missing")]
     Missing,
-    /// The field does not belong here, given the other fields.
+    /// The field is not allowed together with the other fields.
     #[error("does not belong here")]
     Unexpected,
-    /// The value is empty.
+    /// The list or text is empty.
     #[error("is empty")]
     Empty,
-    /// The value lies below its lower bound.
+    /// The value is below its lower bound.
     #[error("is {value}, below the least allowed {min}")]
     TooSmall {
-        /// The value found.
+        /// The refused value.
         value: f64,
-        /// The least allowed.
+        /// The smallest allowed value.
         min: f64,
     },
-    /// The value lies above its upper bound.
+    /// The value is above its upper bound.
     #[error("is {value}, above the most allowed {max}")]
     TooLarge {
-        /// The value found.
+        /// The refused value.
         value: f64,
-        /// The most allowed.
+        /// The largest allowed value.
         max: f64,
     },
     /// The value is not a finite number.
     #[error("is not a finite number")]
     NotFinite,
-    /// Names are 1 to 63 of lower-case letters, digits, `-`, `.` and `_`, and begin with a letter
-    /// or digit.
+    /// Not a name. Names consist of 1 to 63 lower-case letters, digits, `-`, `.` and `_`, and begin
+    /// with a letter or digit.
     #[error("`{value}` is not a name: 1 to 63 of a-z 0-9 - . _ beginning with a letter or digit")]
     NotAName {
-        /// The value found.
+        /// The refused value.
         value: String,
     },
-    /// A path that does not begin with `/`.
+    /// The path does not begin with `/`.
     #[error("`{value}` does not begin with /")]
     NotAPath {
-        /// The value found.
+        /// The refused value.
         value: String,
     },
-    /// Not an HTTP method in capitals.
+    /// Not an HTTP method in upper case.
     #[error("`{value}` is not an HTTP method")]
     NotAMethod {
-        /// The value found.
+        /// The refused value.
         value: String,
     },
-    /// Two entries that must differ are the same.
+    /// A value that must be unique occurs twice.
     #[error("`{value}` occurs twice")]
     Duplicate {
         /// The value that occurs twice.
         value: String,
     },
-    /// A name refers to something that does not exist.
+    /// The named object does not exist.
     #[error("`{value}` does not exist")]
     NotFound {
-        /// The name.
+        /// Name of the missing object.
         value: String,
     },
-    /// Something that is to be removed is still referred to.
+    /// The template to be removed is still used by workspaces.
     #[error("is still used by {count} workspaces, for example `{example}`")]
     InUse {
-        /// How many refer to it.
+        /// Number of workspaces that use it.
         count: usize,
-        /// One of them.
+        /// Name of one of these workspaces.
         example: String,
     },
-    /// A token hash that belongs to another workspace already.
+    /// The token hash already belongs to another workspace.
     #[error("is the token of workspace `{workspace}` already")]
     TokenTaken {
-        /// The other workspace.
+        /// Name of the other workspace.
         workspace: String,
     },
-    /// A version of a model while another document names another one.
+    /// The document names a version of a model, and another document names a different one.
     #[error(
         "is `{value}`, but {holder} names version `{other}`, and groups serve one: change both at once"
     )]
     OtherVersion {
-        /// The version found.
+        /// The refused version.
         value: String,
-        /// The other version.
+        /// The version in the other document.
         other: String,
-        /// The template or workspace that names it.
+        /// Kind and name of the other document.
         holder: String,
     },
-    /// A file could not be read.
+    /// The file can't be read.
     #[error("file {file} can't be read: {kind}")]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         file: String,
-        /// The operating system's kind of error.
+        /// Description of the I/O error.
         kind: String,
     },
 }
 
-/// Appends problems under field paths.
+/// Collects the problems of a document or file by field path.
 #[derive(Debug)]
 pub(crate) struct Collector<P> {
-    pub(crate) found: Vec<P>,
+    pub(crate) problems: Vec<P>,
     make: fn(String, Reason) -> P,
 }
 
 impl<P> Collector<P> {
     pub(crate) fn new(make: fn(String, Reason) -> P) -> Self {
-        Self { found: Vec::new(), make }
+        Self { problems: Vec::new(), make }
     }
 
     pub(crate) fn push<S>(&mut self, field: S, reason: Reason)
     where
         S: Into<String>,
     {
-        self.found.push((self.make)(field.into(), reason));
+        self.problems.push((self.make)(field.into(), reason));
     }
 
-    pub(crate) fn range<S>(&mut self, field: S, value: f64, min: f64, max: f64)
+    pub(crate) fn check_range<S>(&mut self, field: S, value: f64, min: f64, max: f64)
     where
         S: Into<String>,
     {
@@ -133,7 +133,7 @@
         }
     }
 
-    pub(crate) fn name<S>(&mut self, field: S, value: &str)
+    pub(crate) fn check_name<S>(&mut self, field: S, value: &str)
     where
         S: Into<String>,
     {
@@ -143,7 +143,7 @@
     }
 }
 
-/// Whether `value` may name a template, workspace, model, adapter or service.
+/// Whether `value` is a valid name of a template, workspace, model, adapter or service.
 ///
 /// ```
 /// use flamingowheel_config::problem::is_name;
--- a/crates/config/src/replica.rs
+++ b/crates/config/src/replica.rs
@@ -1,4 +1,4 @@
-//! One process's copy of the configuration, which only ever moves forward.
+//! The copy of the configuration in one process; its revision never decreases.
 
 use crate::change::Change;
 use crate::effective::{ConfigRevision, Documents};
@@ -6,23 +6,23 @@
 use std::sync::Arc;
 use uuid::Uuid;
 
-/// Most changes a replica keeps for peers and for history.
+/// Most changes that a replica keeps for peers and for the history.
 const MAX_CHANGES: usize = 512;
-/// Most edits of all kept changes together; it bounds the memory.
+/// Most edits of all kept changes together, to bound the memory.
 const MAX_EDITS: usize = 4_096;
 
-/// The documents and the newest changes that led to them.
+/// The documents and the newest of the changes that produced them.
 #[derive(Clone, Debug, Default)]
 pub struct Replica {
     documents: Documents,
     changes: VecDeque<Arc<Change>>,
-    edits: usize,
+    edit_count: usize,
 }
 
-/// Why a change was not taken.
+/// The error of applying a change that is not the next one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AdvanceError {
-    /// The replica is there already.
+    /// The replica holds the change already, or a later one.
     #[error("revision {offered:?} is not newer than {current:?}")]
     Stale {
         /// The replica's revision.
@@ -30,7 +30,7 @@
         /// The revision of the change.
         offered: ConfigRevision,
     },
-    /// Changes in between are missing.
+    /// Changes between the replica and the offered change are missing.
     #[error("revision {offered:?} does not follow {current:?}")]
     Gap {
         /// The replica's revision.
@@ -41,25 +41,25 @@
 }
 
 impl Replica {
-    /// A replica with these documents and no history.
+    /// Creates a replica with these documents and no history.
     pub fn new(documents: Documents) -> Self {
-        Self { documents, changes: VecDeque::new(), edits: 0 }
+        Self { documents, changes: VecDeque::new(), edit_count: 0 }
     }
 
-    /// The documents.
+    /// All documents as of [`Replica::revision`].
     pub fn documents(&self) -> &Documents {
         &self.documents
     }
 
-    /// The revision of the documents.
+    /// Revision of the last applied change.
     pub fn revision(&self) -> ConfigRevision {
         self.documents.revision
     }
 
-    /// Takes the change that follows directly.
+    /// Applies the next change.
     ///
-    /// A process that took an older revision, or left one out, would serve a configuration that
-    /// an operator has replaced. So anything but the next revision is refused.
+    /// Any other revision is refused: a process that applied an older revision, or skipped one,
+    /// would serve a configuration that an operator has replaced.
     pub fn advance(&mut self, change: Arc<Change>) -> Result<(), AdvanceError> {
         let (current, offered) = (self.revision(), change.revision());
         if offered <= current {
@@ -73,7 +73,7 @@
         Ok(())
     }
 
-    /// Takes another replica if it is newer, and tells whether it was.
+    /// Replaces this replica by `other` if that one is newer; returns whether it was.
     ///
     /// ```
     /// use flamingowheel_config::{effective::{ConfigRevision, Documents}, replica::Replica};
@@ -92,17 +92,19 @@
         newer
     }
 
-    /// Adds a change that the documents hold already, so that history and peers can have it.
+    /// Records a change that the documents already include, for the history and for peers. Drops
+    /// the oldest changes beyond the limits.
     pub fn record(&mut self, change: Arc<Change>) {
-        self.edits += change.edits.len();
+        self.edit_count += change.edits.len();
         self.changes.push_back(change);
-        while self.changes.len() > MAX_CHANGES || self.edits > MAX_EDITS {
+        while self.changes.len() > MAX_CHANGES || self.edit_count > MAX_EDITS {
             let Some(oldest) = self.changes.pop_front() else { return };
-            self.edits -= oldest.edits.len();
+            self.edit_count -= oldest.edits.len();
         }
     }
 
-    /// The changes after a revision, or `None` if the replica does not have all of them.
+    /// The changes after a revision, oldest first, or `None` if the replica no longer holds all of
+    /// them.
     pub fn changes_after(&self, after: ConfigRevision) -> Option<Vec<Arc<Change>>> {
         let missing = self.revision().0.checked_sub(after.0)?;
         let missing = usize::try_from(missing).ok()?;
@@ -110,12 +112,12 @@
         Some(self.changes.iter().skip(first).cloned().collect())
     }
 
-    /// Kept changes, the newest first.
+    /// The kept changes, newest first.
     pub fn history(&self) -> impl Iterator<Item = &Arc<Change>> {
         self.changes.iter().rev()
     }
 
-    /// A kept change by the random part of its id.
+    /// Finds a kept change by the random part of its id.
     pub fn find(&self, uuid: Uuid) -> Option<&Arc<Change>> {
         self.changes.iter().rev().find(|change| change.id.uuid == uuid)
     }
--- a/crates/config/src/secret.rs
+++ b/crates/config/src/secret.rs
@@ -1,10 +1,10 @@
-//! Values that must not reach logs.
+//! Values that must not be logged.
 
 use serde::Deserialize;
 use std::fmt;
 use std::path::PathBuf;
 
-/// A value that `Debug` never shows.
+/// A text whose value `Debug` does not show.
 ///
 /// ```
 /// use flamingowheel_config::secret::Secret;
@@ -15,7 +15,7 @@
 pub struct Secret(String);
 
 impl Secret {
-    /// Wraps a value.
+    /// Wraps a secret text.
     pub fn new<S>(value: S) -> Self
     where
         S: Into<String>,
@@ -23,7 +23,7 @@
         Self(value.into())
     }
 
-    /// The value itself; the only way to it, so that every use can be found by this name.
+    /// Returns the secret's bytes. The only accessor, so that every use can be found by its name.
     pub fn expose(&self) -> &[u8] {
         self.0.as_bytes()
     }
@@ -35,12 +35,12 @@
     }
 }
 
-/// Where a settings file takes a secret from: exactly one of the two.
+/// The source of a secret in a settings file: exactly one of the fields must be set.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SecretSource {
-    /// File that holds the secret; white space around it is dropped.
+    /// Path of a file that holds the secret; surrounding white space is removed.
     pub file: Option<PathBuf>,
-    /// The secret itself.
+    /// The secret itself, written in the settings file.
     pub inline: Option<Secret>,
 }
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,8 +1,8 @@
 //! Settings of one daemon, read from its YAML file.
 //!
-//! [`Settings::load`] gives settings that are complete and checked: optional fields have their
-//! defaults, secrets are read from their files, and the role's own section is there. Unknown
-//! fields are refused with their line.
+//! [`Settings::load`] returns complete and validated settings: optional fields have their
+//! defaults, secrets are read from their files, and the section of the role is present. Unknown
+//! fields are refused, with their line.
 
 mod file;
 
@@ -13,118 +13,118 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// The shortest fleet key or operators' token that is accepted.
+/// Shortest accepted fleet key or operators' token.
 pub const MIN_SECRET_BYTES: usize = 16;
 
-/// Everything a daemon is told at its start.
+/// All settings of a daemon; read once at its start.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Name of this process in logs, status and addresses; unique in the fleet.
+    /// Name of this process in logs, status and addresses; must be unique in the fleet.
     pub name: String,
-    /// Name of the VM it runs on, as the VM list spells it.
+    /// Name of the VM that the process runs on, as in the VM list.
     pub vm: String,
-    /// Data centre it stands in.
+    /// Name of the data centre of the VM.
     pub data_centre: String,
-    /// Region of the data centre.
+    /// Name of the region of the data centre.
     pub region: String,
-    /// Addresses to listen on.
+    /// Addresses that the process listens on.
     pub listen: Listen,
-    /// Key-value service.
+    /// Connection to the key-value service.
     pub key_value: KeyValueSettings,
-    /// VM list.
+    /// Polling of the VM list.
     pub vm_list: VmListSettings,
-    /// Key with which the fleet's processes prove to each other who they are.
+    /// Shared key by which the fleet's processes authenticate each other.
     pub fleet_key: Secret,
-    /// Token that operators present.
+    /// Token that requests to the operators' interface must carry.
     pub operators_token: Secret,
-    /// Inner addresses of some entries, asked first after a start.
+    /// Inner addresses of some entries, contacted first after a start.
     pub peers: Vec<SocketAddr>,
-    /// How long a planned stop waits for requests in progress, in milliseconds. 0 waits for all.
+    /// Longest time that a planned stop waits for requests in progress; 0 waits for all of them.
     pub drain_deadline_ms: u64,
-    /// Lowest level that is logged.
+    /// Least severe level that is logged.
     pub log_level: LogLevel,
-    /// The role and its own settings.
+    /// The role of the process, with the settings of that role.
     pub role: Role,
 }
 
-/// What this process does.
+/// The role of a process.
 #[derive(Clone, Debug)]
 pub enum Role {
-    /// Takes callers' requests and operators' changes.
+    /// Accepts callers' requests and operators' changes.
     Entry(EntrySettings),
-    /// Guards one backend server.
+    /// Forwards requests to one backend server.
     Agent(AgentSettings),
 }
 
-/// Addresses to listen on.
+/// Addresses that a process listens on.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Listen {
-    /// For callers; entries only.
+    /// Address for callers; set on entries only.
     pub callers: Option<SocketAddr>,
-    /// For the fleet's own processes.
+    /// Address for other processes of the fleet.
     pub inner: SocketAddr,
-    /// For operators, with `/metrics`.
+    /// Address of the operators' interface, which also serves `/metrics`.
     pub operators: SocketAddr,
 }
 
-/// How the key-value service is reached.
+/// Connection to the key-value service.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct KeyValueSettings {
-    /// Its addresses, tried in turn.
+    /// Addresses of the service, tried in order.
     pub addresses: Vec<SocketAddr>,
-    /// How long one call may take, in milliseconds.
+    /// Timeout of one call.
     #[serde(default = "file::defaults::key_value_timeout_ms")]
     pub timeout_ms: u64,
 }
 
-/// How the VM list is read.
+/// Polling of the VM list.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct VmListSettings {
-    /// Its address.
+    /// Address of the service that provides the list.
     pub address: SocketAddr,
-    /// Time between two reads, in milliseconds.
+    /// Time between two polls.
     #[serde(default = "file::defaults::vm_list_interval_ms")]
     pub interval_ms: u64,
 }
 
-/// Settings of an entry.
+/// Settings of the entry role.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct EntrySettings {
-    /// How long callers keep an address answer, in seconds.
+    /// Time to live of an address answer at callers.
     pub address_ttl_s: u64,
-    /// Largest request body taken from a caller, in bytes.
+    /// Largest accepted body of a caller's request.
     pub max_body_bytes: u64,
-    /// Most headers of a caller's request.
+    /// Most headers accepted in a caller's request.
     pub max_header_count: u64,
-    /// Largest head of a caller's request, in bytes.
+    /// Largest accepted request line and headers of a caller's request.
     pub max_header_bytes: u64,
-    /// How long a caller may take to send the head, in milliseconds.
+    /// Timeout for a caller to send the request line and headers.
     pub header_timeout_ms: u64,
-    /// How long a caller may take to send the body, in milliseconds.
+    /// Timeout for a caller to send the body.
     pub body_timeout_ms: u64,
-    /// Most connections of callers at one time.
+    /// Most concurrent connections of callers.
     pub max_connections: u64,
-    /// The weight store; loads are not paced if absent.
+    /// Rate limit of the weight store; loads are not rate-limited if absent.
     pub weight_store: Option<WeightStoreSettings>,
 }
 
-/// The weight store's rate and what loads take of it; the same at all entries.
+/// Rate of the weight store and the sizes of loads from it. Must be the same at all entries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WeightStoreSettings {
-    /// Rate of the whole store, in bytes a second.
+    /// Total rate of the store, shared by all entries.
     pub rate_bytes_per_s: u64,
-    /// Most entries that may ever coordinate groups at the same time.
+    /// Upper bound of the number of entries that coordinate groups at the same time.
     pub max_members: u64,
-    /// Weights of one expert of one layer, of the largest model.
+    /// Size of one expert of one layer, for the largest model.
     pub expert_bytes: u64,
-    /// All that one rank loads of a version, of the largest model.
+    /// Size of all weights that one rank loads of a version, for the largest model.
     pub rank_bytes: u64,
-    /// Weights of one adapter on one rank, of the largest.
+    /// Size of one adapter on one rank, for the largest adapter.
     pub adapter_bytes: u64,
 }
 
@@ -143,54 +143,55 @@
     }
 }
 
-/// Settings of an agent.
+/// Settings of the agent role.
 #[derive(Clone, Debug)]
 pub struct AgentSettings {
-    /// Address of the backend server.
+    /// Address of the backend server that the agent forwards to.
     pub backend_server: SocketAddr,
-    /// What the backend server is.
+    /// Whether the backend server is an engine or a plain service.
     pub kind: BackendServerKind,
-    /// Most requests running at one time.
+    /// Most requests running at the same time.
     pub places: u64,
-    /// Most requests waiting for a place.
+    /// Most requests queued for a free place.
     pub queue_length: u64,
-    /// How long the record of a finished request is kept, in seconds.
+    /// Retention time of the record of a finished request.
     pub record_window_s: u64,
-    /// Most records kept; beyond it new non-idempotent work is refused.
+    /// Most records kept; when reached, new non-idempotent requests are refused.
     pub record_capacity: u64,
-    /// Most bytes of answers in records; beyond it new non-idempotent work is refused.
+    /// Most bytes of answers kept in records; when reached, new non-idempotent requests are
+    /// refused.
     pub record_bytes: u64,
-    /// Bytes of a stream kept for resuming it.
+    /// Last bytes of a stream that are kept so that it can be resumed.
     pub replay_window_bytes: u64,
 }
 
 /// Sizes of a group's expert map.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ExpertSettings {
-    /// Layers with experts.
+    /// Number of layers with experts.
     pub layers: u32,
-    /// Experts a layer.
+    /// Number of experts per layer.
     pub experts: u32,
-    /// Expert weights that a rank holds a layer.
+    /// Number of experts per layer that each rank holds.
     pub slots: u32,
 }
 
-/// What a backend server is.
+/// The kind of a backend server, with its identity.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BackendServerKind {
     /// A model engine: one rank of a group.
     Engine {
-        /// Model it serves at the start.
+        /// Name of the model that the engine serves at its start.
         model: String,
-        /// Rank group.
+        /// Name of the group that the rank belongs to.
         group: String,
-        /// Its rank in the group.
+        /// Number of the rank in the group, from 0.
         rank: u32,
-        /// Ranks in the group.
+        /// Number of ranks in the group.
         ranks: u32,
         /// Whether the engine itself refuses orders with an old fencing number.
         checks_fencing: bool,
-        /// Sizes of the expert map, if the group's ranks share one.
+        /// Sizes of the group's expert map; absent if the group has none.
         experts: Option<ExpertSettings>,
     },
     /// A plain service.
@@ -204,14 +205,14 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogLevel {
-    /// Failures only.
+    /// Failures.
     Error,
-    /// And what deserves a look.
+    /// Failures and unusual conditions.
     Warn,
-    /// And decisions.
+    /// The above, and decisions.
     #[default]
     Info,
-    /// And steps.
+    /// The above, and single steps.
     Debug,
 }
 
@@ -232,62 +233,62 @@
     }
 }
 
-/// Why settings are refused.
+/// An error of loading settings.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// The file could not be read.
+    /// The settings file can't be read.
     #[error("{}: {source}", file.display())]
     Read {
-        /// The settings file.
+        /// Path of the settings file.
         file: PathBuf,
-        /// What the operating system said.
+        /// The I/O error.
         source: std::io::Error,
     },
     /// The file is not YAML, or a field is unknown, missing or of the wrong type.
     #[error("{}:{line}:{column}: {source}", file.display())]
     Syntax {
-        /// The settings file.
+        /// Path of the settings file.
         file: PathBuf,
-        /// Line, from 1; 0 where the parser names none.
+        /// Line, from 1; 0 if the parser gives no position.
         line: usize,
-        /// Column, from 1.
+        /// Column, from 1; 0 if the parser gives no position.
         column: usize,
-        /// What the parser said.
+        /// The parser's error.
         source: serde_yaml_ng::Error,
     },
-    /// Values are out of bounds or do not go together: all of them at once.
-    #[error("{}: {}", file.display(), join(problems))]
+    /// Values are out of range or inconsistent.
+    #[error("{}: {}", file.display(), join_problems(problems))]
     Invalid {
-        /// The settings file.
+        /// Path of the settings file.
         file: PathBuf,
-        /// Every problem found.
+        /// All problems found in the file.
         problems: Vec<SettingsProblem>,
     },
 }
 
-/// One refused field.
+/// A refused field of the settings file.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("{field} {reason}")]
 pub struct SettingsProblem {
     /// Path of the field, such as `agent.places`.
     pub field: String,
-    /// What is wrong with it.
+    /// Why the value is refused.
     pub reason: Reason,
 }
 
-fn join(problems: &[SettingsProblem]) -> String {
+fn join_problems(problems: &[SettingsProblem]) -> String {
     problems.iter().map(ToString::to_string).collect::<Vec<_>>().join("; ")
 }
 
 impl Settings {
-    /// Reads and checks a settings file and the secrets it names.
+    /// Reads and validates a settings file and the secret files that it names.
     pub fn load(file: &Path) -> Result<Self, SettingsError> {
         let text = std::fs::read_to_string(file)
             .map_err(|source| SettingsError::Read { file: file.to_owned(), source })?;
         Self::parse(&text, file)
     }
 
-    /// Checks the text of a settings file; `file` is only named in errors.
+    /// Parses and validates the text of a settings file; `file` is used in errors only.
     ///
     /// ```
     /// use flamingowheel_config::settings::{Settings, SettingsError};
@@ -296,18 +297,20 @@
     /// assert!(matches!(error, SettingsError::Syntax { line: 2, .. }));
     /// ```
     pub fn parse(text: &str, file: &Path) -> Result<Self, SettingsError> {
-        let raw: file::File =
-            yaml::guard(|| serde_yaml_ng::from_str(text)).map_err(|source| syntax(file, source))?;
-        let mut problems = Collector::new(|field, reason| SettingsProblem { field, reason });
-        let settings = raw.resolve(&mut problems);
+        let raw: file::File = yaml::catch_panic(|| serde_yaml_ng::from_str(text))
+            .map_err(|source| syntax_error(file, source))?;
+        let mut collector = Collector::new(|field, reason| SettingsProblem { field, reason });
+        let settings = raw.resolve(&mut collector);
         match settings {
-            Some(settings) if problems.found.is_empty() => Ok(settings),
-            _ => Err(SettingsError::Invalid { file: file.to_owned(), problems: problems.found }),
+            Some(settings) if collector.problems.is_empty() => Ok(settings),
+            _ => {
+                Err(SettingsError::Invalid { file: file.to_owned(), problems: collector.problems })
+            }
         }
     }
 }
 
-fn syntax(file: &Path, source: serde_yaml_ng::Error) -> SettingsError {
+fn syntax_error(file: &Path, source: serde_yaml_ng::Error) -> SettingsError {
     let (line, column) = source.location().map_or((0, 0), |at| (at.line(), at.column()));
     SettingsError::Syntax { file: file.to_owned(), line, column, source }
 }
--- a/crates/config/src/settings/file.rs
+++ b/crates/config/src/settings/file.rs
@@ -1,4 +1,4 @@
-//! The settings file as it is written, and how it becomes [`Settings`].
+//! The format of the settings file, and its conversion to [`Settings`].
 
 use super::{
     AgentSettings, BackendServerKind, EntrySettings, ExpertSettings, KeyValueSettings, Listen,
@@ -13,7 +13,7 @@
 
 type Problems = Collector<SettingsProblem>;
 
-/// The file as it is written.
+/// The deserialised file, before validation and resolution of secrets.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct File {
@@ -131,33 +131,44 @@
     }
 
     fn check_common(&self, problems: &mut Problems) {
-        problems.name("name", &self.name);
-        problems.name("vm", &self.vm);
-        problems.name("data_centre", &self.data_centre);
-        problems.name("region", &self.region);
+        problems.check_name("name", &self.name);
+        problems.check_name("vm", &self.vm);
+        problems.check_name("data_centre", &self.data_centre);
+        problems.check_name("region", &self.region);
         if self.key_value.addresses.is_empty() {
             problems.push("key_value.addresses", Reason::Empty);
         }
-        problems.range("key_value.timeout_ms", self.key_value.timeout_ms as f64, 10.0, 60_000.0);
-        problems.range("vm_list.interval_ms", self.vm_list.interval_ms as f64, 100.0, 60_000.0);
+        problems.check_range(
+            "key_value.timeout_ms",
+            self.key_value.timeout_ms as f64,
+            10.0,
+            60_000.0,
+        );
+        problems.check_range(
+            "vm_list.interval_ms",
+            self.vm_list.interval_ms as f64,
+            100.0,
+            60_000.0,
+        );
         let listen = &self.listen;
-        if is_same(listen.inner, listen.operators) {
-            problems.push("listen.operators", duplicate(listen.operators));
+        if is_same_address(listen.inner, listen.operators) {
+            problems.push("listen.operators", duplicate_address(listen.operators));
         }
         if let Some(callers) = listen.callers
-            && (is_same(callers, listen.inner) || is_same(callers, listen.operators))
+            && (is_same_address(callers, listen.inner)
+                || is_same_address(callers, listen.operators))
         {
-            problems.push("listen.callers", duplicate(callers));
+            problems.push("listen.callers", duplicate_address(callers));
         }
     }
 }
 
-/// Port 0 stands for any free one, so two of them don't clash.
-fn is_same(one: SocketAddr, other: SocketAddr) -> bool {
+/// Port 0 means any free port, so two addresses with port 0 don't collide.
+fn is_same_address(one: SocketAddr, other: SocketAddr) -> bool {
     one == other && one.port() != 0
 }
 
-fn duplicate(address: SocketAddr) -> Reason {
+fn duplicate_address(address: SocketAddr) -> Reason {
     Reason::Duplicate { value: address.to_string() }
 }
 
@@ -175,7 +186,7 @@
         }
     };
     let (length, min) = (secret.expose().len(), MIN_SECRET_BYTES);
-    problems.range(format!("{field} (length)"), length as f64, min as f64, 4_096.0);
+    problems.check_range(format!("{field} (length)"), length as f64, min as f64, 4_096.0);
     Some(secret)
 }
 
@@ -227,13 +238,23 @@
 
 impl EntrySettings {
     fn check(&self, problems: &mut Problems) {
-        problems.range("entry.address_ttl_s", self.address_ttl_s as f64, 1.0, 3_600.0);
-        problems.range("entry.max_body_bytes", self.max_body_bytes as f64, 1_024.0, 1e9);
-        problems.range("entry.max_header_count", self.max_header_count as f64, 8.0, 1_000.0);
-        problems.range("entry.max_header_bytes", self.max_header_bytes as f64, 8_192.0, 1e6);
-        problems.range("entry.header_timeout_ms", self.header_timeout_ms as f64, 100.0, 60_000.0);
-        problems.range("entry.body_timeout_ms", self.body_timeout_ms as f64, 100.0, 600_000.0);
-        problems.range("entry.max_connections", self.max_connections as f64, 1.0, 1e6);
+        problems.check_range("entry.address_ttl_s", self.address_ttl_s as f64, 1.0, 3_600.0);
+        problems.check_range("entry.max_body_bytes", self.max_body_bytes as f64, 1_024.0, 1e9);
+        problems.check_range("entry.max_header_count", self.max_header_count as f64, 8.0, 1_000.0);
+        problems.check_range("entry.max_header_bytes", self.max_header_bytes as f64, 8_192.0, 1e6);
+        problems.check_range(
+            "entry.header_timeout_ms",
+            self.header_timeout_ms as f64,
+            100.0,
+            60_000.0,
+        );
+        problems.check_range(
+            "entry.body_timeout_ms",
+            self.body_timeout_ms as f64,
+            100.0,
+            600_000.0,
+        );
+        problems.check_range("entry.max_connections", self.max_connections as f64, 1.0, 1e6);
         if let Some(store) = &self.weight_store {
             store.check(problems);
         }
@@ -243,7 +264,7 @@
 impl WeightStoreSettings {
     fn check(&self, problems: &mut Problems) {
         let mut range = |field: &str, value: u64, min: f64, max: f64| {
-            problems.range(format!("entry.weight_store.{field}"), value as f64, min, max);
+            problems.check_range(format!("entry.weight_store.{field}"), value as f64, min, max);
         };
         range("rate_bytes_per_s", self.rate_bytes_per_s, 1e3, 1e15);
         range("max_members", self.max_members, 1.0, 1e5);
@@ -255,16 +276,16 @@
 
 impl AgentFile {
     fn resolve(self, problems: &mut Problems) -> Option<AgentSettings> {
-        problems.range("agent.places", self.places as f64, 1.0, 10_000.0);
-        problems.range("agent.queue_length", self.queue_length as f64, 0.0, 10_000.0);
-        problems.range("agent.record_window_s", self.record_window_s as f64, 60.0, 604_800.0);
-        problems.range("agent.record_capacity", self.record_capacity as f64, 100.0, 1e7);
-        problems.range("agent.record_bytes", self.record_bytes as f64, 65_536.0, 1e12);
+        problems.check_range("agent.places", self.places as f64, 1.0, 10_000.0);
+        problems.check_range("agent.queue_length", self.queue_length as f64, 0.0, 10_000.0);
+        problems.check_range("agent.record_window_s", self.record_window_s as f64, 60.0, 604_800.0);
+        problems.check_range("agent.record_capacity", self.record_capacity as f64, 100.0, 1e7);
+        problems.check_range("agent.record_bytes", self.record_bytes as f64, 65_536.0, 1e12);
         let replay = self.replay_window_bytes as f64;
-        problems.range("agent.replay_window_bytes", replay, 4_096.0, 1e9);
+        problems.check_range("agent.replay_window_bytes", replay, 4_096.0, 1e9);
         let kind = match self.kind {
-            KindName::Engine => self.engine(problems),
-            KindName::Service => self.service(problems),
+            KindName::Engine => self.resolve_engine(problems),
+            KindName::Service => self.resolve_service(problems),
         };
         Some(AgentSettings {
             backend_server: self.backend_server,
@@ -278,7 +299,7 @@
         })
     }
 
-    fn engine(&self, problems: &mut Problems) -> Option<BackendServerKind> {
+    fn resolve_engine(&self, problems: &mut Problems) -> Option<BackendServerKind> {
         if self.service.is_some() {
             problems.push("agent.service", Reason::Unexpected);
         }
@@ -287,33 +308,33 @@
         let rank = required(&self.rank, "agent.rank", problems);
         let ranks = required(&self.ranks, "agent.ranks", problems);
         let (model, group, rank, ranks) = (model?, group?, rank?, ranks?);
-        problems.name("agent.model", &model);
-        problems.name("agent.group", &group);
-        problems.range("agent.ranks", f64::from(ranks), 1.0, 4_096.0);
-        problems.range("agent.rank", f64::from(rank), 0.0, f64::from(ranks.max(1) - 1));
+        problems.check_name("agent.model", &model);
+        problems.check_name("agent.group", &group);
+        problems.check_range("agent.ranks", f64::from(ranks), 1.0, 4_096.0);
+        problems.check_range("agent.rank", f64::from(rank), 0.0, f64::from(ranks.max(1) - 1));
         let checks_fencing = self.checks_fencing;
-        let experts = self.expert_settings(ranks, problems);
+        let experts = self.resolve_experts(ranks, problems);
         Some(BackendServerKind::Engine { model, group, rank, ranks, checks_fencing, experts })
     }
 
-    /// All three sizes or none; the slots must hold every expert.
-    fn expert_settings(&self, ranks: u32, problems: &mut Problems) -> Option<ExpertSettings> {
-        let given = [self.layers, self.experts, self.expert_slots];
-        if given.iter().all(Option::is_none) {
+    /// Requires all three sizes or none, and enough slots on all ranks together for every expert.
+    fn resolve_experts(&self, ranks: u32, problems: &mut Problems) -> Option<ExpertSettings> {
+        let sizes = [self.layers, self.experts, self.expert_slots];
+        if sizes.iter().all(Option::is_none) {
             return None;
         }
         let layers = required(&self.layers, "agent.layers", problems);
         let experts = required(&self.experts, "agent.experts", problems);
         let slots = required(&self.expert_slots, "agent.expert_slots", problems);
         let (layers, experts, slots) = (layers?, experts?, slots?);
-        problems.range("agent.layers", f64::from(layers), 1.0, 1_024.0);
-        problems.range("agent.experts", f64::from(experts), 1.0, 4_096.0);
-        let fewest = f64::from(experts.div_ceil(ranks.max(1)));
-        problems.range("agent.expert_slots", f64::from(slots), fewest, f64::from(experts));
+        problems.check_range("agent.layers", f64::from(layers), 1.0, 1_024.0);
+        problems.check_range("agent.experts", f64::from(experts), 1.0, 4_096.0);
+        let min_slots = f64::from(experts.div_ceil(ranks.max(1)));
+        problems.check_range("agent.expert_slots", f64::from(slots), min_slots, f64::from(experts));
         Some(ExpertSettings { layers, experts, slots })
     }
 
-    fn service(&self, problems: &mut Problems) -> Option<BackendServerKind> {
+    fn resolve_service(&self, problems: &mut Problems) -> Option<BackendServerKind> {
         let engine_only = [
             ("agent.model", self.model.is_some()),
             ("agent.group", self.group.is_some()),
@@ -324,11 +345,11 @@
             ("agent.expert_slots", self.expert_slots.is_some()),
             ("agent.checks_fencing", self.checks_fencing),
         ];
-        for (field, _) in engine_only.into_iter().filter(|(_, given)| *given) {
+        for (field, _) in engine_only.into_iter().filter(|(_, present)| *present) {
             problems.push(field, Reason::Unexpected);
         }
         let service = required(&self.service, "agent.service", problems)?;
-        problems.name("agent.service", &service);
+        problems.check_name("agent.service", &service);
         Some(BackendServerKind::Service { service })
     }
 }
--- a/crates/config/src/store.rs
+++ b/crates/config/src/store.rs
@@ -1,4 +1,4 @@
-//! Reading the configuration from the key-value service.
+//! Reading the configuration from the key-value service, and the outcome of a change.
 
 use crate::api::ChangeState;
 use crate::bucket::{
@@ -17,30 +17,31 @@
 use std::sync::Arc;
 use uuid::Uuid;
 
-/// Most changes read by their slots; beyond it the whole log is read, or everything.
+/// Most changes that are read by their slots, in one call; a replica further behind loads
+/// everything.
 const MAX_SLOTS_READ: u64 = 64;
-/// How often a cold load starts again because the log moved on under it.
-const LOAD_TRIES: usize = 3;
-/// How often a question about a change starts again because others wrote in between.
-const STATE_TRIES: usize = 4;
+/// Attempts of a cold load when the log is overwritten or advanced during the read.
+const MAX_LOAD_ATTEMPTS: usize = 3;
+/// Attempts of a query for a change's state when other writers change the head in between.
+const MAX_STATE_ATTEMPTS: usize = 4;
 
-/// The configuration in the key-value service.
+/// Reads and writes the configuration in the key-value service.
 #[derive(Clone)]
 pub struct Store {
     pub(crate) kv: Arc<dyn KeyValue>,
 }
 
-/// The head as read, with what a later write compares it by.
+/// The head with the revision that the key-value service gave it, for compare-and-swap writes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VersionedHead {
-    /// The head.
+    /// The head as read; the default before the first change.
     pub head: Head,
-    /// The service's revision of it; `None` before the first change of all.
+    /// The service's modification revision of the head; `None` if the head does not exist yet.
     pub mod_revision: Option<Revision>,
 }
 
 impl VersionedHead {
-    /// Holds exactly as long as nobody wrote the head since.
+    /// A condition that holds while the head has not been written since it was read.
     pub(crate) fn compare(&self) -> Compare {
         let key = HEAD_KEY.to_owned();
         match self.mod_revision {
@@ -49,12 +50,12 @@
         }
     }
 
-    /// Whether the next change's slot holds nothing that is not yet folded.
-    pub(crate) fn has_room(&self) -> bool {
+    /// Whether the log slot of the next change is free, or holds a change that is folded.
+    pub(crate) fn has_free_slot(&self) -> bool {
         self.unfolded() < LOG_SLOTS
     }
 
-    /// Whether enough changes have gathered that folding them is due.
+    /// Whether the log holds [`FOLD_THRESHOLD`] or more unfolded changes.
     pub fn fold_is_due(&self) -> bool {
         self.unfolded() >= FOLD_THRESHOLD
     }
@@ -64,55 +65,56 @@
     }
 }
 
-/// Why the configuration could not be read.
+/// An error of reading or writing the configuration.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StoreError {
-    /// The key-value service failed.
+    /// A call to the key-value service failed.
     #[error(transparent)]
     KeyValue(#[from] KeyValueError),
-    /// A value is not what this version writes.
+    /// A stored value can't be decoded by this version.
     #[error("the value of `{key}` is not a configuration of this version")]
     Corrupt {
-        /// Its key.
+        /// Key of the value.
         key: String,
     },
-    /// The service is behind this process: it lost accepted changes, as after restoring an old
-    /// copy. The process keeps what it has.
+    /// The service's revision is older than the replica's: the service lost accepted changes, as
+    /// after a restore from an old backup. The process keeps its configuration.
     #[error("the key-value service is at revision {service:?}, behind this process at {replica:?}")]
     ServiceBehind {
-        /// The service's revision.
+        /// Revision of the head in the service.
         service: ConfigRevision,
-        /// Own revision.
+        /// Revision of this process's replica.
         replica: ConfigRevision,
     },
-    /// The log moved on too fast for a consistent read.
+    /// Other writers changed the log too often for a consistent read or write.
     #[error("the log moved on while it was read")]
     Contended,
 }
 
 impl Store {
-    /// A store in this key-value service.
+    /// Creates a store on a key-value service.
     pub fn new(kv: Arc<dyn KeyValue>) -> Self {
         Self { kv }
     }
 
-    /// The key-value service itself.
+    /// The key-value service that holds the configuration.
     pub fn key_value(&self) -> &dyn KeyValue {
         &*self.kv
     }
 
-    /// Reads the head; one call.
+    /// Reads the head, in one call.
     pub async fn head(&self) -> Result<VersionedHead, StoreError> {
         let reads = self.get(vec![HEAD_KEY.to_owned()]).await?;
-        head_entry(reads.first().and_then(Option::as_ref))
+        decode_head(reads.first().and_then(Option::as_ref))
     }
 
-    /// Reads everything: `head`, the buckets in pieces, then the log.
+    /// Reads everything: `head`, the buckets in several range reads, then the log.
     ///
-    /// The pieces are of different moments. The log comes last and so reaches beyond each of
-    /// them; if it no longer reaches back to what the head called folded, the read starts again.
+    /// The parts are read at different times. The log is read last and so covers all changes after
+    /// each part. If it no longer reaches back to the `folded` revision of the head, the load is
+    /// retried.
     pub async fn load(&self) -> Result<Replica, StoreError> {
-        for _ in 0..LOAD_TRIES {
+        for _ in 0..MAX_LOAD_ATTEMPTS {
             let head = self.head().await?.head;
             let buckets = self.read_buckets().await?;
             let log = self.read_log().await?;
@@ -140,29 +142,34 @@
         changes.map(|change| change.map(|c| (c.revision(), Arc::new(c)))).collect()
     }
 
-    /// Opens a watch that brings every change written after a revision of the service.
+    /// Opens a watch on the log that delivers every change written after `after`, a revision of the
+    /// key-value service.
     pub async fn watch_log(&self, after: Revision) -> Result<Watch, StoreError> {
         Ok(self.kv.watch(LOG_PREFIX, after).await?)
     }
 
-    /// Brings a replica up to the head: one call if it is there already, two if it lags by a
-    /// few changes.
+    /// Brings a replica up to the head. Takes one call if the replica is up to date, two if it is
+    /// at most `MAX_SLOTS_READ` changes behind.
     pub async fn catch_up(&self, replica: &mut Replica) -> Result<VersionedHead, StoreError> {
-        for _ in 0..LOAD_TRIES {
-            let entry = self.head().await?;
-            let (own, service) = (replica.revision(), entry.head.revision);
-            if service < own {
-                return Err(StoreError::ServiceBehind { service, replica: own });
+        for _ in 0..MAX_LOAD_ATTEMPTS {
+            let current = self.head().await?;
+            let (local, service) = (replica.revision(), current.head.revision);
+            if service < local {
+                return Err(StoreError::ServiceBehind { service, replica: local });
             }
-            if service == own {
-                return Ok(entry);
+            if service == local {
+                return Ok(current);
             }
-            self.fetch(replica, service).await?;
+            self.fetch_changes(replica, service).await?;
         }
         Err(StoreError::Contended)
     }
 
-    async fn fetch(&self, replica: &mut Replica, until: ConfigRevision) -> Result<(), StoreError> {
+    async fn fetch_changes(
+        &self,
+        replica: &mut Replica,
+        until: ConfigRevision,
+    ) -> Result<(), StoreError> {
         let from = replica.revision().0 + 1;
         if until.0 - from >= MAX_SLOTS_READ {
             replica.replace_if_newer(self.load().await?);
@@ -171,7 +178,7 @@
         let keys = (from..=until.0).map(|revision| slot_key(ConfigRevision(revision))).collect();
         for entry in self.get(keys).await?.into_iter().flatten() {
             if replica.advance(Arc::new(decode(&entry)?)).is_err() {
-                // The slot was used again in between.
+                // The slot was reused in between.
                 replica.replace_if_newer(self.load().await?);
                 return Ok(());
             }
@@ -188,73 +195,76 @@
         Ok(self.kv.transact(transaction).await?.reads)
     }
 
-    /// What became of a change.
+    /// The state of a change.
     ///
-    /// While its revision is free, a delayed write of it may still arrive. Then an empty change
-    /// takes that revision, after which the answer is certain.
+    /// While the revision of the change is free, a delayed write of it may still take effect. Then
+    /// an empty change is written at that revision, which makes the state final.
     pub async fn change_state(&self, id: ChangeId) -> Result<ChangeState, StoreError> {
-        for _ in 0..STATE_TRIES {
+        for _ in 0..MAX_STATE_ATTEMPTS {
             let reads = self.get(vec![HEAD_KEY.to_owned(), slot_key(id.revision)]).await?;
-            let entry = head_entry(reads.first().and_then(Option::as_ref))?;
+            let current = decode_head(reads.first().and_then(Option::as_ref))?;
             let slot = slot_change(reads.get(1).and_then(Option::as_ref))?;
-            match judge(&entry.head, slot.as_ref(), id) {
-                Verdict::Known(state) => return Ok(state),
-                // Without room an empty change would overwrite one that is not yet folded.
-                Verdict::Free if !entry.has_room() => return Ok(ChangeState::Unknown),
-                Verdict::Free => self.void(&entry, id).await?,
+            match revision_state(&current.head, slot.as_ref(), id) {
+                RevisionState::Decided(state) => return Ok(state),
+                // Without a free slot the empty change would overwrite an unfolded one.
+                RevisionState::Free if !current.has_free_slot() => return Ok(ChangeState::Unknown),
+                RevisionState::Free => self.void(&current, id).await?,
             }
         }
         Ok(ChangeState::Unknown)
     }
 
-    /// Uses up the revision that the change asks for.
-    async fn void(&self, entry: &VersionedHead, id: ChangeId) -> Result<(), StoreError> {
+    /// Uses up the revision that the change requests, by an empty change.
+    async fn void(&self, current: &VersionedHead, id: ChangeId) -> Result<(), StoreError> {
         let origin = Origin {
             operator: "flamingowheel".to_owned(),
             at_unix_ms: 0,
             comment: format!("voids {id}, whose outcome was asked for"),
         };
-        let own = ChangeId { revision: id.revision, uuid: Uuid::new_v4() };
-        let change = Change { id: own, origin, edits: Vec::new(), voids: Some(id) };
-        self.kv.transact(append_transaction(entry, &change)).await?;
+        let empty = ChangeId { revision: id.revision, uuid: Uuid::new_v4() };
+        let change = Change { id: empty, origin, edits: Vec::new(), voids: Some(id) };
+        self.kv.transact(append_transaction(current, &change)).await?;
         Ok(())
     }
 }
 
 type Log = BTreeMap<ConfigRevision, Arc<Change>>;
 
-enum Verdict {
-    Known(ChangeState),
+/// Whether the revision that a change requests is still free.
+enum RevisionState {
+    /// The state of the change can be reported without a write.
+    Decided(ChangeState),
+    /// No change has the revision yet; a delayed write may still take it.
     Free,
 }
 
-fn judge(head: &Head, slot: Option<&Change>, id: ChangeId) -> Verdict {
+fn revision_state(head: &Head, slot: Option<&Change>, id: ChangeId) -> RevisionState {
     if head.revision.next() == id.revision {
-        return Verdict::Free;
+        return RevisionState::Free;
     }
     if head.revision < id.revision {
-        // Nobody can have asked for it yet: the id was not made by this store.
-        return Verdict::Known(ChangeState::Unknown);
+        // No change can have requested this revision yet: the id does not come from this store.
+        return RevisionState::Decided(ChangeState::Unknown);
     }
     match slot {
         Some(change) if change.id == id => {
-            Verdict::Known(ChangeState::Accepted { revision: id.revision })
+            RevisionState::Decided(ChangeState::Accepted { revision: id.revision })
         }
         Some(change) if change.revision() == id.revision => {
-            Verdict::Known(ChangeState::NotAccepted)
+            RevisionState::Decided(ChangeState::NotAccepted)
         }
-        // The slot holds a later change: the log no longer reaches back.
-        _ => Verdict::Known(ChangeState::Unknown),
+        // The slot holds a later change: the log no longer reaches back to this revision.
+        _ => RevisionState::Decided(ChangeState::Unknown),
     }
 }
 
-/// The transaction that accepts a change: it takes effect at most once however often it is sent,
-/// since it writes the head that it compares.
-pub(crate) fn append_transaction(entry: &VersionedHead, change: &Change) -> Transaction {
-    let head = Head { revision: change.revision(), change: Some(change.id), ..entry.head };
+/// The transaction that accepts a change. It takes effect at most once however often it is sent,
+/// since it compares the head and also writes it.
+pub(crate) fn append_transaction(current: &VersionedHead, change: &Change) -> Transaction {
+    let head = Head { revision: change.revision(), change: Some(change.id), ..current.head };
     let slot = slot_key(change.revision());
     Transaction {
-        compares: vec![entry.compare()],
+        compares: vec![current.compare()],
         on_success: vec![put(HEAD_KEY.to_owned(), &head), put(slot.clone(), change)],
         on_failure: vec![Operation::Get { key: slot }],
     }
@@ -271,7 +281,7 @@
     entry.map(decode).transpose()
 }
 
-fn head_entry(entry: Option<&KeyValueEntry>) -> Result<VersionedHead, StoreError> {
+fn decode_head(entry: Option<&KeyValueEntry>) -> Result<VersionedHead, StoreError> {
     match entry {
         None => Ok(VersionedHead { head: Head::default(), mod_revision: None }),
         Some(entry) => {
@@ -287,10 +297,11 @@
     serde_json::from_slice(&entry.value).map_err(|_| StoreError::Corrupt { key: entry.key.clone() })
 }
 
-/// Puts the pieces of a cold load together, or `None` if the log misses changes in between.
+/// Builds the replica from the parts of a cold load, or returns `None` if the log lacks changes
+/// that the buckets need.
 fn assemble(head: &Head, buckets: Vec<Bucket>, log: &Log) -> Option<Replica> {
     let until = log.keys().next_back().copied().unwrap_or_default();
-    if until < head.revision || !is_whole(log, head.folded, until) {
+    if until < head.revision || !is_complete(log, head.folded, until) {
         return None;
     }
     let mut documents = Documents::default();
@@ -314,8 +325,8 @@
     Some(replica)
 }
 
-/// Whether the ring is whole and reaches back to what is folded.
-fn is_whole(log: &Log, folded: ConfigRevision, until: ConfigRevision) -> bool {
+/// Whether the log has no gaps and reaches back to the folded revision.
+fn is_complete(log: &Log, folded: ConfigRevision, until: ConfigRevision) -> bool {
     let oldest = until.0.saturating_sub(LOG_SLOTS - 1).max(1);
     oldest <= folded.0 + 1 && log.keys().map(|revision| revision.0).eq(oldest..=until.0)
 }
--- a/crates/config/src/template.rs
+++ b/crates/config/src/template.rs
@@ -1,44 +1,44 @@
-//! Templates: the parameters that many workspaces share.
+//! Templates: parameters shared by many workspaces.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The highest priority of a request; the lowest is 0 and is shed first.
+/// The highest priority of a request. Priority 0 is the lowest and is shed first.
 pub const MAX_PRIORITY: u8 = 9;
 
-/// Shared parameters under a name.
+/// Named parameters that workspaces refer to.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Template {
-    /// Its name.
+    /// Name by which workspaces refer to the template.
     pub name: String,
-    /// What it is for; shown to operators only.
+    /// Description for operators; has no effect.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub description: String,
-    /// What its workspaces get unless they say otherwise.
+    /// Parameters of its workspaces, except those that a workspace overrides.
     #[serde(default)]
     pub parameters: Parameters,
-    /// How experts of the groups that serve it are rebalanced. Groups serve many workspaces, so
-    /// a workspace can't override it.
+    /// Weights for rebalancing the experts of the groups that serve the template's workspaces. A
+    /// workspace can't override them, since a group serves many workspaces.
     #[serde(default)]
     pub rebalancing: Rebalancing,
 }
 
-/// What a workspace may use, and how much of it.
+/// The models and services that a workspace may use, with limits.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Parameters {
-    /// Models it may ask for, by name.
+    /// Models that requests may use, by name.
     pub models: BTreeMap<String, Model>,
-    /// Services it may call, by name.
+    /// Services that requests may call, by name.
     pub services: BTreeMap<String, Service>,
-    /// Priority of its requests, 0 to [`MAX_PRIORITY`]; the lowest is shed first.
+    /// Priority of requests, 0 to [`MAX_PRIORITY`]; the lowest is shed first.
     pub priority: u8,
-    /// How much it may use at once and over time.
+    /// Limits of rates and of concurrent requests.
     pub limits: Limits,
-    /// How often its idempotent requests are tried again.
+    /// Retry budget for idempotent requests.
     pub retry: Retry,
-    /// Longest time a request may take, in milliseconds; callers may ask for less.
+    /// Longest time that a request may take; callers may request a shorter one.
     pub deadline_ms: u64,
 }
 
@@ -55,43 +55,43 @@
     }
 }
 
-/// A model that may be asked for.
+/// A model that requests may use.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Model {
-    /// Version to serve; the one that is loaded if absent. All documents that name one name the
-    /// same.
+    /// Version to serve; if absent, the loaded version. All documents that name a version of the
+    /// model must name the same one.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub version: Option<String>,
-    /// Adapters that may be named with it; engines hold those of all documents.
+    /// Adapters that requests may use with the model; engines load those of all documents.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub adapters: Vec<String>,
 }
 
-/// A plain service that may be called.
+/// A plain service that requests may call.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Service {
-    /// Its calls; the first route that matches counts, and a call without one is refused.
+    /// Allowed calls. The first matching route applies; calls that match none are refused.
     pub routes: Vec<ServiceRoute>,
 }
 
-/// Calls of a service that are treated alike.
+/// A set of calls of a service with the same retry rule.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceRoute {
-    /// HTTP method; any if absent.
+    /// HTTP method of the calls; any method if absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub method: Option<String>,
-    /// What the path begins with.
+    /// Prefix of the path; matches whole path segments.
     pub path_prefix: String,
-    /// Whether running such a call twice does no harm. It has no default, because a wrong guess
-    /// sends out two crews.
+    /// Whether such a call may safely run twice, and so may be retried. It has no default, because
+    /// a wrong guess executes a call twice, for example sending out two repair crews.
     pub idempotent: bool,
 }
 
 impl Service {
-    /// The route of a call.
+    /// The first route that matches a call.
     ///
     /// ```
     /// use flamingowheel_config::template::{Service, ServiceRoute};
@@ -111,28 +111,28 @@
 
 impl ServiceRoute {
     fn matches(&self, method: &str, path: &str) -> bool {
-        let method_matches = self.method.as_deref().is_none_or(|own| own == method);
+        let method_matches = self.method.as_deref().is_none_or(|expected| expected == method);
         method_matches && self.path_matches(path)
     }
 
-    /// A prefix ends at a `/`, so that `/orders` does not cover `/ordersheet`.
+    /// Matches whole path segments, so that `/orders` does not match `/ordersheet`.
     fn path_matches(&self, path: &str) -> bool {
         let Some(rest) = path.strip_prefix(self.path_prefix.as_str()) else { return false };
         rest.is_empty() || rest.starts_with(['/', '?']) || self.path_prefix.ends_with('/')
     }
 }
 
-/// Limits of a workspace; what is absent is not limited.
+/// Limits of a workspace; an absent limit means unlimited.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Requests a second.
+    /// Most requests per second.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub requests_per_s: Option<f64>,
-    /// Tokens a second, of prompts and answers together.
+    /// Most tokens per second, prompts and answers together.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub tokens_per_s: Option<f64>,
-    /// Requests in progress at one time.
+    /// Most requests in progress at the same time.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub in_flight: Option<u32>,
 }
@@ -141,11 +141,11 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Retry {
-    /// Retries earned by 100 requests that succeed.
+    /// Retries added to the bucket per 100 successful requests.
     pub per_100_requests: f64,
-    /// Most retries that can be saved up.
+    /// Capacity of the bucket, in retries.
     pub burst: u32,
-    /// Most tries of one request, the first included.
+    /// Most attempts of one request, including the first.
     pub max_tries: u32,
 }
 
@@ -155,13 +155,13 @@
     }
 }
 
-/// Weights of the two costs between which rebalancing chooses.
+/// Weights of the two costs that rebalancing trades off.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rebalancing {
-    /// Weight of the skew of step times.
+    /// Weight of the skew of step times between the ranks.
     pub skew_weight: f64,
-    /// Weight of the expert weights that are moved.
+    /// Weight of the cost of moving expert weights.
     pub move_weight: f64,
 }
 
--- a/crates/config/src/token.rs
+++ b/crates/config/src/token.rs
@@ -1,4 +1,4 @@
-//! Workspace tokens, of which only hashes are stored.
+//! Hashes of workspace tokens; the tokens themselves are not stored.
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de};
 use sha2::{Digest, Sha256};
@@ -7,11 +7,11 @@
 
 const HASH_BYTES: usize = 32;
 
-/// SHA-256 of a workspace token; written as 64 hexadecimal digits.
+/// SHA-256 hash of a workspace token; serialised as 64 hexadecimal digits.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TokenHash([u8; HASH_BYTES]);
 
-/// A text that is not 64 hexadecimal digits.
+/// The error of parsing a text that is not 64 hexadecimal digits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a token hash is 64 hexadecimal digits")]
 pub struct MalformedTokenHash;
@@ -19,7 +19,7 @@
 impl TokenHash {
     /// Hashes a token.
     ///
-    /// Tokens are long random values, so an unsalted hash can't be inverted by guessing.
+    /// The hash is unsalted: tokens are long random values, which can't be found by guessing.
     ///
     /// ```
     /// use flamingowheel_config::token::TokenHash;
@@ -31,7 +31,7 @@
         Self(Sha256::digest(token).into())
     }
 
-    /// Whether `token` has this hash, in a time that tells nothing about how much of it agrees.
+    /// Whether `token` has this hash, compared in constant time.
     pub fn matches(&self, token: &[u8]) -> bool {
         self.ct_eq(&Self::of(token))
     }
@@ -40,7 +40,7 @@
         self.0.ct_eq(&other.0).into()
     }
 
-    /// Reads 64 hexadecimal digits.
+    /// Parses 64 hexadecimal digits.
     ///
     /// ```
     /// use flamingowheel_config::token::TokenHash;
@@ -106,7 +106,7 @@
     }
 
     #[test]
-    fn parse_other_characters() {
+    fn parse_non_hexadecimal() {
         assert_eq!(TokenHash::parse(&"é".repeat(32)), Err(MalformedTokenHash));
         assert_eq!(TokenHash::parse(&"g".repeat(64)), Err(MalformedTokenHash));
     }
--- a/crates/config/src/validate.rs
+++ b/crates/config/src/validate.rs
@@ -1,4 +1,4 @@
-//! Checks of a change before it is accepted: every error in one answer.
+//! Validation of a change before it is accepted. All problems are reported at once.
 
 use crate::document::{Edit, Kind};
 use crate::effective::Documents;
@@ -13,22 +13,22 @@
 
 const MAX_RATE_PER_S: f64 = 1e9;
 const MAX_MODELS: f64 = 64.0;
-const MAX_TOKENS: f64 = 8.0;
+const MAX_TOKENS_PER_WORKSPACE: f64 = 8.0;
 const MAX_DEADLINE_MS: f64 = 86_400_000.0;
 
-/// One refused field of one document.
+/// A refused field of a document.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, thiserror::Error)]
 #[error("document {document} ({kind:?} `{name}`): {field} {reason}")]
 pub struct Problem {
-    /// Which document of the file, from 1.
+    /// Position of the document in the file, from 1.
     pub document: usize,
-    /// What it is about.
+    /// Whether the document is a template or a workspace.
     pub kind: Kind,
     /// Name of the template or workspace.
     pub name: String,
     /// Path of the field, such as `parameters.limits.in_flight`.
     pub field: String,
-    /// What is wrong with it.
+    /// Why the field is refused.
     pub reason: Reason,
 }
 
@@ -38,9 +38,9 @@
     reason: Reason,
 }
 
-type Fields = Collector<FieldProblem>;
+type FieldProblems = Collector<FieldProblem>;
 
-/// Checks the edits of a change against the documents that are in force.
+/// Validates the edits of a change against the documents in force.
 ///
 /// ```
 /// use flamingowheel_config::{document, effective::Documents, validate::validate};
@@ -54,27 +54,29 @@
     let mut problems = Vec::new();
     let mut seen = HashSet::new();
     for (index, edit) in edits.iter().enumerate() {
-        let mut fields = Fields::new(|field, reason| FieldProblem { field, reason });
+        let mut collector = FieldProblems::new(|field, reason| FieldProblem { field, reason });
         if !seen.insert((edit.kind(), edit.name())) {
-            fields.push("name", Reason::Duplicate { value: edit.name().to_owned() });
+            collector.push("name", Reason::Duplicate { value: edit.name().to_owned() });
         }
-        context.check(edit, &mut fields);
-        problems.extend(fields.found.into_iter().map(|found| Problem {
+        context.check(edit, &mut collector);
+        problems.extend(collector.problems.into_iter().map(|problem| Problem {
             document: index + 1,
             kind: edit.kind(),
             name: edit.name().to_owned(),
-            field: found.field,
-            reason: found.reason,
+            field: problem.field,
+            reason: problem.reason,
         }));
     }
     if problems.is_empty() { Ok(()) } else { Err(problems) }
 }
 
-/// The documents before and after, and who holds each token afterwards.
+/// The documents before and after the change, with lookup tables for checks between documents.
 struct Context<'a> {
     base: &'a Documents,
     after: &'a Documents,
+    /// Names of the workspaces that have each token after the change.
     tokens: HashMap<TokenHash, Vec<&'a str>>,
+    /// Versions that documents name after the change, by model.
     versions: BTreeMap<&'a str, Vec<NamedVersion<'a>>>,
 }
 
@@ -85,8 +87,8 @@
     version: &'a str,
 }
 
-/// All versions of models that documents name. Few workspaces have models of their own.
-fn versions(documents: &Documents) -> BTreeMap<&str, Vec<NamedVersion<'_>>> {
+/// All versions that documents name, by model. Most workspaces override no models and are skipped.
+fn named_versions(documents: &Documents) -> BTreeMap<&str, Vec<NamedVersion<'_>>> {
     let templates = documents.templates.values().map(|stored| {
         let template = &stored.document;
         (Kind::Template, template.name.as_str(), &template.parameters.models)
@@ -98,16 +100,16 @@
     });
     let mut versions: BTreeMap<&str, Vec<NamedVersion<'_>>> = BTreeMap::new();
     for (kind, name, models) in templates.chain(workspaces) {
-        for (model, own) in models {
-            let Some(version) = own.version.as_deref() else { continue };
-            versions.entry(model).or_default().push(NamedVersion { kind, name, version });
+        for (model_name, model) in models {
+            let Some(version) = model.version.as_deref() else { continue };
+            versions.entry(model_name).or_default().push(NamedVersion { kind, name, version });
         }
     }
     versions
 }
 
 impl<'a> Context<'a> {
-    /// Only the tokens of edited workspaces can clash, so only those are gathered.
+    /// Only tokens of edited workspaces can be duplicates, so only those are collected.
     fn new(base: &'a Documents, after: &'a Documents, edits: &[Edit]) -> Self {
         let mut tokens: HashMap<TokenHash, Vec<&'a str>> = edits
             .iter()
@@ -124,65 +126,70 @@
                 }
             }
         }
-        Self { base, after, tokens, versions: versions(after) }
+        Self { base, after, tokens, versions: named_versions(after) }
     }
 
-    fn check(&self, edit: &Edit, fields: &mut Fields) {
+    fn check(&self, edit: &Edit, problems: &mut FieldProblems) {
         match edit {
             Edit::PutTemplate(template) => {
-                check_template(template, fields);
+                check_template(template, problems);
                 let models = &template.parameters.models;
-                self.check_versions("parameters.models", models, fields);
+                self.check_versions("parameters.models", models, problems);
             }
-            Edit::PutWorkspace(workspace) => self.check_workspace(workspace, fields),
-            Edit::RemoveTemplate(name) => self.check_template_removal(name, fields),
+            Edit::PutWorkspace(workspace) => self.check_workspace(workspace, problems),
+            Edit::RemoveTemplate(name) => self.check_template_removal(name, problems),
             Edit::RemoveWorkspace(name) => {
                 if !self.base.workspaces.contains_key(name) {
-                    fields.push("workspace", Reason::NotFound { value: name.clone() });
+                    problems.push("workspace", Reason::NotFound { value: name.clone() });
                 }
             }
         }
     }
 
-    fn check_template_removal(&self, name: &str, fields: &mut Fields) {
+    fn check_template_removal(&self, name: &str, problems: &mut FieldProblems) {
         if !self.base.templates.contains_key(name) {
-            fields.push("template", Reason::NotFound { value: name.to_owned() });
+            problems.push("template", Reason::NotFound { value: name.to_owned() });
             return;
         }
         let mut users =
             self.after.workspaces.values().filter(|stored| stored.document.template == name);
         if let Some(first) = users.next() {
             let (example, count) = (first.document.name.clone(), 1 + users.count());
-            fields.push("template", Reason::InUse { count, example });
+            problems.push("template", Reason::InUse { count, example });
         }
     }
 
-    fn check_workspace(&self, workspace: &Workspace, fields: &mut Fields) {
-        fields.name("name", &workspace.name);
+    fn check_workspace(&self, workspace: &Workspace, problems: &mut FieldProblems) {
+        problems.check_name("name", &workspace.name);
         if !self.after.templates.contains_key(&workspace.template) {
-            fields.push("template", Reason::NotFound { value: workspace.template.clone() });
+            problems.push("template", Reason::NotFound { value: workspace.template.clone() });
         }
-        self.check_tokens(workspace, fields);
-        check_overrides(&workspace.overrides, fields);
+        self.check_tokens(workspace, problems);
+        check_overrides(&workspace.overrides, problems);
         if let Some(models) = &workspace.overrides.models {
-            self.check_versions("overrides.models", models, fields);
+            self.check_versions("overrides.models", models, problems);
         }
     }
 
-    /// All ranks of a group serve one version, and a group serves many workspaces. Were two
-    /// versions accepted, one of them could never come into force.
-    fn check_versions(&self, path: &str, models: &BTreeMap<String, Model>, fields: &mut Fields) {
+    /// Refuses a second version of a model. All ranks of a group serve one version and a group
+    /// serves many workspaces, so one of two accepted versions could never be served.
+    fn check_versions(
+        &self,
+        path: &str,
+        models: &BTreeMap<String, Model>,
+        problems: &mut FieldProblems,
+    ) {
         for (name, model) in models {
             let Some(version) = &model.version else { continue };
-            let named = self.versions.get(name.as_str()).into_iter().flatten();
-            let Some(other) = named.into_iter().find(|other| other.version != *version) else {
+            let versions = self.versions.get(name.as_str()).into_iter().flatten();
+            let Some(other) = versions.into_iter().find(|other| other.version != *version) else {
                 continue;
             };
             let kind = match other.kind {
                 Kind::Template => "template",
                 Kind::Workspace => "workspace",
             };
-            fields.push(
+            problems.push(
                 format!("{path}.{name}.version"),
                 Reason::OtherVersion {
                     value: version.clone(),
@@ -193,125 +200,125 @@
         }
     }
 
-    fn check_tokens(&self, workspace: &Workspace, fields: &mut Fields) {
+    fn check_tokens(&self, workspace: &Workspace, problems: &mut FieldProblems) {
         let count = workspace.token_sha256.len() as f64;
-        fields.range("token_sha256 (length)", count, 1.0, MAX_TOKENS);
-        let mut own = HashSet::new();
+        problems.check_range("token_sha256 (length)", count, 1.0, MAX_TOKENS_PER_WORKSPACE);
+        let mut seen = HashSet::new();
         for (index, hash) in workspace.token_sha256.iter().enumerate() {
             let field = format!("token_sha256[{index}]");
-            if !own.insert(hash) {
-                fields.push(&field, Reason::Duplicate { value: hash.to_string() });
+            if !seen.insert(hash) {
+                problems.push(&field, Reason::Duplicate { value: hash.to_string() });
             }
             let holders = self.tokens.get(hash).into_iter().flatten();
             if let Some(other) = holders.copied().find(|holder| *holder != workspace.name) {
-                fields.push(field, Reason::TokenTaken { workspace: other.to_owned() });
+                problems.push(field, Reason::TokenTaken { workspace: other.to_owned() });
             }
         }
     }
 }
 
-fn check_template(template: &Template, fields: &mut Fields) {
+fn check_template(template: &Template, problems: &mut FieldProblems) {
     let Parameters { models, services, priority, limits, retry, deadline_ms } =
         &template.parameters;
-    fields.name("name", &template.name);
-    fields.range("description (length)", template.description.len() as f64, 0.0, 1_000.0);
-    check_models("parameters.models", models, fields);
-    check_services("parameters.services", services, fields);
-    check_priority("parameters.priority", *priority, fields);
-    check_limits("parameters.limits", limits, fields);
-    check_retry("parameters.retry", retry, fields);
-    check_deadline("parameters.deadline_ms", *deadline_ms, fields);
-    check_rebalancing(&template.rebalancing, fields);
+    problems.check_name("name", &template.name);
+    problems.check_range("description (length)", template.description.len() as f64, 0.0, 1_000.0);
+    check_models("parameters.models", models, problems);
+    check_services("parameters.services", services, problems);
+    check_priority("parameters.priority", *priority, problems);
+    check_limits("parameters.limits", limits, problems);
+    check_retry("parameters.retry", retry, problems);
+    check_deadline("parameters.deadline_ms", *deadline_ms, problems);
+    check_rebalancing(&template.rebalancing, problems);
 }
 
-fn check_overrides(overrides: &Overrides, fields: &mut Fields) {
+fn check_overrides(overrides: &Overrides, problems: &mut FieldProblems) {
     let Overrides { models, services, priority, limits, retry, deadline_ms } = overrides;
     if let Some(models) = models {
-        check_models("overrides.models", models, fields);
+        check_models("overrides.models", models, problems);
     }
     if let Some(services) = services {
-        check_services("overrides.services", services, fields);
+        check_services("overrides.services", services, problems);
     }
     if let Some(priority) = priority {
-        check_priority("overrides.priority", *priority, fields);
+        check_priority("overrides.priority", *priority, problems);
     }
     if let Some(limits) = limits {
-        check_limits("overrides.limits", limits, fields);
+        check_limits("overrides.limits", limits, problems);
     }
     if let Some(retry) = retry {
-        check_retry("overrides.retry", retry, fields);
+        check_retry("overrides.retry", retry, problems);
     }
     if let Some(deadline_ms) = deadline_ms {
-        check_deadline("overrides.deadline_ms", *deadline_ms, fields);
+        check_deadline("overrides.deadline_ms", *deadline_ms, problems);
     }
 }
 
-fn check_models(path: &str, models: &BTreeMap<String, Model>, fields: &mut Fields) {
-    fields.range(format!("{path} (length)"), models.len() as f64, 0.0, MAX_MODELS);
+fn check_models(path: &str, models: &BTreeMap<String, Model>, problems: &mut FieldProblems) {
+    problems.check_range(format!("{path} (length)"), models.len() as f64, 0.0, MAX_MODELS);
     for (name, model) in models {
-        fields.name(format!("{path}.{name}"), name);
+        problems.check_name(format!("{path}.{name}"), name);
         if let Some(version) = &model.version {
-            fields.name(format!("{path}.{name}.version"), version);
+            problems.check_name(format!("{path}.{name}.version"), version);
         }
         let mut seen = HashSet::new();
         for (index, adapter) in model.adapters.iter().enumerate() {
             let field = format!("{path}.{name}.adapters[{index}]");
-            fields.name(&field, adapter);
+            problems.check_name(&field, adapter);
             if !seen.insert(adapter) {
-                fields.push(field, Reason::Duplicate { value: adapter.clone() });
+                problems.push(field, Reason::Duplicate { value: adapter.clone() });
             }
         }
     }
 }
 
-fn check_services(path: &str, services: &BTreeMap<String, Service>, fields: &mut Fields) {
+fn check_services(path: &str, services: &BTreeMap<String, Service>, problems: &mut FieldProblems) {
     for (name, service) in services {
-        fields.name(format!("{path}.{name}"), name);
+        problems.check_name(format!("{path}.{name}"), name);
         if service.routes.is_empty() {
-            fields.push(format!("{path}.{name}.routes"), Reason::Empty);
+            problems.push(format!("{path}.{name}.routes"), Reason::Empty);
         }
         for (index, route) in service.routes.iter().enumerate() {
-            check_route(&format!("{path}.{name}.routes[{index}]"), route, fields);
+            check_route(&format!("{path}.{name}.routes[{index}]"), route, problems);
         }
     }
 }
 
-fn check_route(path: &str, route: &ServiceRoute, fields: &mut Fields) {
+fn check_route(path: &str, route: &ServiceRoute, problems: &mut FieldProblems) {
     if !route.path_prefix.starts_with('/') {
         let value = route.path_prefix.clone();
-        fields.push(format!("{path}.path_prefix"), Reason::NotAPath { value });
+        problems.push(format!("{path}.path_prefix"), Reason::NotAPath { value });
     }
     if let Some(method) = &route.method
         && (method.is_empty() || !method.bytes().all(|byte| byte.is_ascii_uppercase()))
     {
-        fields.push(format!("{path}.method"), Reason::NotAMethod { value: method.clone() });
+        problems.push(format!("{path}.method"), Reason::NotAMethod { value: method.clone() });
     }
 }
 
-fn check_priority(path: &str, priority: u8, fields: &mut Fields) {
-    fields.range(path, f64::from(priority), 0.0, f64::from(MAX_PRIORITY));
+fn check_priority(path: &str, priority: u8, problems: &mut FieldProblems) {
+    problems.check_range(path, f64::from(priority), 0.0, f64::from(MAX_PRIORITY));
 }
 
-fn check_limits(path: &str, limits: &Limits, fields: &mut Fields) {
+fn check_limits(path: &str, limits: &Limits, problems: &mut FieldProblems) {
     if let Some(rate) = limits.requests_per_s {
-        fields.range(format!("{path}.requests_per_s"), rate, 0.0, MAX_RATE_PER_S);
+        problems.check_range(format!("{path}.requests_per_s"), rate, 0.0, MAX_RATE_PER_S);
     }
     if let Some(rate) = limits.tokens_per_s {
-        fields.range(format!("{path}.tokens_per_s"), rate, 0.0, MAX_RATE_PER_S);
+        problems.check_range(format!("{path}.tokens_per_s"), rate, 0.0, MAX_RATE_PER_S);
     }
 }
 
-fn check_retry(path: &str, retry: &Retry, fields: &mut Fields) {
-    fields.range(format!("{path}.per_100_requests"), retry.per_100_requests, 0.0, 100.0);
-    fields.range(format!("{path}.burst"), f64::from(retry.burst), 0.0, 10_000.0);
-    fields.range(format!("{path}.max_tries"), f64::from(retry.max_tries), 1.0, 10.0);
+fn check_retry(path: &str, retry: &Retry, problems: &mut FieldProblems) {
+    problems.check_range(format!("{path}.per_100_requests"), retry.per_100_requests, 0.0, 100.0);
+    problems.check_range(format!("{path}.burst"), f64::from(retry.burst), 0.0, 10_000.0);
+    problems.check_range(format!("{path}.max_tries"), f64::from(retry.max_tries), 1.0, 10.0);
 }
 
-fn check_deadline(path: &str, deadline_ms: u64, fields: &mut Fields) {
-    fields.range(path, deadline_ms as f64, 1.0, MAX_DEADLINE_MS);
+fn check_deadline(path: &str, deadline_ms: u64, problems: &mut FieldProblems) {
+    problems.check_range(path, deadline_ms as f64, 1.0, MAX_DEADLINE_MS);
 }
 
-fn check_rebalancing(rebalancing: &Rebalancing, fields: &mut Fields) {
-    fields.range("rebalancing.skew_weight", rebalancing.skew_weight, 0.0, 1e6);
-    fields.range("rebalancing.move_weight", rebalancing.move_weight, 0.0, 1e6);
+fn check_rebalancing(rebalancing: &Rebalancing, problems: &mut FieldProblems) {
+    problems.check_range("rebalancing.skew_weight", rebalancing.skew_weight, 0.0, 1e6);
+    problems.check_range("rebalancing.move_weight", rebalancing.move_weight, 0.0, 1e6);
 }
--- a/crates/config/src/workspace.rs
+++ b/crates/config/src/workspace.rs
@@ -1,52 +1,52 @@
-//! Workspaces: a template's name, tokens, and what differs from the template.
+//! Workspaces: a template's name, tokens, and overrides of the template's parameters.
 
 use crate::template::{Limits, Model, Parameters, Retry, Service};
 use crate::token::TokenHash;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// One workspace of an operator.
+/// A workspace: the tokens of its callers, and the template and overrides that apply to them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Workspace {
-    /// Its name.
+    /// Name of the workspace, unique in the configuration.
     pub name: String,
-    /// The template it takes its parameters from.
+    /// Name of the template that the parameters come from.
     pub template: String,
-    /// Hashes of the tokens its callers may use; two while one replaces the other.
+    /// Hashes of the tokens that callers may use; usually one, two while a token is being replaced.
     pub token_sha256: Vec<TokenHash>,
-    /// What differs from the template.
+    /// Parameters that differ from the template's.
     #[serde(default, skip_serializing_if = "Overrides::is_empty")]
     pub overrides: Overrides,
 }
 
 /// Parameters that differ from the template's. A field that is present replaces the template's
-/// as a whole; limits alone are replaced one by one.
+/// whole value; only limits are replaced individually.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Overrides {
-    /// Replaces the models.
+    /// Replaces all models of the template.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub models: Option<BTreeMap<String, Model>>,
-    /// Replaces the services.
+    /// Replaces all services of the template.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub services: Option<BTreeMap<String, Service>>,
-    /// Replaces the priority.
+    /// Replaces the priority of requests.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub priority: Option<u8>,
     /// Each limit that is present replaces the template's.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub limits: Option<Limits>,
-    /// Replaces the retry budget.
+    /// Replaces the whole retry budget.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retry: Option<Retry>,
-    /// Replaces the longest time of a request, in milliseconds.
+    /// Replaces the deadline of requests.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub deadline_ms: Option<u64>,
 }
 
 impl Overrides {
-    /// Whether the workspace is just like its template.
+    /// Whether nothing is overridden.
     ///
     /// ```
     /// use flamingowheel_config::workspace::Overrides;
@@ -56,7 +56,7 @@
         *self == Self::default()
     }
 
-    /// The template's parameters with these in their place.
+    /// Returns the template's parameters with the overrides applied.
     ///
     /// ```
     /// use flamingowheel_config::template::Parameters;
--- a/crates/config/src/yaml.rs
+++ b/crates/config/src/yaml.rs
@@ -1,4 +1,4 @@
-//! Keeps a panic of the YAML parser from its caller.
+//! Turns panics of the YAML parser into errors.
 
 use serde::de::Error as _;
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -6,9 +6,10 @@
 /// Runs the parser and turns a panic into an error.
 ///
 /// The parser panics on some texts that are not YAML, such as an alias without an anchor in a list.
-/// An operator would see a call break off without a reason, and a daemon die over its settings.
-/// What the parser holds is dropped with it, so nothing half-changed outlives the panic.
-pub(crate) fn guard<F, T>(read: F) -> Result<T, serde_yaml_ng::Error>
+/// Uncaught, the panic would abort an operator's call without an error message, or crash a daemon
+/// while it reads its settings. The parser's state is dropped when it unwinds, so no inconsistent
+/// state survives.
+pub(crate) fn catch_panic<F, T>(read: F) -> Result<T, serde_yaml_ng::Error>
 where
     F: FnOnce() -> Result<T, serde_yaml_ng::Error>,
 {
