--- a/crates/observe/benches/record.rs
+++ b/crates/observe/benches/record.rs
@@ -1,4 +1,5 @@
-//! What an event costs: `cargo bench -p flamingowheel-observe --bench record`.
+//! Cost of recording events and reading them back:
+//! `cargo bench -p flamingowheel-observe --bench record`.
 
 use std::hint::black_box;
 use std::io::{self, Write};
@@ -17,7 +18,7 @@
 
 const EVENTS: u64 = 400_000;
 const THREADS: u64 = 4;
-/// Processes that a time line is read from, and the events of each.
+/// Processes whose events are merged into a time line, and the events of each.
 const READ_PROCESSES: u64 = 100;
 const READ_EVENTS: u64 = 2_000;
 const PAGE_BYTES: u64 = 4_096;
--- a/crates/observe/src/output.rs
+++ b/crates/observe/src/output.rs
@@ -41,7 +41,7 @@
 }
 
 impl NonBlockingOutput {
-    /// Starts a thread that writes the queued lines to `writer`, at most `lines_per_s`.
+    /// Starts a thread that writes queued lines to `writer`; lines above `lines_per_s` are dropped.
     ///
     /// ```
     /// use flamingowheel_observe::output::{MAX_LINES_PER_S, NonBlockingOutput};
--- a/crates/observe/tests/describe.rs
+++ b/crates/observe/tests/describe.rs
@@ -1,16 +1,17 @@
-//! The sentence of each event.
+//! Tests of the sentence that describes each event.
 
 use flamingowheel_observe::event::Event;
 use serde_json::{Value, json};
 
-/// Names of events, from what the decoder expects.
+/// Names of all events, from the error message of the decoder.
 fn all_events() -> Vec<String> {
     let unknown = serde_json::from_str::<Event>(r#"{"event":"?"}"#).expect_err("no such event");
     let text = unknown.to_string();
     text.split('`').skip(3).step_by(2).map(str::to_owned).collect()
 }
 
-/// An event with every field filled, found by giving each missing field what it takes.
+/// An event with all fields set: for each field that the decoder reports as missing, tries values
+/// until one is accepted.
 fn filled(name: &str) -> Event {
     let mut event = json!({ "event": name });
     let kinds = [json!(1), json!(true), json!("00000000-0000-0000-0000-000000000007")];
@@ -20,19 +21,19 @@
             Err(error) => error.to_string(),
         };
         let field = error.split('`').nth(1).expect("a missing field").to_owned();
-        let reasons = error_values(&event, &field);
-        let mut fits = |value: &Value| {
+        let reasons = accepted_values(&event, &field);
+        let mut is_accepted = |value: &Value| {
             event[&field] = value.clone();
             let next = serde_json::from_value::<Event>(event.clone());
             next.map_or_else(|error| error.to_string().starts_with("missing field"), |_| true)
         };
-        let found = kinds.iter().chain(&reasons).find(|value| fits(value));
+        let found = kinds.iter().chain(&reasons).find(|value| is_accepted(value));
         assert!(found.is_some(), "{name}: {field}");
     }
 }
 
-/// The values that a closed set of reasons takes, from what the decoder expects.
-fn error_values(event: &Value, field: &str) -> Vec<Value> {
+/// The values of a closed set of reasons, from the error message of the decoder.
+fn accepted_values(event: &Value, field: &str) -> Vec<Value> {
     let mut event = event.clone();
     event[field] = json!("?");
     match serde_json::from_value::<Event>(event) {
@@ -41,7 +42,7 @@
     }
 }
 
-// A new event without a sentence would be an empty line in somebody's time line.
+// An event without a sentence would be an empty line in the time line.
 #[test]
 fn describe_every_event_has_a_sentence() {
     let events = all_events();
--- a/crates/observe/tests/kv.rs
+++ b/crates/observe/tests/kv.rs
@@ -1,4 +1,4 @@
-//! Calls on the key-value service, counted, and its outages.
+//! Tests of counted calls to the key-value service and of its outages.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -53,8 +53,8 @@
     }
 }
 
-// The service is down for a while. Every call fails meanwhile; the operator sees one beginning,
-// one end with how long it took, and a gauge to set an alarm on.
+// While the service is down every call fails. The outage must be recorded as one event at its
+// start and one with its duration at its end, and show in a gauge for alarms.
 #[tokio::test(start_paused = true)]
 async fn outage_is_one_event_at_each_end() {
     let (fake, kv, recorder) = observed();
@@ -77,7 +77,7 @@
     );
 }
 
-// A refused call is an answer: the service is up, whatever it thinks of the call.
+// The service answers a call that it refuses, so it must not be recorded as down.
 #[tokio::test(start_paused = true)]
 async fn refused_call_is_an_error_and_no_outage() {
     let (fake, kv, recorder) = observed();
--- a/crates/observe/tests/logs.rs
+++ b/crates/observe/tests/logs.rs
@@ -1,5 +1,5 @@
-//! Log lines. Alone in its process: `tracing` caches per process which call sites are listened to, so
-//! threads without a subscriber, as other tests have, may silence this one's.
+//! Test of log lines. It has a process of its own because `tracing` caches per process which call
+//! sites are enabled, so threads of other tests without a subscriber could disable the ones here.
 
 use std::io::Write;
 use std::sync::{Arc, Mutex};
@@ -50,9 +50,9 @@
     let metrics = Metrics::new().expect("metrics register");
     let recorder = Recorder::new(process(), HybridClock::new(wall), 16, metrics);
     tracing::subscriber::with_default(subscriber, || {
-        let about =
+        let subject_recorder =
             recorder.with_subject(Subject::request(Uuid::from_u128(7)).workspace("roadside"));
-        about.record(Event::LeaveBegan { cause: LeaveCause::Signal, requests: 2 });
+        subject_recorder.record(Event::LeaveBegan { cause: LeaveCause::Signal, requests: 2 });
         tracing::info!(vm = "forged", listeners = 2, "listening");
     });
     let written = sink.0.lock().expect("not poisoned").clone();
--- a/crates/observe/tests/output.rs
+++ b/crates/observe/tests/output.rs
@@ -1,4 +1,4 @@
-//! Log lines when their reader stops, or when there are too many.
+//! Tests of log output whose reader stops, and of the bound on the rate of lines.
 
 use flamingowheel_observe::output::NonBlockingOutput;
 use std::io::{self, Write};
@@ -6,19 +6,19 @@
 use std::sync::{Arc, Mutex};
 use tracing_subscriber::fmt::MakeWriter;
 
-/// Takes nothing until it is told to.
-struct Stuck {
-    entered: Sender<()>,
+/// Blocks each write until `go` receives a message or its sender is dropped.
+struct BlockedWriter {
+    write_began: Sender<()>,
     go: Receiver<()>,
     written: Arc<Mutex<Vec<u8>>>,
     done: Sender<()>,
 }
 
-impl Write for Stuck {
+impl Write for BlockedWriter {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        // Only the first entry is waited for.
-        let _ = self.entered.send(());
-        // The sender's end lets everything through.
+        // The test waits for the first write only; the receiver may be gone later.
+        let _ = self.write_began.send(());
+        // Returns an error once the sender is dropped, which lets all further writes pass.
         let _ = self.go.recv();
         self.written.lock().unwrap().extend_from_slice(bytes);
         Ok(bytes.len())
@@ -29,26 +29,27 @@
     }
 }
 
-impl Drop for Stuck {
+impl Drop for BlockedWriter {
     fn drop(&mut self) {
-        // Nobody may wait for it.
+        // The receiver may be gone.
         let _ = self.done.send(());
     }
 }
 
-/// Whoever reads the logs stops. Requests must go on; only lines are lost, and their number is told
-/// when the reader is back.
+/// The reader of the logs stops reading. Writers must not block: lines are dropped, and their
+/// number is reported once the reader continues.
 #[test]
 fn write_reader_stopped() {
     let (go, wait) = channel();
     let (done, ended) = channel();
-    let (entered, is_stuck) = channel();
+    let (write_began, is_blocked) = channel();
     let written = Arc::new(Mutex::new(Vec::new()));
-    let stuck = Stuck { entered, go: wait, written: Arc::clone(&written), done };
-    let output = NonBlockingOutput::start(stuck, 1_000_000).unwrap();
+    let blocked = BlockedWriter { write_began, go: wait, written: Arc::clone(&written), done };
+    let output = NonBlockingOutput::start(blocked, 1_000_000).unwrap();
     output.make_writer().write_all(b"line\n").unwrap();
-    // A writer that begins late would take over the count of the lines that were left out by then.
-    is_stuck.recv().unwrap();
+    // Waits until the writer thread is blocked. If it started later, it would reset the count of
+    // lines dropped until then.
+    is_blocked.recv().unwrap();
     for _ in 1..10_000 {
         output.make_writer().write_all(b"line\n").unwrap();
     }
@@ -61,11 +62,11 @@
     drop(output);
     ended.recv().unwrap();
     let text = String::from_utf8(written.lock().unwrap().clone()).unwrap();
-    assert!(text.contains("lines left out"), "the gap must be told");
+    assert!(text.contains("lines left out"), "the dropped lines must be reported");
     assert!(text.matches("line\n").count() > 4_000);
 }
 
-/// Much goes wrong at once. Plain lines stop at their share of the rate, and are counted.
+/// Lines below warning beyond their share of the rate must be dropped and counted.
 #[test]
 fn write_above_rate() {
     let output = NonBlockingOutput::start(io::sink(), 100).unwrap();
--- a/crates/observe/tests/recorder.rs
+++ b/crates/observe/tests/recorder.rs
@@ -1,4 +1,4 @@
-//! Recording from many threads, the ring's bound and the HTTP routes.
+//! Tests of recording from many threads, the ring's capacity, queries and the HTTP routes.
 
 use std::time::Duration;
 
@@ -32,10 +32,10 @@
     Event::LeaseLost { lease: "runners-a".into() }
 }
 
-// A busy process records more events than its ring holds. An operator who asks late must see
-// that the story is incomplete, not a shorter story.
+// A busy process records more events than its ring holds. An answer must show how many were
+// overwritten, or an incomplete time line would look complete.
 #[test]
-fn ring_overflow_counts_what_is_gone() {
+fn ring_overflow_counts_overwritten_events() {
     let (recorder, wall) = recorder(3);
     for at_ms in [1_000, 2_000, 3_000, 4_000, 5_000] {
         wall.set_ms(at_ms);
@@ -62,7 +62,7 @@
     assert_eq!(stamps.len(), 4_000);
 }
 
-// Rings are read while others write. A process's events must stay in the order of their numbers,
+// Events recorded by several threads must be in the ring in the order of their numbers and stamps,
 // or a time line would show an effect before its cause.
 #[test]
 fn record_many_threads_keeps_ring_in_order() {
@@ -81,8 +81,8 @@
 fn answer_query_gives_matching_events_only() {
     let (recorder, wall) = recorder(16);
     let request = Uuid::from_u128(7);
-    let about = recorder.with_subject(Subject::request(request).workspace("roadside"));
-    about.record(Event::ConnectionOpened { peer: "entry-2".into() });
+    let subject_recorder = recorder.with_subject(Subject::request(request).workspace("roadside"));
+    subject_recorder.record(Event::ConnectionOpened { peer: "entry-2".into() });
     wall.set_ms(9_000);
     recorder.record_with_subject(&Subject::default().group("runners-a"), lease_lost());
 
@@ -96,8 +96,8 @@
     assert_eq!(recorder.answer(&recent).events.len(), 1);
 }
 
-// A connection that many requests used goes silent; it is recorded once and names no request. The
-// time line of one of them must show it, but not what befell other backend servers or long ago.
+// A connection used by many requests goes silent; the event is recorded once and names no request.
+// The time line of one of them must include it, but no events of other backend servers or times.
 #[test]
 fn answer_request_brings_context_that_explains_it() {
     let (recorder, wall) = recorder(16);
@@ -120,8 +120,8 @@
     assert_eq!(sequences, [2, 3]);
 }
 
-// All processes of a large fleet are asked for the last hour. Each gives its newest events only and
-// says how many it left out.
+// A query for the last hour goes to all processes of a large fleet. Each must return only its
+// newest events and the number of those omitted.
 #[test]
 fn answer_limit_gives_newest_and_counts_the_rest() {
     let (recorder, _wall) = recorder(16);
@@ -134,7 +134,8 @@
     assert!(text.contains("INCOMPLETE entry-1: 3 older events left out"), "{text}");
 }
 
-// An agent's engine crashes under a request. The agent records the crash for itself.
+// An agent's engine crashes during a request. The agent records the crash without the request's id;
+// the request's time line must still include it.
 #[test]
 fn answer_request_at_agent_brings_engine_crash() {
     let (recorder, _wall) = recorder(16);
@@ -146,8 +147,8 @@
     assert_eq!(recorder.answer(&query).events.len(), 2);
 }
 
-// One process's wall clock is an hour fast. Its messages must not move everybody's time line; the
-// operator sees an event that names it.
+// One process's wall clock is an hour fast. Its messages must not advance the clocks of others, and
+// an event must name it.
 #[test]
 fn observe_wrong_clock_is_named_and_not_followed() {
     let (recorder, _wall) = recorder(16);
@@ -158,7 +159,7 @@
     assert_eq!(answer.now.wall_ms(), 1_000);
 }
 
-// Stamps come with every heartbeat. A wrong clock must not fill the ring with its own reports.
+// Stamps come with every heartbeat. A wrong clock must not fill the ring with events about it.
 #[test]
 fn observe_wrong_clock_is_reported_once_a_minute() {
     let (recorder, wall) = recorder(16);
@@ -172,8 +173,8 @@
     assert_eq!(peers, ["agent-9", "agent-9", "agent-9", "agent-8"]);
 }
 
-// The key-value service is down for an hour and asked four times a second. The ring must still hold
-// what else happened, and the next outage must show at once.
+// The key-value service is down for an hour and called four times a second. The ring must still
+// hold other events, and the start of the next outage must be recorded at once.
 #[test]
 fn record_outage_does_not_fill_the_ring() {
     let (recorder, wall) = recorder(100);
@@ -193,7 +194,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn stream_timer_tells_first_from_further_chunks() {
+async fn stream_timer_separates_first_from_later_chunks() {
     let metrics = Metrics::new().expect("metrics register");
     let mut timer = metrics.stream_timer(Instant::now());
     for wait_ms in [250, 40, 60] {
--- a/crates/observe/tests/reference.rs
+++ b/crates/observe/tests/reference.rs
@@ -1,4 +1,5 @@
-//! The operators' pages against the code: names of events and metrics, and the bound on series.
+//! Checks that the operators' pages list the names of all events and metrics, and that the number
+//! of metric series is bounded.
 
 use std::collections::BTreeSet;
 
@@ -7,9 +8,10 @@
 
 const TIMELINE: &str = include_str!("../../../docs/operations/timeline.md");
 const ALARMS: &str = include_str!("../../../docs/operations/alarms.md");
-const STORY: &str = include_str!("snapshots/timeline__to_text_agent_killed_tells_the_story.snap");
+const TIMELINE_SNAPSHOT: &str =
+    include_str!("snapshots/timeline__to_text_agent_killed_tells_the_story.snap");
 
-/// A label per workspace or request would exceed this at once.
+/// A label per workspace or request would exceed this immediately.
 const MAX_SERIES: usize = 150;
 
 /// Names in back quotes that open a row of a table.
@@ -18,7 +20,7 @@
     rows.filter_map(|row| row.split_once('`')).map(|(name, _)| name.to_owned()).collect()
 }
 
-/// The decoder lists the names of all events when it meets one that it doesn't know.
+/// Names of all events, from the error message of the decoder for an unknown one.
 fn event_names() -> BTreeSet<String> {
     let unknown = serde_json::from_str::<Event>(r#"{"event":"?"}"#).expect_err("no such event");
     let text = unknown.to_string();
@@ -41,7 +43,7 @@
 
 #[test]
 fn timeline_page_shows_what_is_printed() {
-    let (_, printed) = STORY.rsplit_once("---\n").expect("a snapshot");
+    let (_, printed) = TIMELINE_SNAPSHOT.rsplit_once("---\n").expect("a snapshot");
     assert!(TIMELINE.contains(printed.trim()), "{printed}");
 }
 
@@ -52,7 +54,7 @@
     assert_eq!(table_names(ALARMS), names);
 }
 
-// An alarm on a metric that was renamed never rings again, and nobody notices.
+// An alarm on a metric that no longer exists never fires, and nothing reports that.
 #[test]
 fn alarms_page_names_no_other_metric() {
     let names = metric_names();
--- a/crates/observe/tests/timeline.rs
+++ b/crates/observe/tests/timeline.rs
@@ -1,4 +1,4 @@
-//! Merging several processes' events, and the time line's text and JSON.
+//! Tests of merging the events of several processes, and of the time line as text and JSON.
 
 use flamingowheel_observe::api::{EventQuery, EventsAnswer, ProcessInfo};
 use flamingowheel_observe::clock::{HybridClock, ManualClock, Stamp};
@@ -30,7 +30,7 @@
 }
 
 impl Process {
-    fn tells(&self, other: &Self) {
+    fn sends_to(&self, other: &Self) {
         other.recorder.observe(&self.recorder.process().name, self.recorder.stamp());
     }
 
@@ -66,9 +66,9 @@
     }
 }
 
-// An agent is killed while it runs a work order, which may not run twice. The caller is told that
-// nobody can know; the operator finds from the time line alone which backend server had it, that
-// the agent's own events are missing and why no second attempt followed.
+// An agent is killed while it runs a request that is not idempotent, so the outcome is unknown.
+// The time line alone must show which backend server ran it, that the agent's events are missing
+// and why no further attempt followed.
 #[test]
 fn to_text_agent_killed_tells_the_story() {
     let entry = process("entry-1", START_MS);
@@ -82,7 +82,7 @@
     });
     at_entry.record(routed("runner-2", 1));
     at_entry.record(dispatched("runner-2", 1));
-    entry.tells(&runner);
+    entry.sends_to(&runner);
     runner.recorder.record_with_subject(
         &subject,
         Event::Refused {
@@ -91,7 +91,7 @@
             reason: RefusalReason::Full,
         },
     );
-    runner.tells(&entry);
+    runner.sends_to(&entry);
     entry.wall.set_ms(START_MS + 2);
     at_entry.record(routed("runner-7", 2));
     at_entry.record(dispatched("runner-7", 2));
@@ -114,10 +114,10 @@
     insta::assert_json_snapshot!(timeline);
 }
 
-// An operator who looks at a workspace finds a request to look at alone. Only its short form was
-// shown once, which can't be asked for.
+// The time line of a workspace must contain the full id of each request, since the time line of a
+// single request can't be queried by the shortened id.
 #[test]
-fn to_text_workspace_tells_whole_request_ids() {
+fn to_text_workspace_shows_full_request_ids() {
     let entry = process("entry-1", START_MS);
     let request = entry.recorder.with_subject(Subject::request(request_id()).workspace("roadside"));
     request.record(Event::RequestAccepted {
@@ -139,10 +139,10 @@
     assert!(text.contains("COMPLETE: 1 chunk in 40 ms, 1 attempt"), "{text}");
 }
 
-// A crash that explains a request names no workspace. It must not push the workspace out of the
-// title and into every line.
+// A crash that explains a request has no workspace. It must not move the workspace from the title
+// to every line.
 #[test]
-fn to_text_context_leaves_title_alone() {
+fn to_text_context_keeps_workspace_in_title() {
     let agent = process("runner-2", START_MS);
     let started = Event::Started { attempt: 1, running: 1 };
     let subject = Subject::request(request_id()).workspace("roadside");
@@ -153,9 +153,10 @@
     assert!(text.contains("engine of runner-2 crashed"), "{text}");
 }
 
-// An agent was killed a while ago: nobody lists it any more, so nobody is asked for its events.
+// An agent was killed some time ago and is no longer in the list of processes, so its events were
+// not queried. The time line must name it as missing.
 #[test]
-fn merge_names_agent_that_no_list_has() {
+fn merge_names_unlisted_agent() {
     let entry = process("entry-1", START_MS);
     entry.recorder.record(dispatched("runner-7", 1));
     let query = EventQuery::default();
@@ -164,14 +165,14 @@
     assert!(timeline.to_text().contains("NOT REACHED runner-7: got attempts"));
 }
 
-// The runner's wall clock is behind the entry's by less than the bound. Sorted by wall time its
-// refusal would stand before the dispatch that it answers.
+// The runner's wall clock is behind the entry's by less than the drift bound. Sorted by wall-clock
+// time, its admission would precede the dispatch that caused it.
 #[test]
 fn merge_clock_behind_keeps_cause_before_effect() {
     let entry = process("entry-1", START_MS);
     let runner = process("agent-2", START_MS - 900);
     entry.recorder.record(dispatched("runner-2", 1));
-    entry.tells(&runner);
+    entry.sends_to(&runner);
     runner.recorder.record(Event::Admitted { attempt: 1, queued: 0 });
     let query = EventQuery::default();
     let timeline =
@@ -190,43 +191,43 @@
     assert_eq!(timeline.events.len(), 1);
 }
 
-// A switch went through three agents; one has since overwritten its part and one has a clock that
-// is an hour fast. A reader who isn't told would take the gap and the order for the truth.
+// Of three agents in a switch one has overwritten events and one has a clock that is an hour fast.
+// Without a note the gap and the wrong order would go unnoticed.
 #[test]
 fn to_text_names_gaps_and_wrong_clocks() {
     let fast = process("agent-1", START_MS + 3_600_000);
     let busy = process("agent-2", START_MS + 40);
-    let calm = process("agent-3", START_MS + 50);
+    let healthy = process("agent-3", START_MS + 50);
     let group = Subject::default().group("runners-a");
     for _ in 0..70 {
         let step = Event::Switch { step: SwitchStep::Staged, map_revision: 41 };
         busy.recorder.record_with_subject(&group, step);
     }
-    for process in [&fast, &calm] {
+    for process in [&fast, &healthy] {
         let step = Event::Switch { step: SwitchStep::Resumed, map_revision: 42 };
         process.recorder.record_with_subject(&group, step);
     }
     let query = EventQuery { group: Some("runners-a".into()), ..EventQuery::default() };
-    let answers = [&fast, &busy, &calm].map(|process| process.answer(&query));
+    let answers = [&fast, &busy, &healthy].map(|process| process.answer(&query));
     let mut timeline = merge(query, answers.into(), Vec::new());
     timeline.events.retain(|event| event.process.as_ref() != "agent-2");
     insta::assert_snapshot!(timeline.to_text());
 }
 
-// A clock that reads the year 10,500 has no text form in most formats.
+// Most text formats end with the year 9999. A clock that reads a later year must not cause a panic.
 #[test]
-fn to_text_absurd_clock_still_prints() {
-    let absurd = process("agent-1", 1 << 47);
-    absurd.recorder.record(routed("runner-1", 1));
-    let wild = process("agent-2", (1 << 48) - 1);
-    wild.recorder.record(routed("runner-1", 1));
+fn to_text_clock_after_year_9999_still_prints() {
+    let far_ahead = process("agent-1", 1 << 47);
+    far_ahead.recorder.record(routed("runner-1", 1));
+    let out_of_range = process("agent-2", (1 << 48) - 1);
+    out_of_range.recorder.record(routed("runner-1", 1));
     let query = EventQuery { since_ms: Some(1), ..EventQuery::default() };
-    let answers = vec![absurd.answer(&query), wild.answer(&query)];
+    let answers = vec![far_ahead.answer(&query), out_of_range.answer(&query)];
     let text = merge(query, answers, Vec::new()).to_text();
     assert!(text.contains("routed to runner-1"), "{text}");
 }
 
-// Found by the property below: a process's name went through as it was.
+// The property test below found that control characters in a process's name were printed as is.
 #[test]
 fn to_text_control_characters_in_name_replaced() {
     let forged = process("agent\x1b[2A", START_MS);
@@ -238,24 +239,23 @@
 
 const PROCESSES: usize = 4;
 
-/// What each process had seen of the others when it recorded an event: the exact order of causes,
-/// against which the stamps are held.
-type Seen = [u64; PROCESSES];
+/// Vector clock of an event: the exact causal order, against which the order by stamps is checked.
+type VectorClock = [u64; PROCESSES];
 
-fn is_before(one: &Seen, other: &Seen) -> bool {
+fn is_before(one: &VectorClock, other: &VectorClock) -> bool {
     one != other && one.iter().zip(other).all(|(one, other)| one <= other)
 }
 
 #[derive(Clone, Debug)]
 struct Step {
     process: usize,
-    told: usize,
+    receiver: usize,
     clock_moves_ms: i64,
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let step = (0..PROCESSES, 0..PROCESSES, -300..300_i64)
-        .prop_map(|(process, told, clock_moves_ms)| Step { process, told, clock_moves_ms });
+        .prop_map(|(process, receiver, clock_moves_ms)| Step { process, receiver, clock_moves_ms });
     prop::collection::vec(step, 1..60)
 }
 
@@ -268,7 +268,7 @@
 
     // Names and reasons come from other processes and may hold anything.
     #[test]
-    fn to_text_any_names_fit_the_columns(names in prop::collection::vec("\\PC{0,120}|[\\x00-\\x1f\\x7f ]{0,9}", 1..4)) {
+    fn to_text_any_names_fit_line_width(names in prop::collection::vec("\\PC{0,120}|[\\x00-\\x1f\\x7f ]{0,9}", 1..4)) {
         let events = names.iter().enumerate().map(|(index, name)| {
             StampedEvent {
                 stamp: Stamp::new(START_MS, index as u16),
@@ -289,28 +289,28 @@
             prop_assert!(!line.chars().any(char::is_control), "{line:?}");
         }
     }
-    // Processes record events and tell each other of them, while every wall clock jumps forwards
+    // Processes record events and send each other messages, while every wall clock jumps forwards
     // and backwards within the drift bound.
     #[test]
     fn merge_any_messages_keep_causes_before_effects(steps in steps()) {
         let processes: Vec<Process> =
             (0..PROCESSES).map(|number| process(&format!("p{number}"), START_MS)).collect();
-        let mut seen = [[0; PROCESSES]; PROCESSES];
+        let mut clocks = [[0; PROCESSES]; PROCESSES];
         let mut causes = Vec::new();
         for step in &steps {
-            let (own, told) = (&processes[step.process], &processes[step.told]);
-            own.wall.set_ms(START_MS.checked_add_signed(step.clock_moves_ms).expect("in range"));
-            seen[step.process][step.process] += 1;
-            own.recorder.record(Event::LeaseLost { lease: causes.len().to_string().into() });
-            causes.push(seen[step.process]);
-            own.tells(told);
-            let news = seen[step.process];
-            let known = seen[step.told];
-            seen[step.told] = std::array::from_fn(|number| known[number].max(news[number]));
+            let (sender, receiver) = (&processes[step.process], &processes[step.receiver]);
+            sender.wall.set_ms(START_MS.checked_add_signed(step.clock_moves_ms).expect("in range"));
+            clocks[step.process][step.process] += 1;
+            sender.recorder.record(Event::LeaseLost { lease: causes.len().to_string().into() });
+            causes.push(clocks[step.process]);
+            sender.sends_to(receiver);
+            let sent = clocks[step.process];
+            let local = clocks[step.receiver];
+            clocks[step.receiver] = std::array::from_fn(|number| local[number].max(sent[number]));
         }
         let query = EventQuery::default();
         let answers = processes.iter().map(|process| process.answer(&query)).collect();
-        let order: Vec<Seen> = merge(query, answers, Vec::new())
+        let order: Vec<VectorClock> = merge(query, answers, Vec::new())
             .events
             .iter()
             .filter_map(|event| match &event.event {
