--- a/crates/control/src/directory.rs
+++ b/crates/control/src/directory.rs
@@ -1,9 +1,9 @@
-//! Every agent of the fleet, as entries tell each other of it.
+//! The directory: records of all agents of the fleet, replicated between entries.
 //!
-//! Whoever meets an agent process writes its record: an entry with a link to it, or the one that
-//! looks at a VM nobody knows yet. Records are merged by version, so any order gives the same. A
-//! record that lags costs a try to connect; what an agent may run is decided by its own
-//! incarnation, never by a record.
+//! The record of an agent is written by an entry that has a link to the agent, or by the entry that
+//! probes a VM which is not known yet. Records are merged by version, so their order of arrival does
+//! not matter. An outdated record only costs a failed attempt to connect: what an agent may run is
+//! decided by its own incarnation, never by a record.
 
 use crate::membership::GONE_RETENTION;
 use flamingowheel_protocol::message::{Hello, Role};
@@ -14,24 +14,25 @@
 use tokio::time::Instant;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Parts that are compared by digest. At 7,300 agents one holds about 29 records, 5 KB.
+/// Number of parts that are compared by digest. At 7,300 agents a part has about 29 records, 5 KB.
 pub const PARTS: usize = 256;
 
-/// Most records kept; further agents are reached only by entries that connect to all.
+/// Upper bound on the records kept. Further agents are reached only by entries that connect to all
+/// agents.
 pub const MAX_AGENTS: usize = 16_384;
 
-/// The agents that one entry knows of.
+/// The agents known to one entry.
 #[derive(Clone, Debug)]
 pub struct Directory {
-    agents: BTreeMap<String, Known>,
+    agents: BTreeMap<String, StoredAgent>,
     digests: Vec<u64>,
 }
 
 #[derive(Clone, Debug)]
-struct Known {
+struct StoredAgent {
     record: Arc<AgentRecord>,
-    changed_in: u64,
-    since: Instant,
+    changed_in_version: u64,
+    changed_at: Instant,
 }
 
 impl Default for Directory {
@@ -47,53 +48,55 @@
         records.filter(|record| record.state != MemberState::Gone)
     }
 
-    /// One agent, gone ones included.
+    /// Looks up an agent by name, including agents that are gone.
     pub fn get(&self, name: &str) -> Option<&AgentRecord> {
         self.agents.get(name).map(|known| &*known.record)
     }
 
-    /// Digests of all parts; equal directories have equal ones. Agents that are gone don't count,
-    /// since entries forget them at different times.
+    /// Digests of all parts; equal for equal directories. Agents that are gone are left out, since
+    /// entries drop them at different times.
     pub fn digests(&self) -> &[u64] {
         &self.digests
     }
 
-    /// The records that changed after a version of the table.
+    /// The records that changed after a version of the member table.
     pub fn changed_after(&self, version: u64) -> Vec<AgentRecord> {
-        let newer = self.agents.values().filter(|known| known.changed_in > version);
+        let newer = self.agents.values().filter(|known| known.changed_in_version > version);
         newer.map(|known| (*known.record).clone()).collect()
     }
 
-    /// The parts in which a directory with these digests differs.
+    /// The numbers of the parts whose digests differ from these.
     pub fn differing_parts(&self, digests: &[u64]) -> Vec<u8> {
         let pairs = self.digests.iter().zip(digests).enumerate();
         pairs.filter(|(_, (own, other))| own != other).map(|(part, _)| part as u8).collect()
     }
 
-    /// The records of some parts.
+    /// All records in the given parts.
     pub fn records_in_parts(&self, parts: &[u8]) -> Vec<AgentRecord> {
-        let within = |name: &str| parts.contains(&(part(name) as u8));
+        let within = |name: &str| parts.contains(&(part_of(name) as u8));
         let found = self.agents.iter().filter(|(name, _)| within(name));
         found.map(|(_, known)| (*known.record).clone()).collect()
     }
 
-    /// Whether a record says more than what is known.
+    /// Whether a record takes precedence over the stored one.
     pub fn is_newer(&self, record: &AgentRecord) -> bool {
         match self.get(&record.name) {
             Some(known) => precedence(record) > precedence(known),
-            // A tombstone that was dropped here must not go round again.
+            // The record of an agent that is gone, once dropped here, must not be replicated again.
             None => record.state != MemberState::Gone && self.agents.len() < MAX_AGENTS,
         }
     }
 
-    /// Takes a record, if it is news. `version` is the table's next version.
+    /// Stores a record if it is newer, and returns whether it was. `version` is the member table's
+    /// next version.
     pub fn merge(&mut self, record: AgentRecord, version: u64, now: Instant) -> bool {
         if !self.is_newer(&record) {
             return false;
         }
         let name = record.name.clone();
-        let known = Known { record: Arc::new(record), changed_in: version, since: now };
-        let digest = &mut self.digests[part(&name)];
+        let known =
+            StoredAgent { record: Arc::new(record), changed_in_version: version, changed_at: now };
+        let digest = &mut self.digests[part_of(&name)];
         *digest ^= hash(&known.record);
         if let Some(before) = self.agents.insert(name, known) {
             *digest ^= hash(&before.record);
@@ -101,8 +104,8 @@
         true
     }
 
-    /// The records that a process's own word makes necessary: its own, if it differs from what is
-    /// known, and the end of another that had its address before.
+    /// The records to merge after an agent's `hello`: its own record, if it differs from the stored
+    /// one, and records that mark other agents at the same address as gone.
     pub fn records_for_hello(&self, address: SocketAddr, hello: &Hello) -> Vec<AgentRecord> {
         let Role::Agent(profile) = &hello.role else { return Vec::new() };
         let known = self.get(&hello.name);
@@ -116,7 +119,7 @@
             version: known.map_or(0, |known| known.version) + 1,
             state: MemberState::Live,
         };
-        if known.is_some_and(|known| is_same(known, &record)) {
+        if known.is_some_and(|known| is_unchanged(known, &record)) {
             return Vec::new();
         }
         let others = self.agents().filter(|o| o.address == address && o.name != hello.name);
@@ -127,29 +130,30 @@
         others.map(gone).chain([record]).collect()
     }
 
-    /// Drops what has been gone for long.
+    /// Drops agents that have been gone for [`GONE_RETENTION`].
     pub fn expire(&mut self, now: Instant) {
         self.agents.retain(|_, known| {
-            known.record.state != MemberState::Gone || now - known.since < GONE_RETENTION
+            known.record.state != MemberState::Gone || now - known.changed_at < GONE_RETENTION
         });
     }
 }
 
-/// Decides between two records of one name. Incarnations are random: they only break ties, the
-/// same way everywhere.
+/// Orders two records of the same name. Incarnations are random and only break ties, identically in
+/// every process.
 pub(crate) fn precedence(record: &AgentRecord) -> (u64, u64, MemberState) {
     (record.version, record.incarnation.0, record.state)
 }
 
-/// A process that the VM list calls leaving stays so until another takes its name.
-fn is_same(known: &AgentRecord, met: &AgentRecord) -> bool {
+/// Whether a hello changes nothing in the record. The state `Leaving` is not compared: an agent
+/// that the VM list marked as leaving stays so until another process has its name.
+fn is_unchanged(known: &AgentRecord, new: &AgentRecord) -> bool {
     known.state != MemberState::Gone
-        && known.incarnation == met.incarnation
-        && known.address == met.address
-        && known.serves == met.serves
+        && known.incarnation == new.incarnation
+        && known.address == new.address
+        && known.serves == new.serves
 }
 
-fn part(name: &str) -> usize {
+fn part_of(name: &str) -> usize {
     xxh3_64(name.as_bytes()) as usize % PARTS
 }
 
--- a/crates/control/src/duties.rs
+++ b/crates/control/src/duties.rs
@@ -1,31 +1,31 @@
-//! What one process has to do for the others, by its table.
+//! What one process has to do for the others, computed from its member table.
 
 use crate::membership::Table;
 use flamingowheel_policy::topology::{EntryRef, Topology};
 use flamingowheel_protocol::peer::{MemberRecord, MemberState};
 
-/// The duties of one process. They change only with its table.
+/// The duties of one process. They change only with its member table.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Duties {
-    /// Names of those it polls.
+    /// Names of the processes that this process polls.
     pub poll_targets: Vec<String>,
-    /// Names of those that should poll it.
+    /// Names of the processes that should poll this process.
     pub pollers: Vec<String>,
-    /// Whether it watches the key-value service for its data centre.
+    /// Whether this process watches the key-value service for its data centre.
     pub is_watcher: bool,
-    /// Whether it reads the VM list for the fleet.
+    /// Whether this process reads the VM list for the fleet.
     pub reads_vm_list: bool,
 }
 
 impl Duties {
-    /// The duties of the table's own process. Silent and gone processes have none, so that their
-    /// part falls to others.
+    /// Computes the duties of the process that owns `table`. Other processes that are silent or gone
+    /// are left out, so that their duties pass to the rest.
     pub fn new(table: &Table) -> Self {
         let own = table.own_record();
-        let counts =
+        let has_duties =
             |record: &&MemberRecord| record.name == own.name || record.state < MemberState::Silent;
-        let members = table.members().map(|member| &member.record).filter(counts);
-        let topology = Topology::new(members.map(place));
+        let members = table.members().map(|member| &member.record).filter(has_duties);
+        let topology = Topology::new(members.map(entry_ref));
         let (centre, name) = (own.data_centre.as_str(), own.name.as_str());
         Self {
             poll_targets: owned(topology.poll_targets(centre, name)),
@@ -36,7 +36,7 @@
     }
 }
 
-fn place(record: &MemberRecord) -> EntryRef<'_> {
+fn entry_ref(record: &MemberRecord) -> EntryRef<'_> {
     EntryRef { data_centre: &record.data_centre, name: &record.name }
 }
 
--- a/crates/control/src/fetch.rs
+++ b/crates/control/src/fetch.rs
@@ -14,10 +14,10 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// How often a fetch of everything starts again because the peer moved on.
-const SNAPSHOT_TRIES: usize = 4;
+/// Upper bound on attempts to fetch all buckets. An attempt fails if the peer's revision changes.
+const MAX_SNAPSHOT_ATTEMPTS: usize = 4;
 
-/// Fetches from peers into a node.
+/// Fetches configuration from peers and puts it in force in a node.
 pub(crate) struct Fetcher<'a> {
     pub(crate) node: &'a Node,
     pub(crate) peers: &'a dyn PeerTransport,
@@ -25,7 +25,8 @@
 }
 
 impl Fetcher<'_> {
-    /// Fetches until this process has at least `revision`.
+    /// Fetches the peer's changes, or all of its documents, unless this process has `revision` or a
+    /// newer one.
     pub(crate) async fn fetch(
         &self,
         peer: SocketAddr,
@@ -36,21 +37,21 @@
         }
         let after = self.node.revision().0;
         match self.ask(peer, PeerRequest::Changes { after }).await? {
-            PeerAnswer::Changes(changes) => self.take_changes(&changes),
+            PeerAnswer::Changes(changes) => self.apply_changes(&changes),
             PeerAnswer::NotKept => self.fetch_all(peer).await,
             _ => Err(PeerError::Unexpected),
         }
     }
 
-    fn take_changes(&self, stored: &[StoredValue]) -> Result<(), PeerError> {
+    fn apply_changes(&self, stored: &[StoredValue]) -> Result<(), PeerError> {
         let changes: Result<Vec<Arc<Change>>, PeerError> = stored.iter().map(decode).collect();
         self.node.advance(changes?, ConfigSource::Peer).map_err(|_| PeerError::Unexpected)
     }
 
-    /// Fetches all buckets. They must be of one revision: a mix of two would show a template's
-    /// change in some of its workspaces only.
+    /// Fetches all buckets. They must be of one revision: with a mix of two, a template's change could
+    /// be in force in only some of its workspaces.
     async fn fetch_all(&self, peer: SocketAddr) -> Result<(), PeerError> {
-        for _ in 0..SNAPSHOT_TRIES {
+        for _ in 0..MAX_SNAPSHOT_ATTEMPTS {
             if let Some(replica) = self.fetch_buckets(peer).await? {
                 self.node.adopt(replica, ConfigSource::Peer);
                 return Ok(());
@@ -59,7 +60,7 @@
         Err(PeerError::Unexpected)
     }
 
-    /// All buckets, or `None` if the peer moved on meanwhile.
+    /// Fetches all buckets once. Returns `None` if the peer's revision changed meanwhile.
     async fn fetch_buckets(&self, peer: SocketAddr) -> Result<Option<Replica>, PeerError> {
         let mut documents = Documents::default();
         for number in 0..=WORKSPACE_BUCKETS {
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,15 +1,15 @@
-//! Control: which entries there are, how the configuration reaches all of them, and the
-//! operators' interface.
+//! The control plane of the entries: membership, distribution of the configuration, and the
+//! operators' HTTP API.
 //!
-//! * [`membership`]: what one process believes of the others, as a pure table.
-//! * [`directory`]: every agent, as entries tell each other of it.
-//! * [`flamingowheel_policy::topology`]: who watches whom, computed from the table.
-//! * [`duties`]: what that means for this process.
-//! * [`pause`]: noticing that this process itself stood still.
-//! * [`node`]: the state of one process, and its answers to peers.
-//! * [`synchronizer`]: the loops that keep it up to date.
-//! * [`operators`]: the operators' HTTP interface.
-//! * [`transport`] and [`websocket`]: how peers are reached.
+//! * [`membership`]: the member table of one process, without I/O.
+//! * [`directory`]: the records of all agents, replicated between entries.
+//! * [`flamingowheel_policy::topology`]: which entry polls which, computed from the table.
+//! * [`duties`]: what this process polls, watches and reads as a result.
+//! * [`pause`]: detects that this process was paused.
+//! * [`node`]: the state of one process, and its answers to peers' requests.
+//! * [`synchronizer`]: the loops that keep that state up to date.
+//! * [`operators`]: the operators' HTTP API.
+//! * [`transport`] and [`websocket`]: requests to peers.
 
 pub mod directory;
 pub mod duties;
@@ -19,7 +19,7 @@
 pub mod operators;
 pub mod pause;
 mod registry;
-mod roll;
+mod revision_poll;
 mod seeds;
 mod service;
 pub mod synchronizer;
--- a/crates/control/src/membership.rs
+++ b/crates/control/src/membership.rs
@@ -1,8 +1,9 @@
-//! What one process believes of the others: a table of records, merged by version.
+//! The member table of one process: records of all entries, merged by version.
 //!
-//! Three sources are combined. What a process says of itself carries the highest version. Those
-//! that watch it may call it silent under the version it last gave; it answers with a higher one.
-//! The VM list marks VMs that are leaving, and confirms that a silent one is gone.
+//! The table combines three sources. Each process publishes its own record and alone raises its
+//! version. Processes that watch it may mark it as silent under its last version; it refutes that
+//! with a higher version. The VM list marks VMs as leaving and confirms that a silent process is
+//! gone.
 
 use crate::directory::Directory;
 use flamingowheel_protocol::message::Hello;
@@ -13,11 +14,11 @@
 use tokio::time::Instant;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// How long the record of a process that is gone is kept, so that late news of it can't bring it
-/// back.
+/// How long the record of a process that is gone is kept, so that a late update can't bring the
+/// process back.
 pub const GONE_RETENTION: Duration = Duration::from_secs(600);
 
-/// The table of one process.
+/// The member table of one process.
 #[derive(Clone, Debug)]
 pub struct Table {
     own: String,
@@ -27,37 +28,37 @@
     directory: Directory,
 }
 
-/// What is believed of one process.
+/// One row of the table.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// The record that counts.
+    /// The record with the highest precedence received so far.
     pub record: MemberRecord,
-    /// When it was last heard directly, or its record last changed.
+    /// When a message of the member last arrived, or its record last changed.
     pub last_seen_at: Instant,
     /// Table version of the last change to the record.
-    changed_in: u64,
+    changed_in_version: u64,
 }
 
-/// Something the table learnt.
+/// A result of an update of the table that is recorded as an event or logged.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Observation {
-    /// A process is in a new state.
+    /// A process is known for the first time or changed its state.
     Changed {
-        /// Its name.
+        /// Name of the process.
         name: String,
-        /// The state.
+        /// The new state.
         state: MemberState,
     },
-    /// Another process claims this one's name: two of the same name run, or this one restarted
-    /// and its older record still goes round.
+    /// A record with this process's name and another incarnation was received: two processes have
+    /// the same name, or this one restarted and its previous record is still circulating.
     NameClaimed,
 }
 
 impl Table {
-    /// A table that knows only this process.
+    /// Creates a table with only this process's own record.
     pub fn new(own: MemberRecord, now: Instant) -> Self {
         let name = own.name.clone();
-        let member = Member { record: own, last_seen_at: now, changed_in: 1 };
+        let member = Member { record: own, last_seen_at: now, changed_in_version: 1 };
         Self {
             own: name.clone(),
             version: 1,
@@ -67,27 +68,28 @@
         }
     }
 
-    /// What this process says of itself.
+    /// The record that this process publishes of itself.
     pub fn own_record(&self) -> &MemberRecord {
         &self.members[&self.own].record
     }
 
-    /// Rises with every change.
+    /// Version of this table, raised by every change. Local to the process.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// One process.
+    /// Looks up a process by name; processes that are gone are kept for a while.
     pub fn member(&self, name: &str) -> Option<&Member> {
         self.members.get(name)
     }
 
-    /// All processes, this one included, by name.
+    /// All processes, this one included, in the order of their names.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
 
-    /// The state that counts: what the record says, and `Leaving` too if the VM list says so.
+    /// The state of a member: that of its record, or `Leaving` if the record says `Live` and the VM
+    /// list says that its VM is leaving.
     pub fn state(&self, member: &Member) -> MemberState {
         let listed_leaving = self.leaving_vms.contains_key(&member.record.vm);
         match member.record.state {
@@ -96,36 +98,39 @@
         }
     }
 
-    /// Whether the VM list calls the VM of a known entry leaving.
+    /// Whether a VM of a known entry is leaving according to the VM list.
     pub fn is_vm_leaving(&self, vm: &str) -> bool {
         self.leaving_vms.contains_key(vm)
     }
 
-    /// What changed after a version of this table.
+    /// The changes after a version of this table. Agents are left out for version 0.
     pub fn updates_after(&self, version: u64) -> MembershipUpdate {
-        let newer = |member: &&Member| member.changed_in > version;
-        let vms = self.leaving_vms.iter().filter(|(_, changed_in)| **changed_in > version);
+        let newer = |member: &&Member| member.changed_in_version > version;
+        let vms = self
+            .leaving_vms
+            .iter()
+            .filter(|(_, changed_in_version)| **changed_in_version > version);
         MembershipUpdate {
             records: self.members.values().filter(newer).map(|m| m.record.clone()).collect(),
             leaving_vms: vms.map(|(vm, _)| vm.clone()).collect(),
-            // Between two that meet for the first time, digests tell what is missing.
+            // On first contact the directories are compared by digest instead.
             agents: if version == 0 { Vec::new() } else { self.directory.changed_after(version) },
         }
     }
 
-    /// The agents known of.
+    /// The directory of agents.
     pub fn directory(&self) -> &Directory {
         &self.directory
     }
 
-    /// An agent process introduced itself at this address.
+    /// Records the agent that sent `hello` on a connection to `address`.
     pub fn record_agent(&mut self, address: SocketAddr, hello: &Hello, now: Instant) {
         for record in self.directory.records_for_hello(address, hello) {
             self.merge_agent(record, now);
         }
     }
 
-    /// Notes that an agent is leaving or gone.
+    /// Records that an agent is leaving or gone. Never moves it back to an earlier state.
     pub fn downgrade_agent(&mut self, name: &str, state: MemberState, now: Instant) {
         if let Some(known) = self.directory.get(name) {
             let record = AgentRecord { state: state.max(known.state), ..known.clone() };
@@ -139,7 +144,7 @@
         }
     }
 
-    /// Equal for equal records, in whatever order they came.
+    /// Digest of members and agents; independent of the order in which records were received.
     pub fn digest(&self) -> u64 {
         let records = self.members.values().map(|member| {
             let MemberRecord { name, version, incarnation, state, .. } = &member.record;
@@ -149,16 +154,16 @@
         records.fold(agents, |digest, record| digest ^ record)
     }
 
-    /// Takes news from a peer.
-    pub fn merge(&mut self, news: MembershipUpdate, now: Instant) -> Vec<Observation> {
+    /// Merges updates from a peer.
+    pub fn merge(&mut self, updates: MembershipUpdate, now: Instant) -> Vec<Observation> {
         let mut observations = Vec::new();
-        for record in news.records {
+        for record in updates.records {
             observations.extend(self.merge_record(record, now));
         }
-        for vm in news.leaving_vms {
+        for vm in updates.leaving_vms {
             self.mark_vm_leaving(vm);
         }
-        for agent in news.agents {
+        for agent in updates.agents {
             self.merge_agent(agent, now);
         }
         observations
@@ -176,16 +181,16 @@
         let (name, state) = (record.name.clone(), record.state);
         let before = self.members.get(&name).map(|member| member.record.state);
         self.version += 1;
-        let member = Member { record, last_seen_at: now, changed_in: self.version };
+        let member = Member { record, last_seen_at: now, changed_in_version: self.version };
         self.members.insert(name.clone(), member);
         (before != Some(state)).then_some(Observation::Changed { name, state })
     }
 
-    /// Others' word about this process itself.
+    /// Merges a peer's record of this process.
     ///
-    /// A false suspicion takes this process out of address answers although it works. Raising
-    /// the version past the suspicion's brings it back. The same way a restarted process
-    /// overrides the record of its last start.
+    /// A false suspicion removes this process from address answers although it works. It is refuted
+    /// by raising the own record's version above the suspicion's. In the same way a restarted
+    /// process overrides the record of its previous start.
     fn merge_own(&mut self, record: &MemberRecord) -> Option<Observation> {
         let own = self.own_record();
         if precedence(own) >= precedence(record) {
@@ -193,34 +198,34 @@
         }
         let claimed = record.incarnation != own.incarnation;
         let state = own.state;
-        self.say(record.version + 1, state);
+        self.set_own(record.version + 1, state);
         claimed.then_some(Observation::NameClaimed)
     }
 
-    /// Says of this process that it is leaving, for good.
+    /// Sets this process's own state to `Leaving`. It can't be undone.
     pub fn leave(&mut self) {
         let version = self.own_record().version + 1;
-        self.say(version, MemberState::Leaving);
+        self.set_own(version, MemberState::Leaving);
     }
 
-    fn say(&mut self, version: u64, state: MemberState) {
+    fn set_own(&mut self, version: u64, state: MemberState) {
         self.version += 1;
-        let changed_in = self.version;
+        let changed_in_version = self.version;
         if let Some(own) = self.members.get_mut(&self.own) {
             own.record.version = version;
             own.record.state = state;
-            own.changed_in = changed_in;
+            own.changed_in_version = changed_in_version;
         }
     }
 
-    /// A process was heard directly.
+    /// Records that a message of this process arrived.
     pub fn mark_seen(&mut self, name: &str, now: Instant) {
         if let Some(member) = self.members.get_mut(name) {
             member.last_seen_at = now;
         }
     }
 
-    /// A process was heard directly, and this is what it says of itself.
+    /// Merges a record received from the process itself, and marks the process as seen.
     pub fn merge_direct(&mut self, record: MemberRecord, now: Instant) -> Option<Observation> {
         let name = record.name.clone();
         let observation = self.merge_record(record, now);
@@ -228,30 +233,30 @@
         observation
     }
 
-    /// Calls a process silent that this one watches and has not heard.
+    /// Marks a process as silent, unless it already is silent or gone or is this process.
     pub fn mark_silent(&mut self, name: &str) -> Option<Observation> {
         if name == self.own {
             return None;
         }
-        self.worsen(name, MemberState::Silent)
+        self.raise_state(name, MemberState::Silent)
     }
 
-    fn worsen(&mut self, name: &str, state: MemberState) -> Option<Observation> {
+    fn raise_state(&mut self, name: &str, state: MemberState) -> Option<Observation> {
         let member = self.members.get_mut(name)?;
         if member.record.state >= state {
             return None;
         }
         self.version += 1;
         member.record.state = state;
-        member.changed_in = self.version;
+        member.changed_in_version = self.version;
         Some(Observation::Changed { name: name.to_owned(), state })
     }
 
-    /// Takes a read of the VM list: which VMs are listed at all, and which are leaving.
+    /// Applies a read of the VM list: the names of all VMs, and of those that are leaving.
     ///
-    /// The list lags, so it never makes a process live or silent. A VM that it once called
-    /// leaving stays so, since a VM's name is never used again. Only a process that is silent *and* on
-    /// no listed VM is gone.
+    /// The list lags, so it never makes a process live or silent. A VM once listed as leaving stays
+    /// so, since VM names are never reused. A process is gone only if it is silent *and* its VM is
+    /// not listed.
     pub fn apply_vm_list(
         &mut self,
         listed: &BTreeSet<&str>,
@@ -260,7 +265,7 @@
         for vm in leaving {
             self.mark_vm_leaving((*vm).to_owned());
         }
-        // An empty answer would make everything gone that is silent; more likely it is wrong.
+        // An empty list would mark every silent process as gone, and is more likely an error.
         if listed.is_empty() {
             return Vec::new();
         }
@@ -270,11 +275,11 @@
         };
         let gone = self.members.values().filter(gone).map(|m| m.record.name.clone());
         let gone: Vec<String> = gone.collect();
-        gone.iter().filter_map(|name| self.worsen(name, MemberState::Gone)).collect()
+        gone.iter().filter_map(|name| self.raise_state(name, MemberState::Gone)).collect()
     }
 
-    /// Only VMs of known entries are kept: the list names thousands a day, and a table that took
-    /// them all would only grow.
+    /// Keeps only VMs of known entries: thousands of VMs leave per day, and a table of all of them
+    /// would only grow.
     fn mark_vm_leaving(&mut self, vm: String) {
         let is_of_member = self.members.values().any(|member| member.record.vm == vm);
         if is_of_member && !self.leaving_vms.contains_key(&vm) {
@@ -283,13 +288,13 @@
         }
     }
 
-    /// After this process stood still: what it knew of when others were heard says nothing now.
-    /// They get the full time again before they may be called silent.
+    /// Sets the last-seen time of all members to `now`. After a pause or a partition of this process
+    /// the old times are meaningless, and members get the full timeout before they count as silent.
     pub fn reset_last_seen(&mut self, now: Instant) {
         self.members.values_mut().for_each(|member| member.last_seen_at = now);
     }
 
-    /// Drops records of processes that have been gone for long, and what is known of their VMs.
+    /// Drops records of processes that have been gone for [`GONE_RETENTION`], and their VMs.
     pub fn expire(&mut self, now: Instant) {
         let kept = |member: &Member| {
             member.record.state != MemberState::Gone || now - member.last_seen_at < GONE_RETENTION
@@ -301,8 +306,8 @@
     }
 }
 
-/// Decides between two records of one name. Incarnations are random: they only break ties, the
-/// same way everywhere.
+/// Orders two records of the same name. Incarnations are random and only break ties, identically in
+/// every process.
 fn precedence(record: &MemberRecord) -> (u64, u64, MemberState) {
     (record.version, record.incarnation.0, record.state)
 }
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -1,4 +1,4 @@
-//! The control state of one entry, and its answers to peers.
+//! The control state of one entry, and its answers to requests of peers.
 
 mod agents;
 mod answers;
@@ -13,7 +13,7 @@
 use flamingowheel_config::effective::{ConfigRevision, EffectiveConfig};
 use flamingowheel_config::replica::Replica;
 use flamingowheel_observe::event::Event;
-use flamingowheel_observe::reason::{ConfigSource as Origin, MemberState as Seen};
+use flamingowheel_observe::reason::{ConfigSource as Origin, MemberState as EventState};
 use flamingowheel_observe::recorder::Recorder;
 use flamingowheel_policy::key::EntryKey;
 use flamingowheel_policy::limits::{Loan, LoanRequest};
@@ -30,8 +30,9 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// After a pause, how long requests are refused while nobody confirms the configuration. Beyond
-/// it the process serves with what it has: it is cut off, and its callers may have nobody else.
+/// How long requests are refused after a pause of the process while the configuration is
+/// unconfirmed. After that the process serves with the configuration it has: it is probably
+/// partitioned, and its callers may reach no other entry.
 pub const CONFIRM_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// The control state of one entry; clones share it.
@@ -44,22 +45,22 @@
     state: Mutex<State>,
     effective: watch::Sender<Arc<EffectiveConfig>>,
     progress: watch::Sender<Progress>,
-    ahead: watch::Sender<Option<NewerPeer>>,
+    newer_peer: watch::Sender<Option<NewerPeer>>,
     recorder: Recorder,
     lender: OnceLock<Arc<dyn Lender>>,
     binder: OnceLock<Arc<dyn KeyBinder>>,
-    list_in_turn: AtomicBool,
+    vm_list_rotation: AtomicBool,
 }
 
-/// Binds idempotency keys for other entries.
+/// Binds idempotency keys on behalf of other entries.
 pub trait KeyBinder: Send + Sync + 'static {
-    /// Binds one; claim and answer are in the form of the entry's own package.
+    /// Binds one key. The entry crate defines the encoding of claim and answer.
     fn bind(&self, claim: StoredValue) -> BoxFuture<'_, StoredValue>;
 }
 
-/// Lends other entries a part of this one's share of a workspace's limits.
+/// Lends other entries a part of this entry's share of a workspace's limits.
 pub trait Lender: Send + Sync + 'static {
-    /// Answers a request for a loan.
+    /// Returns the loan granted to `borrower`; its share is 0 if nothing is granted.
     fn lend(&self, workspace: &str, borrower: EntryKey, request: &LoanRequest) -> Loan;
 }
 
@@ -67,84 +68,85 @@
     table: Table,
     replica: Replica,
     source: ConfigSource,
-    /// Set while nobody has confirmed the configuration since a pause.
+    /// Time of the last pause of this process, until the configuration is confirmed again.
     unconfirmed_since: Option<Instant>,
     confirmed_at: Option<Instant>,
-    /// Hears hardly anybody, as far as was seen at the last look.
+    /// Whether most watched members were unheard at the last check and the key-value service
+    /// did not answer.
     cut_off: bool,
-    /// Those watched at the last look.
+    /// Members watched at the last check.
     watched: Vec<String>,
     key_value_answered_at: Option<Instant>,
     started_at: Instant,
-    /// When the key-value service last answered anybody, as far as is known here.
+    /// When the key-value service last answered any process, as far as peers reported it.
     service_answered_at: Option<Instant>,
     cursors: HashMap<String, Cursor>,
-    /// The revision that each process last reported here.
+    /// The revision in force that each process last reported to this one.
     reported: HashMap<String, ConfigRevision>,
     random: StdRng,
-    /// Duties as of a version of the table.
+    /// Duties, cached by the version of the member table they were computed from.
     duties: (u64, Arc<Duties>),
 }
 
-/// How far two processes have told each other their news.
+/// The table versions up to which this process and a peer have exchanged updates.
 #[derive(Clone, Copy)]
 struct Cursor {
     incarnation: Incarnation,
-    theirs: u64,
-    ours: u64,
+    peer_version: u64,
+    own_version: u64,
 }
 
-/// What heartbeats are held for.
+/// Held heartbeats are answered when one of these advances.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Progress {
-    /// The configuration in force.
+    /// Revision of the configuration in force.
     pub revision: ConfigRevision,
-    /// Version of the table of members.
+    /// Version of the member table.
     pub version: u64,
 }
 
-/// A process that asked this one and has a newer configuration.
+/// A peer that polled this process and has a newer configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NewerPeer {
-    /// Its name.
+    /// Name of the process.
     pub name: String,
-    /// The revision that it has in force.
+    /// The revision that the peer has in force.
     pub revision: ConfigRevision,
 }
 
-/// What is shown of one process.
+/// One member of the table, as shown to operators and other parts of the process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberView {
-    /// What it says of itself.
+    /// The newest record of the member.
     pub record: MemberRecord,
-    /// The state that counts.
+    /// State from the record, or `Leaving` if the VM list says so.
     pub state: MemberState,
-    /// How long ago it was heard, or anything was heard of it.
+    /// Time since the member was last heard directly or its record last changed.
     pub last_seen_ago: Duration,
-    /// The revision it last reported to this process.
+    /// The revision in force that the member last reported to this process.
     pub revision: ConfigRevision,
 }
 
-/// What an answer to a heartbeat leaves to do.
+/// What the caller has to do after an answer to a heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Followup {
     /// The peer has nothing newer.
     None,
-    /// The peer has this newer revision.
+    /// The peer has this newer revision, which has to be fetched.
     Fetch(ConfigRevision),
 }
 
-/// What a heartbeat was made from.
+/// State of this process when a heartbeat was sent, needed to apply the answer.
 #[derive(Clone, Copy, Debug)]
 pub struct SentHeartbeat {
-    /// The own table's version.
+    /// Version of this process's member table, read before the heartbeat was built.
     pub table_version: u64,
-    /// When.
+    /// When the heartbeat was sent.
     pub sent_at: Instant,
 }
 
 impl Node {
-    /// The state of an entry that has just started.
+    /// Creates the state of an entry that has just started: no peers, no configuration.
     pub fn new(own: MemberRecord, recorder: Recorder) -> Self {
         let random = StdRng::seed_from_u64(own.incarnation.0);
         let state = State {
@@ -167,72 +169,72 @@
             state: Mutex::new(state),
             effective: watch::Sender::new(Arc::default()),
             progress: watch::Sender::default(),
-            ahead: watch::Sender::default(),
+            newer_peer: watch::Sender::default(),
             recorder,
             lender: OnceLock::new(),
             binder: OnceLock::new(),
-            list_in_turn: AtomicBool::new(false),
+            vm_list_rotation: AtomicBool::new(false),
         };
         Self { shared: Arc::new(shared) }
     }
 
-    /// Says who answers requests for loans; only the first counts.
+    /// Sets what answers requests for loans. Later calls have no effect.
     pub fn set_lender(&self, lender: Arc<dyn Lender>) {
         let _ = self.shared.lender.set(lender);
     }
 
-    /// Says who binds idempotency keys for others; only the first counts.
+    /// Sets what binds idempotency keys for other entries. Later calls have no effect.
     pub fn set_key_binder(&self, binder: Arc<dyn KeyBinder>) {
         let _ = self.shared.binder.set(binder);
     }
 
-    /// The configuration in force, now and later.
+    /// Subscribes to the configuration in force.
     pub fn effective(&self) -> watch::Receiver<Arc<EffectiveConfig>> {
         self.shared.effective.subscribe()
     }
 
-    /// Revision and table version, now and later.
+    /// Subscribes to the revision in force and the version of the member table.
     pub fn progress(&self) -> watch::Receiver<Progress> {
         self.shared.progress.subscribe()
     }
 
-    /// The process that asked last and has a newer configuration, now and later.
+    /// Subscribes to the last peer that polled this process and had a newer configuration.
     pub fn newer_peer(&self) -> watch::Receiver<Option<NewerPeer>> {
-        self.shared.ahead.subscribe()
+        self.shared.newer_peer.subscribe()
     }
 
-    /// Where events are recorded.
+    /// The recorder of this process's events.
     pub fn recorder(&self) -> &Recorder {
         &self.shared.recorder
     }
 
-    /// The documents and newest changes.
+    /// A copy of the documents in force and the newest changes.
     pub fn replica(&self) -> Replica {
         self.state().replica.clone()
     }
 
-    /// The revision in force.
+    /// Revision of the configuration in force.
     pub fn revision(&self) -> ConfigRevision {
         self.state().replica.revision()
     }
 
-    /// Where the configuration came from.
+    /// Whether the key-value service or only peers confirmed the configuration.
     pub fn source(&self) -> ConfigSource {
         self.state().source
     }
 
-    /// What this process says of itself.
+    /// The record that this process publishes of itself.
     pub fn own_record(&self) -> MemberRecord {
         self.state().table.own_record().clone()
     }
 
-    /// How long ago the key-value service answered this process.
+    /// Time since the key-value service last answered this process; `None` if it never did.
     pub fn key_value_answered_ago(&self) -> Option<Duration> {
         self.state().key_value_answered_at.map(|at| at.elapsed())
     }
 
-    /// Whether new requests may be taken: there is a configuration, and after a pause somebody
-    /// confirmed that it is the newest, or nobody could be asked for [`CONFIRM_TIMEOUT`].
+    /// Whether new requests may be accepted: there is a configuration, and after a pause it was
+    /// confirmed as the newest or [`CONFIRM_TIMEOUT`] has passed.
     pub fn may_serve(&self) -> bool {
         let state = self.state();
         let confirmed =
@@ -240,7 +242,7 @@
         state.source != ConfigSource::None && confirmed
     }
 
-    /// Every entry known, this one included.
+    /// Every known entry, this one included.
     pub fn members(&self) -> Vec<MemberView> {
         let state = self.state();
         let own = &state.table.own_record().name;
@@ -251,68 +253,69 @@
                 true => Duration::ZERO,
                 false => member.last_seen_at.elapsed(),
             },
-            revision: state.reported(&member.record.name),
+            revision: state.revision_of(&member.record.name),
         };
         state.table.members().map(view).collect()
     }
 
-    /// Says to everybody that this entry takes no new requests.
+    /// Publishes to all peers that this entry accepts no new requests.
     pub fn leave(&self) {
-        self.change(|state| {
+        self.update(|state| {
             state.table.leave();
             Vec::new()
         });
     }
 
-    /// This process stood still: it trusts nothing that it believed.
+    /// To be called after a pause of this process: marks the configuration as unconfirmed, since
+    /// it may have been replaced, and gives every member the full time before it counts as silent.
     pub fn invalidate_after_pause(&self) {
         let now = Instant::now();
-        self.change(|state| {
+        self.update(|state| {
             state.table.reset_last_seen(now);
             state.unconfirmed_since = Some(now);
             Vec::new()
         });
     }
 
-    /// What to tell a peer: everything it has not had.
+    /// Builds a heartbeat with all updates that `peer` has not received yet.
     pub fn heartbeat(&self, peer: Option<&str>, hold: Duration) -> Heartbeat {
         let state = self.state();
         let cursor = peer.and_then(|peer| state.cursors.get(peer));
-        let is_first = cursor.is_none_or(|cursor| cursor.theirs == 0);
+        let is_first = cursor.is_none_or(|cursor| cursor.peer_version == 0);
         let digests = if is_first { state.table.directory().digests() } else { &[] };
         Heartbeat {
             agent_digests: digests.to_vec(),
             from: state.sender(),
             revision: state.replica.revision().0,
-            after: cursor.map_or(0, |cursor| cursor.theirs),
+            after: cursor.map_or(0, |cursor| cursor.peer_version),
             hold_ms: hold.as_millis() as u32,
-            updates: state.table.updates_after(cursor.map_or(0, |cursor| cursor.ours)),
+            updates: state.table.updates_after(cursor.map_or(0, |cursor| cursor.own_version)),
         }
     }
 
-    /// Takes a peer's answer to what was asked.
-    pub fn apply_heartbeat_answer(
-        &self,
-        answer: HeartbeatAnswer,
-        asked: SentHeartbeat,
-    ) -> Followup {
+    /// Applies a peer's answer to the heartbeat `sent`.
+    pub fn apply_heartbeat_answer(&self, answer: HeartbeatAnswer, sent: SentHeartbeat) -> Followup {
         let offered = ConfigRevision(answer.revision);
         let (name, incarnation) = (answer.from.name.clone(), answer.from.incarnation);
-        // Counted from the question. Counted from when the answer arrived, the time would grow by
-        // the way between two peers that ask each other, and never get old.
+        // Measured from when the heartbeat was sent. Measured from when the answer arrived, two
+        // peers that poll each other would each lose the travel time, and the age would never grow.
         let answered_ago = answer.service_answered_ms_ago.map(Duration::from_millis);
-        let service_answered = answered_ago.map(|ago| ago + asked.sent_at.elapsed());
-        self.change(|state| {
-            let known = state.cursors.get(&name);
-            let restarted = known.is_some_and(|cursor| cursor.incarnation != incarnation);
-            // A peer that restarted lost what it was told and counts versions anew.
+        let service_answered = answered_ago.map(|ago| ago + sent.sent_at.elapsed());
+        self.update(|state| {
+            let previous = state.cursors.get(&name);
+            let restarted = previous.is_some_and(|cursor| cursor.incarnation != incarnation);
+            // A restarted peer has lost all updates and starts its versions again.
             let cursor = match restarted {
-                true => Cursor { incarnation, theirs: 0, ours: 0 },
-                false => Cursor { incarnation, theirs: answer.version, ours: asked.table_version },
+                true => Cursor { incarnation, peer_version: 0, own_version: 0 },
+                false => Cursor {
+                    incarnation,
+                    peer_version: answer.version,
+                    own_version: sent.table_version,
+                },
             };
             state.reported.insert(name.clone(), offered);
             state.cursors.insert(name.clone(), cursor);
-            state.take(&name, answer.updates)
+            state.merge_updates(&name, answer.updates)
         });
         if offered > self.revision() {
             return Followup::Fetch(offered);
@@ -323,27 +326,28 @@
         Followup::None
     }
 
-    /// A process said what it has in force.
-    pub(crate) fn take_status(&self, record: MemberRecord, revision: ConfigRevision) {
-        self.change(|state| {
+    /// Records the status that a process reported of itself.
+    pub(crate) fn record_status(&self, record: MemberRecord, revision: ConfigRevision) {
+        self.update(|state| {
             state.reported.insert(record.name.clone(), revision);
             state.table.merge_direct(record, Instant::now()).into_iter().collect()
         });
     }
 
-    /// Table version, to be noted before a heartbeat is made.
+    /// Version of the member table. To be read before a heartbeat is built, so that a change in
+    /// between is sent again rather than lost.
     pub fn table_version(&self) -> u64 {
         self.state().table.version()
     }
 
-    /// Digest of the table of members.
+    /// Digest of the member table and the directory; equal for equal contents.
     pub fn digest(&self) -> u64 {
         self.state().table.digest()
     }
 
-    /// Drops what is known of processes that have been gone for long.
+    /// Drops processes that have been gone for longer than the retention time.
     pub(crate) fn expire(&self) {
-        self.change(|state| {
+        self.update(|state| {
             state.table.expire(Instant::now());
             let State { table, cursors, reported, .. } = state;
             cursors.retain(|name, _| table.member(name).is_some());
@@ -352,44 +356,46 @@
         });
     }
 
-    /// Changes the table of members, and tells waiting peers and the event log what came of it.
-    pub(crate) fn change_table<F>(&self, change: F)
+    /// Updates the member table, wakes held heartbeats and records the resulting events.
+    pub(crate) fn update_table<F>(&self, update: F)
     where
         F: FnOnce(&mut Table) -> Vec<Observation>,
     {
-        self.change(|state| change(&mut state.table));
+        self.update(|state| update(&mut state.table));
     }
 
-    fn change<F>(&self, change: F)
+    fn update<F>(&self, update: F)
     where
         F: FnOnce(&mut State) -> Vec<Observation>,
     {
         let mut state = self.state();
-        let observations = change(&mut state);
-        self.publish(&state);
+        let observations = update(&mut state);
+        self.publish_progress(&state);
         drop(state);
-        observations.into_iter().for_each(|observation| self.report(observation));
+        observations.into_iter().for_each(|observation| self.record_observation(observation));
     }
 
-    fn report(&self, observation: Observation) {
+    fn record_observation(&self, observation: Observation) {
         match observation {
             Observation::Changed { name, state } => {
-                let event = Event::MemberChanged { member: name.into(), state: seen(state) };
+                let event = Event::MemberChanged { member: name.into(), state: event_state(state) };
                 self.shared.recorder.record(event);
             }
             Observation::NameClaimed => {
-                tracing::warn!("another start of a process with this name is known; overriding it");
+                tracing::warn!(
+                    "peers have a record of this name with another incarnation; overriding it"
+                );
             }
         }
     }
 
-    fn publish(&self, state: &State) {
+    fn publish_progress(&self, state: &State) {
         let progress =
             Progress { revision: state.replica.revision(), version: state.table.version() };
-        self.shared.progress.send_if_modified(|own| std::mem::replace(own, progress) != progress);
+        self.shared.progress.send_if_modified(|old| std::mem::replace(old, progress) != progress);
     }
 
-    /// What this process has to do for others, as of now.
+    /// The current duties of this process, computed from the member table.
     pub fn duties(&self) -> Arc<Duties> {
         let mut state = self.state();
         let version = state.table.version();
@@ -399,26 +405,27 @@
         Arc::clone(&state.duties.1)
     }
 
-    /// Whether a member stands in this process's data centre.
+    /// Whether a member is in this process's data centre.
     pub fn is_in_same_data_centre(&self, name: &str) -> bool {
         let state = self.state();
         let own = &state.table.own_record().data_centre;
         state.table.member(name).is_some_and(|member| member.record.data_centre == *own)
     }
 
-    /// Inner address of a member.
+    /// Inner address of a member; `None` if it is not in the table.
     pub fn address(&self, name: &str) -> Option<std::net::SocketAddr> {
         self.state().table.member(name).map(|member| member.record.inner)
     }
 
-    /// A panic while the lock is held leaves whole values, since each change is one assignment.
+    /// A poisoned lock is used as it is: each update is a single assignment, so a panic leaves no
+    /// partial value.
     fn state(&self) -> MutexGuard<'_, State> {
         self.shared.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 impl State {
-    fn reported(&self, name: &str) -> ConfigRevision {
+    fn revision_of(&self, name: &str) -> ConfigRevision {
         match name == self.table.own_record().name {
             true => self.replica.revision(),
             false => self.reported.get(name).copied().unwrap_or_default(),
@@ -435,15 +442,16 @@
         Sender { name: own.name.clone(), incarnation: own.incarnation }
     }
 
-    fn take(&mut self, from: &str, news: MembershipUpdate) -> Vec<Observation> {
+    fn merge_updates(&mut self, from: &str, updates: MembershipUpdate) -> Vec<Observation> {
         let now = Instant::now();
-        let observations = self.table.merge(news, now);
+        let observations = self.table.merge(updates, now);
         self.table.mark_seen(from, now);
         observations
     }
 }
 
-/// Resolves what the changes since `before` touched, or everything if some are not kept.
+/// Resolves the workspaces affected by the changes since `before`, or all of them if the replica no
+/// longer has every change.
 fn resolve(old: &EffectiveConfig, before: ConfigRevision, replica: &Replica) -> EffectiveConfig {
     match replica.changes_after(before) {
         Some(changes) if old.revision() == before => {
@@ -454,11 +462,11 @@
     }
 }
 
-fn seen(state: MemberState) -> Seen {
+fn event_state(state: MemberState) -> EventState {
     match state {
-        MemberState::Live => Seen::Live,
-        MemberState::Leaving => Seen::Leaving,
-        MemberState::Silent => Seen::Suspected,
-        MemberState::Gone => Seen::Gone,
+        MemberState::Live => EventState::Live,
+        MemberState::Leaving => EventState::Leaving,
+        MemberState::Silent => EventState::Suspected,
+        MemberState::Gone => EventState::Gone,
     }
 }
--- a/crates/control/src/node/agents.rs
+++ b/crates/control/src/node/agents.rs
@@ -1,4 +1,4 @@
-//! The directory of agents as a node keeps it.
+//! Access to the directory of agents in the node's state.
 
 use super::Node;
 use crate::directory::precedence;
@@ -13,66 +13,66 @@
 use tokio::time::Instant;
 
 impl Node {
-    /// The same for a peer that is met once in a while: by digests, since what changed in between
-    /// may be most of the directory.
-    pub(crate) fn comparing_heartbeat(&self, peer: &str) -> Heartbeat {
+    /// Builds a heartbeat for a peer that is contacted rarely. It has digests of the directory in
+    /// place of agents, since most of the directory may have changed since the last contact.
+    pub(crate) fn digest_heartbeat(&self, peer: &str) -> Heartbeat {
         let mut heartbeat = self.heartbeat(Some(peer), Duration::ZERO);
         heartbeat.updates.agents.clear();
         heartbeat.agent_digests = self.state().table.directory().digests().to_vec();
         heartbeat
     }
 
-    /// What a peer lacks of the directory by its answer to digests.
-    pub(crate) fn agents_lacking(&self, answer: &HeartbeatAnswer) -> Vec<AgentRecord> {
+    /// The agents that a peer lacks or has older records of, by its answer to digests.
+    pub(crate) fn agents_missing_at_peer(&self, answer: &HeartbeatAnswer) -> Vec<AgentRecord> {
         if answer.agent_parts.is_empty() {
             return Vec::new();
         }
-        let theirs: HashMap<&str, &AgentRecord> =
+        let peer_records: HashMap<&str, &AgentRecord> =
             answer.updates.agents.iter().map(|record| (record.name.as_str(), record)).collect();
         let own = self.state().table.directory().records_in_parts(&answer.agent_parts);
-        let lacks = |record: &AgentRecord| {
-            let known = theirs.get(record.name.as_str());
-            known.is_none_or(|known| precedence(known) < precedence(record))
+        let is_missing = |record: &AgentRecord| {
+            let peer_record = peer_records.get(record.name.as_str());
+            peer_record.is_none_or(|other| precedence(other) < precedence(record))
         };
-        own.into_iter().filter(lacks).collect()
+        own.into_iter().filter(is_missing).collect()
     }
 
-    /// Every agent known of that is not gone.
+    /// Every known agent that is not gone.
     pub fn agents(&self) -> Vec<Arc<AgentRecord>> {
         self.state().table.directory().agents().cloned().collect()
     }
 
-    /// An agent process introduced itself at this address.
+    /// Records the agent that sent `hello` on a connection to `address`.
     pub fn record_agent(&self, address: SocketAddr, hello: &Hello) {
-        self.change_table(|table| {
+        self.update_table(|table| {
             table.record_agent(address, hello, Instant::now());
             Vec::new()
         });
     }
 
-    /// Notes that an agent is leaving or gone.
+    /// Records that an agent is leaving or gone. Never moves it back to an earlier state.
     pub fn downgrade_agent(&self, name: &str, state: MemberState) {
-        self.change_table(|table| {
+        self.update_table(|table| {
             table.downgrade_agent(name, state, Instant::now());
             Vec::new()
         });
     }
 
-    /// Says whether all entries read the VM list in turn; then the two that read it for the whole
-    /// fleet do so rarely.
-    pub fn set_vm_list_rotation(&self, in_turn: bool) {
-        self.shared.list_in_turn.store(in_turn, Ordering::Relaxed);
+    /// Sets whether all entries read the VM list in rotation. If so, the two entries that read it
+    /// for the whole fleet do so rarely.
+    pub fn set_vm_list_rotation(&self, enabled: bool) {
+        self.shared.vm_list_rotation.store(enabled, Ordering::Relaxed);
     }
 
-    pub(crate) fn is_list_in_turn(&self) -> bool {
-        self.shared.list_in_turn.load(Ordering::Relaxed)
+    pub(crate) fn has_vm_list_rotation(&self) -> bool {
+        self.shared.vm_list_rotation.load(Ordering::Relaxed)
     }
 
-    /// Takes a read of the VM list.
+    /// Applies a read of the VM list to the member table.
     pub fn apply_vm_list(&self, vms: &[Vm]) {
         let listed = vms.iter().map(|vm| vm.name.as_str()).collect();
         let leaving = vms.iter().filter(|vm| vm.state == VmState::Leaving);
         let leaving = leaving.map(|vm| vm.name.as_str()).collect();
-        self.change_table(|table| table.apply_vm_list(&listed, &leaving));
+        self.update_table(|table| table.apply_vm_list(&listed, &leaving));
     }
 }
--- a/crates/control/src/node/answers.rs
+++ b/crates/control/src/node/answers.rs
@@ -1,4 +1,4 @@
-//! Answers to peers.
+//! Answers to requests of peers.
 
 use super::{NewerPeer, Node, Progress};
 use flamingowheel_config::bucket::{Bucket, BucketId, WORKSPACE_BUCKETS, encode};
@@ -10,11 +10,11 @@
 };
 use std::time::Duration;
 
-/// Longest time an answer to a heartbeat is held.
+/// Upper bound on how long an answer to a heartbeat is held, whatever the peer asks for.
 const MAX_HOLD: Duration = Duration::from_secs(10);
 
 impl Node {
-    /// Answers a peer. A heartbeat is held until there is news, so that a change travels down in
+    /// Answers a peer. A heartbeat is held until there is an update, so that a change propagates in
     /// round trips and not in polling intervals.
     pub async fn answer(&self, request: PeerRequest) -> PeerAnswer {
         match request {
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Without a lender, as in a process that is just starting, nothing is lent.
+    /// Grants nothing if no lender is set, as while the process starts.
     fn lend(&self, workspace: &str, borrower: &str, request: &LoanRequest) -> Loan {
         match self.shared.lender.get() {
             Some(lender) => lender.lend(workspace, EntryKey::from_name(borrower), request),
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Without a binder the answer is empty, and whoever asked binds the key itself.
+    /// Returns an empty answer if no binder is set; the asking entry then binds the key itself.
     async fn bind_key(&self, claim: StoredValue) -> StoredValue {
         match self.shared.binder.get() {
             Some(binder) => binder.bind(claim).await,
@@ -46,23 +46,23 @@
     }
 
     async fn answer_heartbeat(&self, heartbeat: Heartbeat) -> PeerAnswer {
-        let Heartbeat { from, revision, after, hold_ms, updates: news, agent_digests } = heartbeat;
-        self.change(|state| {
+        let Heartbeat { from, revision, after, hold_ms, updates, agent_digests } = heartbeat;
+        self.update(|state| {
             state.reported.insert(from.name.clone(), ConfigRevision(revision));
-            state.take(&from.name, news)
+            state.merge_updates(&from.name, updates)
         });
-        self.note_ahead(&from.name, ConfigRevision(revision));
+        self.notify_if_newer(&from.name, ConfigRevision(revision));
         let hold = Duration::from_millis(u64::from(hold_ms)).min(MAX_HOLD);
         let mut progress = self.progress();
-        let news = |own: &Progress| own.revision.0 > revision || own.version > after;
-        // Running out of time only means that there is no news.
-        let _ = tokio::time::timeout(hold, progress.wait_for(news)).await;
+        let has_update = |own: &Progress| own.revision.0 > revision || own.version > after;
+        // A timeout only means that there is no update.
+        let _ = tokio::time::timeout(hold, progress.wait_for(has_update)).await;
         let state = self.state();
-        let mut news = state.table.updates_after(after);
+        let mut updates = state.table.updates_after(after);
         let mut agent_parts = Vec::new();
         if !agent_digests.is_empty() {
             agent_parts = state.table.directory().differing_parts(&agent_digests);
-            news.agents = state.table.directory().records_in_parts(&agent_parts);
+            updates.agents = state.table.directory().records_in_parts(&agent_parts);
         }
         PeerAnswer::Heartbeat(Box::new(HeartbeatAnswer {
             from: state.sender(),
@@ -71,17 +71,21 @@
                 .service_answered_at
                 .map(|at| at.elapsed().as_millis() as u64),
             version: state.table.version(),
-            updates: news,
+            updates,
             agent_parts,
         }))
     }
 
-    /// A poller can be ahead of those it polls: it took an operator's change itself, and the
-    /// key-value service that would tell the watchers is away. Parents that waited for the service
-    /// would lack the change for as long as the outage lasts, though they were told of it.
-    fn note_ahead(&self, name: &str, revision: ConfigRevision) {
+    /// Notifies the synchronizer if a peer that polls this process has a newer revision.
+    ///
+    /// This happens if the peer accepted an operator's change and the key-value service failed
+    /// before its watchers received it. Without the notification the polled processes would lack
+    /// the change until the service is back.
+    fn notify_if_newer(&self, name: &str, revision: ConfigRevision) {
         if revision > self.revision() {
-            self.shared.ahead.send_replace(Some(NewerPeer { name: name.to_owned(), revision }));
+            self.shared
+                .newer_peer
+                .send_replace(Some(NewerPeer { name: name.to_owned(), revision }));
         }
     }
 
--- a/crates/control/src/node/configuration.rs
+++ b/crates/control/src/node/configuration.rs
@@ -1,4 +1,4 @@
-//! What is in force here, and who confirmed it.
+//! The configuration in force in this process, and its confirmation.
 
 use super::{Node, Origin, resolve};
 use flamingowheel_config::api::ConfigSource;
@@ -11,21 +11,22 @@
 use tokio::time::Instant;
 
 impl Node {
-    /// Takes a newer replica; an older one changes nothing. Tells whether it was newer.
+    /// Puts a replica in force if it is newer than the current one, and returns whether it was.
     pub fn adopt(&self, replica: Replica, origin: Origin) -> bool {
         let offered = replica.revision();
-        let (taken, own) = self.configure(origin, |own| own.replace_if_newer(replica));
-        if !taken && offered < own {
-            let event = Event::OlderConfigurationRefused { revision: offered.0, in_force: own.0 };
+        let (replaced, in_force) = self.update_replica(origin, |own| own.replace_if_newer(replica));
+        if !replaced && offered < in_force {
+            let event =
+                Event::OlderConfigurationRefused { revision: offered.0, in_force: in_force.0 };
             self.shared.recorder.record(event);
         }
-        taken
+        replaced
     }
 
-    /// Takes the changes that follow; those it has are passed over.
+    /// Applies changes that follow the revision in force. Older ones are skipped.
     pub fn advance(&self, changes: Vec<Arc<Change>>, origin: Origin) -> Result<(), AdvanceError> {
         let mut gap = Ok(());
-        self.configure(origin, |own| {
+        self.update_replica(origin, |own| {
             let before = own.revision();
             for change in changes {
                 match own.advance(change) {
@@ -41,27 +42,27 @@
         gap
     }
 
-    /// Changes the replica and, if it moved, puts its configuration in force.
-    fn configure<F>(&self, origin: Origin, change: F) -> (bool, ConfigRevision)
+    /// Updates the replica and, if `update` returns true, puts its configuration in force.
+    fn update_replica<F>(&self, origin: Origin, update: F) -> (bool, ConfigRevision)
     where
         F: FnOnce(&mut Replica) -> bool,
     {
         let mut state = self.state();
         let before = state.replica.revision();
-        let moved = change(&mut state.replica);
+        let changed = update(&mut state.replica);
         let revision = state.replica.revision();
-        if moved {
-            // Published under the lock, so that an older one can't come after a newer one.
+        if changed {
+            // Published under the lock, so that an older configuration can't follow a newer one.
             let effective = resolve(&self.shared.effective.borrow(), before, &state.replica);
             self.shared.effective.send_replace(Arc::new(effective));
-            self.publish(&state);
+            self.publish_progress(&state);
             let event = Event::ConfigurationInForce { revision: revision.0, source: origin };
             self.shared.recorder.record(event);
         }
-        (moved, revision)
+        (changed, revision)
     }
 
-    /// The key-value service answered, and the replica is as new as it said.
+    /// Records that the key-value service answered and that the replica has its newest revision.
     pub fn confirm_by_service(&self) {
         let mut state = self.state();
         state.key_value_answered_at = Some(Instant::now());
@@ -70,12 +71,12 @@
         state.confirm();
     }
 
-    /// Peers were asked, and none has anything newer. `service_answered` is how long ago the
-    /// key-value service answered, as far as they know.
+    /// Records that peers were asked and none has a newer revision. `service_answered` is the time
+    /// since the key-value service last answered any process, as reported by the peer.
     ///
-    /// An answer from before this process started proves nothing about what was accepted since.
-    /// Taking it as confirmation would show operators a process in line with the service while
-    /// that is down.
+    /// A service answer from before the start of this process says nothing about later changes.
+    /// If it counted, operators would see this process as in sync with the service during an
+    /// outage.
     pub fn confirm_by_peers(&self, service_answered: Option<Duration>) {
         let mut state = self.state();
         let answered_at = service_answered.and_then(|ago| Instant::now().checked_sub(ago));
@@ -89,7 +90,7 @@
         state.confirm();
     }
 
-    /// How long nobody has confirmed the configuration.
+    /// Time since the configuration was last confirmed; `None` if it never was.
     pub fn since_confirmed(&self) -> Option<Duration> {
         self.state().confirmed_at.map(|at| at.elapsed())
     }
--- a/crates/control/src/node/random.rs
+++ b/crates/control/src/node/random.rs
@@ -1,4 +1,4 @@
-//! Random choices, seeded by the incarnation so that tests repeat.
+//! Random choices, seeded by the incarnation so that tests are reproducible.
 
 use super::Node;
 use rand::RngExt;
@@ -6,17 +6,17 @@
 use std::time::Duration;
 
 impl Node {
-    /// Spreads what many processes do at the same interval.
+    /// Varies an interval by up to 10 %, so that processes don't act at the same moment.
     pub(crate) fn jitter(&self, interval: Duration) -> Duration {
         interval.mul_f64(self.state().random.random_range(0.9..1.1))
     }
 
-    /// Any one of these.
+    /// A random element; `None` if there is none.
     pub(crate) fn choose<'a, T>(&self, from: &'a [T]) -> Option<&'a T> {
         from.choose(&mut self.state().random)
     }
 
-    /// Some of these, at most `count`.
+    /// At most `count` random elements.
     pub(crate) fn choose_some<T>(&self, from: &[T], count: usize) -> Vec<T>
     where
         T: Clone,
@@ -24,8 +24,9 @@
         from.sample(&mut self.state().random, count).cloned().collect()
     }
 
-    /// Whether the list of entries in the key-value service should be tidied; true now and then.
-    pub(crate) fn tidy_is_due(&self) -> bool {
+    /// Whether stale registrations in the key-value service should be removed now; true for one
+    /// call in 60.
+    pub(crate) fn is_cleanup_due(&self) -> bool {
         const ONE_IN: u32 = 60;
         self.state().random.random_range(0..ONE_IN) == 0
     }
--- a/crates/control/src/node/suspicion.rs
+++ b/crates/control/src/node/suspicion.rs
@@ -1,4 +1,4 @@
-//! Calling others silent, and when not to.
+//! Failure detection: when this process marks other members as silent.
 
 use super::{Node, State};
 use crate::membership::Observation;
@@ -6,23 +6,23 @@
 use tokio::time::Instant;
 
 impl Node {
-    /// Calls those of `watched` silent that were not heard for `limit`.
+    /// Marks members of `watched` as silent that were not heard for `timeout`.
     ///
-    /// A process that hears hardly anybody is more likely cut off itself. Its accusations would
-    /// all go round once it is back, and for a while take everybody out of address answers. So
-    /// it accuses only if it heard most of the others for `longer` than the accused, a time that
-    /// must exceed the one between two words of a healthy peer, or if the key-value service
-    /// answers it. Once it hears most again, the rest get the full time, since they come back
-    /// one after the other.
-    pub fn detect_silent_members(&self, watched: &[String], limit: Duration, longer: Duration) {
-        self.change(|state| state.detect_silent_members(watched, limit, longer));
+    /// A process that receives nothing from most members is more likely partitioned itself. Its
+    /// suspicions would all propagate once it is back and remove every entry from address answers
+    /// for a while. So a member is marked only if most of the others were heard at least `margin`
+    /// after it, or if the key-value service answers this process. `margin` must exceed the time
+    /// between two messages of a healthy peer. When a partitioned process receives from most
+    /// members again, the others get the full timeout, since members come back one by one.
+    pub fn detect_silent_members(&self, watched: &[String], timeout: Duration, margin: Duration) {
+        self.update(|state| state.detect_silent_members(watched, timeout, margin));
     }
 }
 
 impl State {
-    /// Whoever is watched from now on gets the full time. When it was heard before says nothing:
-    /// it had no reason to poll this process, and it takes a moment to learn of it.
-    fn begin_watching(&mut self, watched: &[String]) {
+    /// Gives newly watched members the full timeout. The time they were last heard means nothing:
+    /// they had no reason to poll this process, and learn only with some delay that they should.
+    fn start_watching(&mut self, watched: &[String]) {
         let now = Instant::now();
         for name in watched.iter().filter(|name| !self.watched.contains(name)) {
             self.table.mark_seen(name, now);
@@ -33,27 +33,27 @@
     fn detect_silent_members(
         &mut self,
         watched: &[String],
-        limit: Duration,
-        longer: Duration,
+        timeout: Duration,
+        margin: Duration,
     ) -> Vec<Observation> {
-        self.begin_watching(watched);
-        let heard = |name: &String| self.table.member(name).map(|member| member.last_seen_at);
+        self.start_watching(watched);
+        let last_seen = |name: &String| self.table.member(name).map(|member| member.last_seen_at);
         let times: Vec<(&String, Instant)> =
-            watched.iter().filter_map(|name| Some((name, heard(name)?))).collect();
+            watched.iter().filter_map(|name| Some((name, last_seen(name)?))).collect();
         let unheard: Vec<&(&String, Instant)> =
-            times.iter().filter(|(_, at)| at.elapsed() >= limit).collect();
-        let in_touch = self.key_value_answered_at.is_some_and(|at| at.elapsed() < 2 * limit);
+            times.iter().filter(|(_, at)| at.elapsed() >= timeout).collect();
+        let has_key_value = self.key_value_answered_at.is_some_and(|at| at.elapsed() < 2 * timeout);
         let was_cut_off = self.cut_off;
-        self.cut_off = 2 * unheard.len() > times.len() && !in_touch;
+        self.cut_off = 2 * unheard.len() > times.len() && !has_key_value;
         if was_cut_off && !self.cut_off {
             self.table.reset_last_seen(Instant::now());
             return Vec::new();
         }
-        let most_heard_since = |at: Instant| {
-            2 * times.iter().filter(|(_, other)| *other >= at + longer).count() >= times.len()
+        let most_seen_after = |at: Instant| {
+            2 * times.iter().filter(|(_, other)| *other >= at + margin).count() >= times.len()
         };
-        let accused = unheard.iter().filter(|(_, at)| in_touch || most_heard_since(*at));
-        let accused: Vec<&String> = accused.map(|(name, _)| *name).collect();
-        accused.into_iter().filter_map(|name| self.table.mark_silent(name)).collect()
+        let silent = unheard.iter().filter(|(_, at)| has_key_value || most_seen_after(*at));
+        let silent: Vec<&String> = silent.map(|(name, _)| *name).collect();
+        silent.into_iter().filter_map(|name| self.table.mark_silent(name)).collect()
     }
 }
--- a/crates/control/src/operators.rs
+++ b/crates/control/src/operators.rs
@@ -1,9 +1,9 @@
-//! The operators' HTTP interface. Whoever mounts it checks the operators' token.
+//! The operators' HTTP API. The operators' token is checked by the code that mounts the router.
 
 mod answer;
 
 use crate::node::{MemberView, Node};
-use crate::roll::RollCall;
+use crate::revision_poll::RevisionPoll;
 use crate::transport::PeerTransport;
 use answer::{Failure, Reply};
 use axum::extract::{DefaultBodyLimit, Path, Query, State};
@@ -28,33 +28,33 @@
 use std::time::{Duration, SystemTime};
 use uuid::Uuid;
 
-/// Longest time an answer waits for a change to be in force.
+/// Upper bound on how long an answer waits for a change to be in force.
 const MAX_WAIT: Duration = Duration::from_secs(60);
-/// Workspaces on one page unless asked otherwise.
-const DEFAULT_PAGE: usize = 500;
-/// Most workspaces on one page.
-const MAX_PAGE: usize = 2_000;
+/// Workspaces on one page if the query sets no limit.
+const DEFAULT_PAGE_SIZE: usize = 500;
+/// Upper bound on workspaces on one page.
+const MAX_PAGE_SIZE: usize = 2_000;
 
-/// Processes other than entries that this entry knows of.
+/// Lists processes other than entries that are known to this entry.
 pub trait OtherProcesses: Send + Sync + 'static {
-    /// Their status as of now.
+    /// The current status of each process.
     fn list(&self) -> Vec<ProcessStatus>;
 }
 
-/// What the handlers work with.
+/// Shared state of the HTTP handlers.
 #[derive(Clone)]
 pub struct OperatorsApi {
-    /// This process.
+    /// The control state of this process.
     pub node: Node,
-    /// The configuration in the key-value service.
+    /// The configuration stored in the key-value service.
     pub store: Store,
-    /// The other entries.
+    /// Sends requests to other entries.
     pub peers: Arc<dyn PeerTransport>,
-    /// Agents connected to this entry.
+    /// Lists the agents connected to this entry.
     pub agents: Arc<dyn OtherProcesses>,
 }
 
-/// All routes.
+/// Builds the router with all routes of the operators' API.
 pub fn router(operators: OperatorsApi) -> Router {
     Router::new()
         .route("/v1/config/apply", post(apply))
@@ -66,7 +66,7 @@
         .route("/v1/config/history", get(history))
         .route("/v1/config/changes/{id}", get(change))
         .route("/v1/status", get(status))
-        .fallback(answer::no_such_path)
+        .fallback(answer::unknown_path)
         .layer(DefaultBodyLimit::max(MAX_FILE_BYTES + 1))
         .with_state(operators)
 }
@@ -75,17 +75,19 @@
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ApplyQuery {
-    /// Random part of the change's id, so that the request can be sent again.
+    /// Random part of the change's id, which makes a repeated request idempotent. Generated if
+    /// absent.
     pub change: Option<Uuid>,
-    /// The revision the operator looked at; the one in force here if absent.
+    /// The revision that the edits are based on; the one in force at this entry if absent.
     pub seen: Option<ConfigRevision>,
-    /// Who.
+    /// Name of the operator, recorded with the change.
     pub operator: String,
-    /// Why.
+    /// Reason for the change, recorded with it.
     pub comment: String,
-    /// Check only.
+    /// Whether the change is only checked and not written.
     pub dry_run: bool,
-    /// Wait until it is in force everywhere, at most for this long.
+    /// How long to wait for the change to be in force in every process, in milliseconds, at most
+    /// 60 s. The answer does not wait if this is absent.
     pub wait_ms: Option<u64>,
 }
 
@@ -96,19 +98,20 @@
 ) -> Reply<ApplyAnswer> {
     let Query(query) = query?;
     let edits = parse(&body?)?;
-    let request = request(&operators, &query, edits);
+    let request = apply_request(&operators, &query, edits);
     if query.dry_run {
         return operators.dry_run(&request).await;
     }
     let mut answer = operators.accept(request).await?;
     if let Some(wait_ms) = query.wait_ms {
         let limit = Duration::from_millis(wait_ms).min(MAX_WAIT);
-        answer.in_force = Some(operators.roll_call().wait(answer.revision, limit).await);
+        answer.in_force =
+            Some(operators.revision_poll().wait_until_in_force(answer.revision, limit).await);
     }
     Ok(Json(answer))
 }
 
-fn request(operators: &OperatorsApi, query: &ApplyQuery, edits: Vec<Edit>) -> ApplyRequest {
+fn apply_request(operators: &OperatorsApi, query: &ApplyQuery, edits: Vec<Edit>) -> ApplyRequest {
     let since_epoch = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
     let origin = Origin {
         operator: query.operator.clone(),
@@ -124,15 +127,15 @@
 }
 
 impl OperatorsApi {
-    fn roll_call(&self) -> RollCall<'_> {
-        RollCall { node: &self.node, peers: &*self.peers }
+    fn revision_poll(&self) -> RevisionPoll<'_> {
+        RevisionPoll { node: &self.node, peers: &*self.peers }
     }
 
-    /// Checks against the newest revision that can be had.
+    /// Checks a change against the newest revision that can be read.
     async fn dry_run(&self, request: &ApplyRequest) -> Reply<ApplyAnswer> {
         let mut replica = self.node.replica();
-        // While the service is down the check is against what is in force here, and says so by
-        // its revision.
+        // While the service is down, the check is against the revision in force here; the answer
+        // has that revision.
         let _ = self.store.catch_up(&mut replica).await;
         prepare_change(&replica, request)?;
         Ok(Json(ApplyAnswer {
@@ -144,25 +147,29 @@
         }))
     }
 
-    /// Has the change accepted, in a task of its own: an operator's connection that breaks must
-    /// not leave a write half followed up.
+    /// Applies a change in a task of its own, so that a broken connection of the operator does not
+    /// cancel the steps after the write.
     async fn accept(&self, request: ApplyRequest) -> Result<ApplyAnswer, Failure> {
         let this = self.clone();
         let task = tokio::spawn(async move {
             let mut replica = this.node.replica();
             let applied = this.store.apply_with_diff(&mut replica, &request).await;
-            this.record(request.uuid, &applied);
+            this.record_event(request.uuid, &applied);
             this.node.adopt(replica.clone(), ConfigSource::Accepted);
-            let answer = applied.map(|(applied, diff)| answer_to(applied, &replica, diff));
-            this.fold_later(replica);
+            let answer = applied.map(|(applied, diff)| apply_answer(applied, &replica, diff));
+            this.spawn_fold(replica);
             answer
         });
-        // The task panics only with the process.
+        // The task fails only if it panics or the process stops.
         let answer = task.await.map_err(|_| Failure::interrupted())?;
         Ok(answer?)
     }
 
-    fn record(&self, change: Uuid, applied: &Result<(Applied, Vec<DocumentDiff>), ApplyError>) {
+    fn record_event(
+        &self,
+        change: Uuid,
+        applied: &Result<(Applied, Vec<DocumentDiff>), ApplyError>,
+    ) {
         let revision = self.node.revision().0;
         let event = match applied {
             Ok((Applied::Accepted(accepted), _)) => {
@@ -175,18 +182,19 @@
         self.node.recorder().record(event);
     }
 
-    /// Failing to fold harms nothing: the next change tries again.
-    fn fold_later(&self, mut replica: Replica) {
+    /// Folds the log into the buckets if due. A failure is only logged, since the next change
+    /// retries.
+    fn spawn_fold(&self, mut replica: Replica) {
         let store = self.store.clone();
         tokio::spawn(async move {
             if let Err(error) = store.fold_if_due(&mut replica).await {
-                tracing::warn!(%error, "log not folded; the next change tries again");
+                tracing::warn!(%error, "failed to fold the log, the next change retries");
             }
         });
     }
 }
 
-fn answer_to(applied: Applied, replica: &Replica, diff: Vec<DocumentDiff>) -> ApplyAnswer {
+fn apply_answer(applied: Applied, replica: &Replica, diff: Vec<DocumentDiff>) -> ApplyAnswer {
     let (outcome, change, revision) = match &applied {
         Applied::Accepted(change) => (ApplyOutcome::Accepted, Some(change.id), change.revision()),
         Applied::Unchanged => (ApplyOutcome::Unchanged, None, replica.revision()),
@@ -217,27 +225,27 @@
     let replica = operators.node.replica();
     let documents = replica.documents();
     let template = documents.templates.get(&name).ok_or_else(|| Failure::not_found(&name))?;
-    let users = documents.workspaces.values();
-    let workspaces = users.filter(|stored| stored.document.template == name).count();
+    let all = documents.workspaces.values();
+    let workspaces = all.filter(|stored| stored.document.template == name).count();
     let template = template.clone();
     Ok(Json(TemplateAnswer { revision: replica.revision(), template, workspaces }))
 }
 
-/// Which page of workspaces to give.
+/// Query of `GET /v1/config/workspaces`.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-struct Page {
+struct WorkspacesQuery {
     after: String,
     limit: Option<usize>,
 }
 
 async fn workspaces(
     State(operators): State<OperatorsApi>,
-    page: Result<Query<Page>, axum::extract::rejection::QueryRejection>,
+    page: Result<Query<WorkspacesQuery>, axum::extract::rejection::QueryRejection>,
 ) -> Reply<WorkspacesAnswer> {
     let Query(page) = page?;
     let replica = operators.node.replica();
-    let limit = page.limit.unwrap_or(DEFAULT_PAGE).clamp(1, MAX_PAGE);
+    let limit = page.limit.unwrap_or(DEFAULT_PAGE_SIZE).clamp(1, MAX_PAGE_SIZE);
     let from = (std::ops::Bound::Excluded(page.after), std::ops::Bound::Unbounded);
     let mut rest = replica.documents().workspaces.range(from);
     let workspaces: Vec<_> = rest.by_ref().take(limit).map(|(_, stored)| stored.clone()).collect();
@@ -279,22 +287,22 @@
     ChangeSummary { id: change.id, origin: change.origin.clone(), edits: edits.collect() }
 }
 
-/// Takes a change's whole id, or its random part alone. With the random part only an acceptance
-/// can be told: a change that is not in the log may still be on its way.
+/// Looks a change up by its id, or by the random part of it. With the random part only an accepted
+/// change can be reported: a change that is not in the log may still be written.
 async fn change(
     State(operators): State<OperatorsApi>,
     Path(change): Path<String>,
 ) -> Reply<ChangeAnswer> {
     let state = match (change.parse::<ChangeId>(), change.parse::<Uuid>()) {
         (Ok(id), _) => operators.store.change_state(id).await.unwrap_or(ChangeState::Unknown),
-        (_, Ok(uuid)) => operators.find(uuid).await,
+        (_, Ok(uuid)) => operators.find_change(uuid).await,
         _ => return Err(Failure::new(ErrorCode::BadRequest, "not a change id")),
     };
     Ok(Json(ChangeAnswer { change, state }))
 }
 
 impl OperatorsApi {
-    async fn find(&self, uuid: Uuid) -> ChangeState {
+    async fn find_change(&self, uuid: Uuid) -> ChangeState {
         let mut replica = self.node.replica();
         let _ = self.store.catch_up(&mut replica).await;
         match replica.find(uuid) {
@@ -305,10 +313,10 @@
 }
 
 async fn status(State(operators): State<OperatorsApi>) -> Json<StatusAnswer> {
-    operators.roll_call().refresh().await;
+    operators.revision_poll().refresh().await;
     let node = &operators.node;
     let mut processes: Vec<ProcessStatus> =
-        node.members().into_iter().filter_map(process).collect();
+        node.members().into_iter().filter_map(process_status).collect();
     processes.extend(operators.agents.list());
     Json(StatusAnswer {
         process: node.own_record().name,
@@ -319,7 +327,7 @@
     })
 }
 
-fn process(view: MemberView) -> Option<ProcessStatus> {
+fn process_status(view: MemberView) -> Option<ProcessStatus> {
     let state = match view.state {
         MemberState::Live => ProcessState::Live,
         MemberState::Leaving => ProcessState::Leaving,
--- a/crates/control/src/operators/answer.rs
+++ b/crates/control/src/operators/answer.rs
@@ -1,4 +1,4 @@
-//! How failures become answers with stable codes.
+//! Error answers with stable codes.
 
 use axum::Json;
 use axum::extract::rejection::{QueryRejection, StringRejection};
@@ -8,10 +8,10 @@
 use flamingowheel_config::apply::ApplyError;
 use flamingowheel_config::document::DocumentError;
 
-/// What a handler returns.
+/// Result of a handler.
 pub(super) type Reply<T> = Result<Json<T>, Failure>;
 
-/// An error answer; boxed, since it is large and rare.
+/// An error answer, boxed since `ApiError` is large and errors are rare.
 #[derive(Debug)]
 pub(super) struct Failure(Box<ApiError>);
 
@@ -24,13 +24,13 @@
         Self::new(ErrorCode::NotFound, &format!("`{name}` does not exist"))
     }
 
-    /// The process is going down in the middle of a change.
+    /// The process stops while a change is being applied.
     pub(super) fn interrupted() -> Self {
         Self::new(ErrorCode::UnknownOutcome, "interrupted while the change was made")
     }
 }
 
-pub(super) async fn no_such_path() -> Failure {
+pub(super) async fn unknown_path() -> Failure {
     Failure::new(ErrorCode::NotFound, "no such path")
 }
 
--- a/crates/control/src/pause.rs
+++ b/crates/control/src/pause.rs
@@ -1,33 +1,34 @@
-//! Noticing that this process itself stood still.
+//! Detection of pauses of this process.
 //!
-//! A VM can stop for minutes and go on as if nothing had happened. Until it learns better, such a
-//! process believes in a configuration that was replaced and calls everybody else silent.
+//! A VM can be paused for minutes. Until the pause is detected, the process uses a configuration that
+//! may have been replaced and would mark all other processes as silent.
 
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How often the clock is looked at.
+/// How often the clock is checked.
 pub const TICK_INTERVAL: Duration = Duration::from_millis(250);
-/// A gap between two looks that can't be a busy scheduler.
+/// Shortest gap between two checks that counts as a pause; delays of a busy scheduler are shorter.
 pub const MIN_PAUSE: Duration = Duration::from_secs(2);
 
-/// Compares when the clock was looked at with when it should have been.
+/// Detects pauses by the time between two checks of the clock.
 ///
-/// The runtime's clock is the system's monotonic one, which goes on while a process is stopped.
-/// Where it stands still with the VM, the gap can't be seen here; then the connections that died
-/// meanwhile tell.
+/// The runtime uses the system's monotonic clock, which advances while a process is stopped. Where
+/// the clock stops together with the VM, this detector can't see the gap, and the pause shows only
+/// in connections that were lost meanwhile.
 #[derive(Clone, Copy, Debug)]
 pub struct PauseDetector {
     last: Instant,
 }
 
 impl PauseDetector {
-    /// Starts looking.
+    /// Creates a detector whose first check was at `now`.
     pub fn new(now: Instant) -> Self {
         Self { last: now }
     }
 
-    /// To be called every [`TICK_INTERVAL`]; gives the length of the gap if this process stood still.
+    /// To be called every [`TICK_INTERVAL`]. Returns the time since the last call if it is at least
+    /// [`MIN_PAUSE`].
     ///
     /// ```
     /// use flamingowheel_control::pause::PauseDetector;
--- a/crates/control/src/registry.rs
+++ b/crates/control/src/registry.rs
@@ -1,41 +1,42 @@
-//! Where a new entry finds others: a list of inner addresses in the key-value service.
+//! Registrations of entries in the key-value service, by which a new entry finds its first peers.
 //!
-//! It only serves to find somebody. Who is there is told by the table of members, so entries
-//! write here once in a while, hold no lease, and old names do no harm until they are removed.
+//! The member table decides which entries are live. Entries therefore write their registration
+//! rarely and without a lease, and stale registrations do no harm until they are removed.
 
 use flamingowheel_backing::kv::{KeyValue, KeyValueError, Operation, Transaction};
 use flamingowheel_protocol::peer::MemberRecord;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// What the keys begin with; the entry's name follows.
+/// Prefix of the keys, followed by the entry's name.
 const PREFIX: &str = "flamingowheel/entries/";
-/// Most names removed in one call.
+/// Upper bound on registrations removed in one transaction.
 const MAX_REMOVED: usize = 100;
 
-/// One entry as listed.
+/// The stored registration of one entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Listed {
+pub(crate) struct RegisteredEntry {
     pub(crate) name: String,
     pub(crate) vm: String,
     pub(crate) inner: SocketAddr,
 }
 
-/// All that are listed. Values that can't be read are passed over.
-pub(crate) async fn list(kv: &dyn KeyValue) -> Result<Vec<Listed>, KeyValueError> {
+/// Lists all registrations. Values that can't be parsed are skipped.
+pub(crate) async fn list(kv: &dyn KeyValue) -> Result<Vec<RegisteredEntry>, KeyValueError> {
     let entries = kv.range(PREFIX).await?.entries;
     Ok(entries.iter().filter_map(|entry| serde_json::from_slice(&entry.value).ok()).collect())
 }
 
-/// Lists this entry. Sending it twice does no harm.
+/// Registers this entry. Idempotent.
 pub(crate) async fn register(kv: &dyn KeyValue, own: &MemberRecord) -> Result<(), KeyValueError> {
-    let listed = Listed { name: own.name.clone(), vm: own.vm.clone(), inner: own.inner };
-    let value = serde_json::to_vec(&listed).unwrap_or_default().into();
+    let registration =
+        RegisteredEntry { name: own.name.clone(), vm: own.vm.clone(), inner: own.inner };
+    let value = serde_json::to_vec(&registration).unwrap_or_default().into();
     let put = Operation::Put { key: key(&own.name), value, lease: None };
-    run(kv, vec![put]).await
+    transact(kv, vec![put]).await
 }
 
-/// Takes entries off the list; one that is there after all lists itself again.
+/// Removes registrations. An entry that still runs registers itself again.
 pub(crate) async fn remove<'a, I>(kv: &dyn KeyValue, names: I) -> Result<(), KeyValueError>
 where
     I: IntoIterator<Item = &'a str>,
@@ -45,10 +46,10 @@
     if operations.is_empty() {
         return Ok(());
     }
-    run(kv, operations).await
+    transact(kv, operations).await
 }
 
-async fn run(kv: &dyn KeyValue, on_success: Vec<Operation>) -> Result<(), KeyValueError> {
+async fn transact(kv: &dyn KeyValue, on_success: Vec<Operation>) -> Result<(), KeyValueError> {
     kv.transact(Transaction { on_success, ..Transaction::default() }).await.map(|_| ())
 }
 
--- a/crates/control/src/roll.rs
+++ b/crates/control/src/revision_poll.rs
@@ -1,4 +1,4 @@
-//! Asking every process what it has in force.
+//! Polling every process for the revision it has in force.
 
 use crate::node::{MemberView, Node};
 use crate::transport::PeerTransport;
@@ -11,33 +11,37 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, timeout};
 
-/// Processes asked at one time.
-const MAX_ASKED_AT_ONCE: usize = 32;
-/// How long one process may take to answer.
-const ANSWER_LIMIT: Duration = Duration::from_secs(1);
-/// Time between two rounds of questions.
+/// Upper bound on requests in flight.
+const MAX_CONCURRENT_REQUESTS: usize = 32;
+/// Timeout of a request to one process.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time between two rounds of requests.
 const ROUND_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Asks other processes directly, only when somebody wants to know. Were every process's revision
-/// told to everybody all the time, each change would cost a message a process and process.
+/// Polls other processes for their revisions, only on an operator's request. If all processes
+/// exchanged their revisions all the time, each change would cost a message for every pair of them.
 #[derive(Clone, Copy)]
-pub(crate) struct RollCall<'a> {
+pub(crate) struct RevisionPoll<'a> {
     pub(crate) node: &'a Node,
     pub(crate) peers: &'a dyn PeerTransport,
 }
 
-impl RollCall<'_> {
-    /// Waits until every process that answers has `revision` in force, at most for `limit`.
-    pub(crate) async fn wait(self, revision: ConfigRevision, limit: Duration) -> InForce {
+impl RevisionPoll<'_> {
+    /// Waits until every other process answers and has `revision` in force, at most for `limit`.
+    pub(crate) async fn wait_until_in_force(
+        self,
+        revision: ConfigRevision,
+        limit: Duration,
+    ) -> InForce {
         let start = Instant::now();
         let mut done = BTreeSet::from([self.node.own_record().name]);
         loop {
             let members = self.others();
             let missing = members.iter().filter(|member| !done.contains(&member.record.name));
-            let answered = self.ask_all(missing.cloned().collect()).await;
-            let have = answered.iter().filter(|(_, has)| *has >= revision);
-            done.extend(have.map(|(name, _)| name.clone()));
-            let in_force = report(&members, &done, &answered, start.elapsed());
+            let answered = self.poll_all(missing.cloned().collect()).await;
+            let up_to_date = answered.iter().filter(|(_, current)| *current >= revision);
+            done.extend(up_to_date.map(|(name, _)| name.clone()));
+            let in_force = summarize(&members, &done, &answered, start.elapsed());
             if in_force.everywhere && in_force.silent.is_empty() || start.elapsed() >= limit {
                 return in_force;
             }
@@ -45,9 +49,9 @@
         }
     }
 
-    /// Asks every process once, so that the node knows what each has in force.
+    /// Polls every process once, so that the node has the current revision of each.
     pub(crate) async fn refresh(self) {
-        self.ask_all(self.others()).await;
+        self.poll_all(self.others()).await;
     }
 
     fn others(self) -> Vec<MemberView> {
@@ -56,29 +60,30 @@
         others.filter(|m| m.record.name != own && m.state != MemberState::Gone).collect()
     }
 
-    /// Name and revision of those that answer.
-    async fn ask_all(self, members: Vec<MemberView>) -> Vec<(String, ConfigRevision)> {
-        let asked = members.into_iter().map(|member| self.ask(member));
-        let answers = stream::iter(asked).buffer_unordered(MAX_ASKED_AT_ONCE);
+    /// Returns name and revision of each process that answers.
+    async fn poll_all(self, members: Vec<MemberView>) -> Vec<(String, ConfigRevision)> {
+        let asked = members.into_iter().map(|member| self.poll(member));
+        let answers = stream::iter(asked).buffer_unordered(MAX_CONCURRENT_REQUESTS);
         answers.filter_map(|answer| async { answer }).collect().await
     }
 
-    async fn ask(self, member: MemberView) -> Option<(String, ConfigRevision)> {
+    async fn poll(self, member: MemberView) -> Option<(String, ConfigRevision)> {
         let asked = self.peers.ask(member.record.inner, PeerRequest::Status);
-        let answer = timeout(ANSWER_LIMIT, asked).await.ok()?.ok()?;
+        let answer = timeout(ANSWER_TIMEOUT, asked).await.ok()?.ok()?;
         let PeerAnswer::Status { record, revision, .. } = answer else { return None };
-        // Another process may have got the address.
+        // The address may belong to another process by now.
         if record.name != member.record.name {
             return None;
         }
         let revision = ConfigRevision(revision);
-        self.node.take_status(*record, revision);
+        self.node.record_status(*record, revision);
         Some((member.record.name, revision))
     }
 }
 
-/// Processes that did not answer in this round count as silent, whatever was believed of them.
-fn report(
+/// A process that neither answered in this round nor was done before counts as silent, whatever its
+/// state in the member table.
+fn summarize(
     members: &[MemberView],
     done: &BTreeSet<String>,
     answered: &[(String, ConfigRevision)],
@@ -89,9 +94,10 @@
         .filter(|(name, _)| !done.contains(name))
         .map(|(name, revision)| LaggingProcess { process: name.clone(), revision: *revision })
         .collect();
-    let known = |name: &str| done.contains(name) || answered.iter().any(|(other, _)| other == name);
+    let is_known =
+        |name: &str| done.contains(name) || answered.iter().any(|(other, _)| other == name);
     let names = members.iter().map(|member| member.record.name.clone());
-    let silent: Vec<String> = names.filter(|name| !known(name)).collect();
+    let silent: Vec<String> = names.filter(|name| !is_known(name)).collect();
     let waited_ms = waited.as_millis() as u64;
     let processes = done.iter().cloned().collect();
     InForce { everywhere: behind.is_empty(), waited_ms, processes, behind, silent }
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -1,4 +1,4 @@
-//! Following the key-value service: watchers do it for their data centre.
+//! Following the configuration in the key-value service, which watchers do for their data centre.
 
 use crate::synchronizer::Synchronizer;
 use flamingowheel_backing::kv::{KeyValueEntry, Revision, Watch, WatchEvent};
@@ -11,114 +11,124 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// How often a process that is no watcher looks whether it has become one.
+/// How often a process that is not a watcher checks whether it has become one.
 const ROLE_INTERVAL: Duration = Duration::from_secs(1);
-/// A process whose configuration nobody confirmed for this long reads the service by itself.
-const ISOLATION_LIMIT: Duration = Duration::from_secs(10);
-/// Pause after a failure of the service.
+/// A process that is not a watcher reads the service if its configuration was not confirmed for
+/// this long.
+const ISOLATION_TIMEOUT: Duration = Duration::from_secs(10);
+/// Delay after a failed call of the service.
 const RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Follows the service for as long as this process is a watcher.
-pub(crate) async fn follow(spread: &Synchronizer) {
+/// Watches the log while this process is a watcher, and otherwise reads it only when isolated.
+pub(crate) async fn follow(synchronizer: &Synchronizer) {
     loop {
-        if spread.node.duties().is_watcher {
-            watch_until_end(spread).await;
+        if synchronizer.node.duties().is_watcher {
+            watch_until_end(synchronizer).await;
         } else {
-            read_if_isolated(spread).await;
+            read_if_isolated(synchronizer).await;
         }
     }
 }
 
-async fn read_if_isolated(spread: &Synchronizer) {
-    let isolated = spread.node.since_confirmed().is_none_or(|time| time >= ISOLATION_LIMIT);
-    if isolated && !catch_up_once(spread).await {
-        sleep(spread.node.jitter(ISOLATION_LIMIT)).await;
+async fn read_if_isolated(synchronizer: &Synchronizer) {
+    let isolated = synchronizer.node.since_confirmed().is_none_or(|time| time >= ISOLATION_TIMEOUT);
+    if isolated && !catch_up_once(synchronizer).await {
+        sleep(synchronizer.node.jitter(ISOLATION_TIMEOUT)).await;
     }
     sleep(ROLE_INTERVAL).await;
 }
 
-/// Brings the node up to the service; tells whether the service answered.
-pub(crate) async fn catch_up_once(spread: &Synchronizer) -> bool {
-    catch_up(spread, ConfigSource::PeriodicRead).await.is_ok()
+/// Brings the node up to the newest revision in the service. Returns whether the service answered.
+pub(crate) async fn catch_up_once(synchronizer: &Synchronizer) -> bool {
+    catch_up(synchronizer, ConfigSource::PeriodicRead).await.is_ok()
 }
 
 async fn catch_up(
-    spread: &Synchronizer,
+    synchronizer: &Synchronizer,
     source: ConfigSource,
 ) -> Result<VersionedHead, StoreError> {
-    let mut replica = spread.node.replica();
-    let caught_up = spread.store.catch_up(&mut replica).await;
+    let mut replica = synchronizer.node.replica();
+    let caught_up = synchronizer.store.catch_up(&mut replica).await;
     if let Err(error) = &caught_up {
-        report(spread, error);
+        report_error(synchronizer, error);
     }
     let entry = caught_up?;
-    spread.node.adopt(replica, source);
-    spread.node.confirm_by_service();
+    synchronizer.node.adopt(replica, source);
+    synchronizer.node.confirm_by_service();
     Ok(entry)
 }
 
-fn report(spread: &Synchronizer, error: &StoreError) {
+fn report_error(synchronizer: &Synchronizer, error: &StoreError) {
     match error {
         StoreError::KeyValue(error) => {
             let error = error.to_string().into();
-            spread.node.recorder().record(Event::KeyValueDown { error });
+            synchronizer.node.recorder().record(Event::KeyValueDown { error });
+        }
+        // The service lost accepted changes, or its data is unusable. This process keeps its
+        // configuration; an operator has to decide.
+        error => {
+            tracing::error!(%error, "stored configuration unusable, keeping the configuration in force")
         }
-        // The service lost accepted changes. This process keeps them; only people can decide.
-        error => tracing::error!(%error, "the stored configuration can't be followed"),
     }
 }
 
-/// Opens a watch and takes what it brings, until it ends, is found deaf, or this process is no
-/// longer a watcher.
-async fn watch_until_end(spread: &Synchronizer) {
-    let Ok(entry) = catch_up(spread, ConfigSource::PeriodicRead).await else {
-        return sleep(spread.node.jitter(RETRY_INTERVAL)).await;
+/// Opens a watch and applies its events until it ends or stalls, or this process is no longer a
+/// watcher.
+async fn watch_until_end(synchronizer: &Synchronizer) {
+    let Ok(entry) = catch_up(synchronizer, ConfigSource::PeriodicRead).await else {
+        return sleep(synchronizer.node.jitter(RETRY_INTERVAL)).await;
     };
     let after = entry.mod_revision.unwrap_or(Revision(0));
-    let Ok(mut watch) = spread.store.watch_log(after).await else {
-        return sleep(spread.node.jitter(RETRY_INTERVAL)).await;
+    let Ok(mut watch) = synchronizer.store.watch_log(after).await else {
+        return sleep(synchronizer.node.jitter(RETRY_INTERVAL)).await;
     };
-    while spread.node.duties().is_watcher && take_events(spread, &mut watch).await.is_ok() {}
+    while synchronizer.node.duties().is_watcher
+        && apply_events(synchronizer, &mut watch).await.is_ok()
+    {}
 }
 
-/// The watch has to be opened again.
+/// The watch ended or stalled and has to be opened again.
 struct WatchEnded;
 
-/// Takes events for one interval, then reads the head.
+/// Applies events for one interval, then reads the head of the log.
 ///
-/// A watch can go silent for good while its connection stays open. Nothing on this side shows
-/// that, and the data centre would stay on an old configuration. So the head is read from time
-/// to time; if it is ahead of what the watch brought, the watch is deaf and opened again.
-async fn take_events(spread: &Synchronizer, watch: &mut Watch) -> Result<(), WatchEnded> {
-    let until = Instant::now() + spread.node.jitter(spread.timing.head_read_interval);
+/// A watch can stop delivering events while its connection stays open. This process sees no error,
+/// and its data centre would stay on an old configuration. So the head is read periodically; if it
+/// is newer than the last event, the watch has stalled and is opened again.
+async fn apply_events(synchronizer: &Synchronizer, watch: &mut Watch) -> Result<(), WatchEnded> {
+    let until = Instant::now() + synchronizer.node.jitter(synchronizer.timing.head_read_interval);
     loop {
         let event = tokio::select! {
             event = watch.recv() => event.ok_or(WatchEnded)?,
             () = sleep_until(until) => break,
         };
         match event {
-            WatchEvent::Put(entry) => take_change(spread, &entry).await?,
+            WatchEvent::Put(entry) => apply_change(synchronizer, &entry).await?,
             WatchEvent::Compacted { .. } => return Err(WatchEnded),
             WatchEvent::Delete { .. } | WatchEvent::Progress { .. } => {}
         }
     }
-    let before = spread.node.revision();
-    // While the service is down the watch is ended or useless either way.
-    catch_up(spread, ConfigSource::PeriodicRead).await.map_err(|_| WatchEnded)?;
-    if spread.node.revision() > before {
-        tracing::warn!(revision = before.0, "watch went deaf; opening another");
+    let before = synchronizer.node.revision();
+    // If the read fails, the service is down and the watch has to be opened again anyway.
+    catch_up(synchronizer, ConfigSource::PeriodicRead).await.map_err(|_| WatchEnded)?;
+    if synchronizer.node.revision() > before {
+        tracing::warn!(revision = before.0, "watch stalled, opening a new one");
         return Err(WatchEnded);
     }
     Ok(())
 }
 
-/// Takes the change that the watch brought. If it left some out, they are read. It confirms
-/// nothing: it may have been waiting here while this process stood still.
-async fn take_change(spread: &Synchronizer, entry: &KeyValueEntry) -> Result<(), WatchEnded> {
+/// Applies a change from the watch. If the watch skipped changes, they are read from the service.
+/// An event does not confirm the configuration: it may have been queued during a pause of this
+/// process.
+async fn apply_change(
+    synchronizer: &Synchronizer,
+    entry: &KeyValueEntry,
+) -> Result<(), WatchEnded> {
     debug_assert!(entry.key.starts_with(LOG_PREFIX));
     let change: Change = serde_json::from_slice(&entry.value).map_err(|_| WatchEnded)?;
-    if spread.node.advance(vec![Arc::new(change)], ConfigSource::Watch).is_err() {
-        catch_up(spread, ConfigSource::PeriodicRead).await.map_err(|_| WatchEnded)?;
+    if synchronizer.node.advance(vec![Arc::new(change)], ConfigSource::Watch).is_err() {
+        catch_up(synchronizer, ConfigSource::PeriodicRead).await.map_err(|_| WatchEnded)?;
     }
     Ok(())
 }
--- a/crates/control/src/synchronizer.rs
+++ b/crates/control/src/synchronizer.rs
@@ -1,9 +1,9 @@
-//! The loops that bring configuration and members up to date.
+//! The loops that keep configuration and member table up to date.
 //!
-//! Every process polls its parents, so news travels down from the watchers; the watchers get it
-//! from the key-value service. Besides, each process now and then probes one random member, the
-//! silent ones too: that finds out what the order of the parents might miss, and joins two halves
-//! of a fleet again after they lost each other.
+//! Watchers follow the key-value service, and every process polls its parents, so updates propagate
+//! down from the watchers. In addition, each process periodically probes one random member, silent
+//! ones included. This repairs what polling might miss, and merges the two sides of a network
+//! partition when it ends.
 
 use crate::fetch::Fetcher;
 use crate::node::{Followup, Node, SentHeartbeat};
@@ -26,22 +26,22 @@
 use tokio::time::{Instant, sleep, timeout};
 use tokio_util::sync::CancellationToken;
 
-/// Times that the loops go by.
+/// Intervals and timeouts of the loops.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
-    /// How long a parent holds its answer while it has no news.
+    /// How long a parent may hold the answer to a heartbeat while it has no updates.
     pub hold: Duration,
-    /// The same between watchers of different data centres.
+    /// The same limit for polls between watchers of different data centres.
     pub remote_hold: Duration,
-    /// How long an answer may take beyond the hold.
+    /// Timeout of a request, not counting the time an answer may be held.
     pub answer_timeout: Duration,
-    /// After how long without a word a watched process is called silent.
+    /// Time without a message after which a watched process is marked as silent.
     pub silence_timeout: Duration,
-    /// How often a watcher reads the head, since a watch may have gone deaf.
+    /// How often a watcher reads the head of the log, to detect a watch that has stalled.
     pub head_read_interval: Duration,
     /// How often a random member is probed.
     pub probe_interval: Duration,
-    /// How often the VM list is read by those that do.
+    /// How often the VM list is read by the processes whose duty that is.
     pub vm_list_interval: Duration,
 }
 
@@ -59,72 +59,74 @@
     }
 }
 
-/// Who answered, and what they have.
+/// Results of probing several peers: whether any answered, and the newer revisions offered.
 #[derive(Default)]
-struct Found {
-    anybody: bool,
+struct ProbeResults {
+    any_answered: bool,
     offers: Vec<(ConfigRevision, SocketAddr)>,
 }
 
-impl Found {
-    async fn ask(&mut self, spread: &Synchronizer, seeds: Vec<SocketAddr>) {
-        let asked = seeds.into_iter().map(|seed| async move { (seed, spread.probe(seed).await) });
-        for (seed, answer) in join_all(asked).await {
-            self.anybody |= answer.is_ok();
+impl ProbeResults {
+    async fn probe(&mut self, synchronizer: &Synchronizer, peers: Vec<SocketAddr>) {
+        let asked =
+            peers.into_iter().map(|peer| async move { (peer, synchronizer.probe(peer).await) });
+        for (peer, answer) in join_all(asked).await {
+            self.any_answered |= answer.is_ok();
             if let Ok(Followup::Fetch(revision)) = answer {
-                self.offers.push((revision, seed));
+                self.offers.push((revision, peer));
             }
         }
     }
 }
 
-/// Pause after a poll that failed.
+/// Delay before a failed poll or start is retried.
 const RETRY_INTERVAL: Duration = Duration::from_millis(250);
-/// A process whose configuration nobody confirmed for this long looks for somebody who does. Longer
-/// than the time between two words of a healthy peer.
+/// A process whose configuration was not confirmed for this long counts as isolated and probes
+/// random members. Longer than the time between two messages of a healthy peer.
 const ISOLATED_AFTER: Duration = Duration::from_secs(4);
-/// Time between two rounds of an isolated process.
+/// Time between two rounds of probes of an isolated process.
 const ISOLATED_PROBE: Duration = Duration::from_secs(1);
-/// Members that it asks in one round.
+/// Members that an isolated process probes in one round.
 const ISOLATED_PROBES: usize = 4;
-/// After this many probes a watcher asks the seeds again.
-const SEED_ROUNDS: u64 = 12;
-/// How often the VM list is read to tidy the list of entries, where all read it in turn. One read
-/// at the planned size is 647 KB, so this is 2 KB/s.
-const TIDY_INTERVAL: Duration = Duration::from_secs(300);
-/// How often the wanted polls are compared with the running ones.
-const NEIGHBOUR_INTERVAL: Duration = Duration::from_millis(500);
+/// A watcher probes the seeds again after this many probes of random members.
+const PROBES_PER_SEED_ROUND: u64 = 12;
+/// How often the VM list is read to remove stale registrations while all entries read the list in
+/// rotation. One read at the planned size is 647 KB, so this is 2 KB/s.
+const CLEANUP_INTERVAL: Duration = Duration::from_secs(300);
+/// How often the running polls are adjusted to the current poll targets.
+const POLL_UPDATE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What the loops work with.
+/// Keeps the state of one process up to date; see [`Synchronizer::run`].
 #[derive(Clone)]
 pub struct Synchronizer {
-    /// This process.
+    /// The state of this process.
     pub node: Node,
-    /// The configuration in the key-value service.
+    /// The configuration stored in the key-value service.
     pub store: Store,
-    /// The other entries.
+    /// Sends requests to other entries.
     pub peers: Arc<dyn PeerTransport>,
-    /// The VM list.
+    /// The platform's VM list.
     pub vms: Arc<dyn VmList>,
-    /// Inner addresses to begin with, besides those listed in the key-value service.
+    /// Inner addresses of entries from the settings, probed in addition to the entries registered
+    /// in the key-value service.
     pub seeds: Vec<SocketAddr>,
-    /// Times.
+    /// Intervals and timeouts.
     pub timing: Timing,
 }
 
 impl Synchronizer {
-    /// Starts, then runs until `stop` fires.
+    /// Fetches a first configuration, then runs all loops until `stop` is cancelled.
     pub async fn run(self, stop: CancellationToken) {
         let loops = async {
             self.start().await;
             tokio::join!(
-                self.tick(),
-                self.poll_neighbours(),
+                self.check_liveness(),
+                self.run_polls(),
                 self.probe_members(),
                 self.fetch_from_pollers(),
                 self.probe_while_isolated(),
                 self.read_vm_list(),
-                seeds::stay_listed(&self),
+                seeds::keep_registered(&self),
                 crate::service::follow(&self),
             );
         };
@@ -142,13 +144,13 @@
         }
     }
 
-    /// Gets a first configuration, from peers or the key-value service, whichever has the newest.
+    /// Gets a first configuration from peers or the key-value service, whichever has the newest.
     ///
-    /// While the service is down the highest revision among the peers is taken; an older peer
-    /// asked later changes nothing.
+    /// While the service is down, the highest revision among the peers is used; a later answer
+    /// with an older revision changes nothing.
     async fn start(&self) {
         loop {
-            let from_peers = self.ask_seeds().await;
+            let from_peers = self.probe_seeds().await;
             let from_service = crate::service::catch_up_once(self).await;
             if from_service {
                 return;
@@ -156,7 +158,7 @@
             if from_peers {
                 tracing::warn!(
                     revision = self.node.revision().0,
-                    "key-value service unreachable; started with the highest revision of the peers"
+                    "key-value service unreachable, started with the highest revision among the peers"
                 );
                 return;
             }
@@ -164,13 +166,13 @@
         }
     }
 
-    /// Asks those it can find and fetches from the highest; tells whether that left a
-    /// configuration.
-    async fn ask_seeds(&self) -> bool {
-        let mut found = Found::default();
-        found.ask(self, seeds::known(self).await).await;
-        if !found.anybody {
-            found.ask(self, seeds::guessed(self).await).await;
+    /// Probes the seeds and fetches the highest revision found. Returns whether a configuration was
+    /// fetched.
+    async fn probe_seeds(&self) -> bool {
+        let mut found = ProbeResults::default();
+        found.probe(self, seeds::configured_and_registered(self).await).await;
+        if !found.any_answered {
+            found.probe(self, seeds::from_vm_list(self).await).await;
         }
         let fetched = self.fetch_highest(found).await;
         if fetched {
@@ -179,11 +181,11 @@
         fetched
     }
 
-    /// Fetches from whoever has the highest revision; tells whether somebody had a newer one.
-    async fn fetch_highest(&self, mut found: Found) -> bool {
+    /// Fetches the highest revision offered. Returns whether a fetch succeeded.
+    async fn fetch_highest(&self, mut found: ProbeResults) -> bool {
         found.offers.sort_unstable();
         for (revision, peer) in found.offers.into_iter().rev() {
-            // A lower offer is tried only if the higher one's giver failed meanwhile.
+            // A lower revision is fetched only if every peer with a higher one failed.
             if self.fetcher().fetch(peer, revision).await.is_ok() {
                 return true;
             }
@@ -191,7 +193,7 @@
         false
     }
 
-    /// One heartbeat; tells what it leaves to do.
+    /// Sends one heartbeat and applies the answer.
     async fn poll(
         &self,
         peer: SocketAddr,
@@ -201,10 +203,10 @@
         let asked =
             SentHeartbeat { table_version: self.node.table_version(), sent_at: Instant::now() };
         let heartbeat = self.node.heartbeat(Some(name), hold);
-        self.beat(peer, name, heartbeat, asked).await
+        self.send_heartbeat(peer, name, heartbeat, asked).await
     }
 
-    async fn beat(
+    async fn send_heartbeat(
         &self,
         peer: SocketAddr,
         name: &str,
@@ -216,25 +218,27 @@
         let limit = hold + self.timing.answer_timeout;
         let answer = timeout(limit, self.peers.ask(peer, request)).await;
         let answer = answer.map_err(|_| PeerError::Timeout)??;
-        // After a pause of this process an answer from before lies ready, and a timeout lets a
-        // ready answer pass. It would confirm a configuration that was replaced since.
+        // After a pause of this process an answer from before the pause may already be queued, and
+        // `timeout` returns a ready answer even when it is late. Such an answer would confirm a
+        // configuration that has been replaced since.
         if asked.sent_at.elapsed() > limit {
             return Err(PeerError::Timeout);
         }
         let PeerAnswer::Heartbeat(answer) = answer else { return Err(PeerError::Unexpected) };
-        let lacking = self.node.agents_lacking(&answer);
+        let missing = self.node.agents_missing_at_peer(&answer);
         let followup = self.node.apply_heartbeat_answer(*answer, asked);
-        self.tell_agents(peer, name, lacking).await;
+        self.send_missing_agents(peer, name, missing).await;
         Ok(followup)
     }
 
-    /// Tells a peer what its directory lacks; if that fails, the next comparison does.
-    async fn tell_agents(&self, peer: SocketAddr, name: &str, lacking: Vec<AgentRecord>) {
-        if lacking.is_empty() {
+    /// Sends a peer the agents that its directory lacks. A failure is ignored, since the next
+    /// comparison of digests sends them again.
+    async fn send_missing_agents(&self, peer: SocketAddr, name: &str, missing: Vec<AgentRecord>) {
+        if missing.is_empty() {
             return;
         }
         let mut heartbeat = self.node.heartbeat(Some(name), Duration::ZERO);
-        heartbeat.updates = MembershipUpdate { agents: lacking, ..MembershipUpdate::default() };
+        heartbeat.updates = MembershipUpdate { agents: missing, ..MembershipUpdate::default() };
         heartbeat.agent_digests.clear();
         let request = PeerRequest::Heartbeat(Box::new(heartbeat));
         let _ = timeout(self.timing.answer_timeout, self.peers.ask(peer, request)).await;
@@ -252,36 +256,36 @@
         }
     }
 
-    /// Keeps one poll running for each wanted neighbour.
-    async fn poll_neighbours(&self) {
+    /// Keeps one poll running for each poll target.
+    async fn run_polls(&self) {
         let mut polls = FuturesUnordered::new();
         let mut running: HashMap<String, CancellationToken> = HashMap::new();
         loop {
             let duties = self.node.duties();
-            let wanted = &duties.poll_targets;
+            let targets = &duties.poll_targets;
             running.retain(|name, stop| {
-                let kept = wanted.contains(name);
+                let kept = targets.contains(name);
                 if !kept {
                     stop.cancel();
                 }
                 kept
             });
-            for name in wanted {
+            for name in targets {
                 if !running.contains_key(name) {
                     let stop = CancellationToken::new();
                     running.insert(name.clone(), stop.clone());
-                    polls.push(stop.run_until_cancelled_owned(self.poll_one(name.clone())));
+                    polls.push(stop.run_until_cancelled_owned(self.poll_peer(name.clone())));
                 }
             }
             tokio::select! {
                 _ = polls.next(), if !polls.is_empty() => {}
-                () = sleep(NEIGHBOUR_INTERVAL) => {}
+                () = sleep(POLL_UPDATE_INTERVAL) => {}
             }
         }
     }
 
-    /// Polls for as long as it is let.
-    async fn poll_one(&self, name: String) {
+    /// Polls one peer until the future is dropped.
+    async fn poll_peer(&self, name: String) {
         loop {
             let hold = self.hold_for(&name);
             let polled = match self.node.address(&name) {
@@ -302,42 +306,45 @@
         }
     }
 
-    /// Looks at the clock and at those that this process watches.
-    async fn tick(&self) {
+    /// Detects pauses of this process and silent members.
+    async fn check_liveness(&self) {
         let mut detector = PauseDetector::new(Instant::now());
         loop {
             sleep(TICK_INTERVAL).await;
             if let Some(gap) = detector.tick(Instant::now()) {
-                tracing::warn!(gap_ms = gap.as_millis() as u64, "this process stood still");
+                tracing::warn!(gap_ms = gap.as_millis() as u64, "this process was paused");
                 self.node.invalidate_after_pause();
                 continue;
             }
             let duties = self.node.duties();
             let mut watched = [duties.poll_targets.as_slice(), &duties.pollers].concat();
-            // Two watchers of different data centres poll each other.
+            // Two watchers of different data centres poll each other and would be listed twice.
             watched.sort_unstable();
             watched.dedup();
-            let longer = self.timing.remote_hold + self.timing.answer_timeout / 2;
-            self.node.detect_silent_members(&watched, self.watched_limit(), longer);
+            let margin = self.timing.remote_hold + self.timing.answer_timeout / 2;
+            self.node.detect_silent_members(&watched, self.silence_timeout(), margin);
             self.node.expire();
         }
     }
 
-    /// Neighbours of other data centres are heard less often; one limit serves both.
-    fn watched_limit(&self) -> Duration {
+    /// The timeout for all watched members. Members of other data centres send messages less often,
+    /// so it also covers their hold.
+    fn silence_timeout(&self) -> Duration {
         self.timing.silence_timeout.max(self.timing.remote_hold + self.timing.answer_timeout)
     }
 
     async fn probe_members(&self) {
         for round in 1_u64.. {
             sleep(self.node.jitter(self.timing.probe_interval)).await;
-            let others = self.others();
-            // Two groups that know nothing of each other would never probe each other.
-            if others.is_empty() || self.node.duties().is_watcher && round % SEED_ROUNDS == 0 {
-                self.ask_seeds().await;
+            let others = self.other_addresses();
+            // Two groups that have never met would otherwise never probe each other.
+            if others.is_empty()
+                || self.node.duties().is_watcher && round % PROBES_PER_SEED_ROUND == 0
+            {
+                self.probe_seeds().await;
             }
             let Some(chosen) = self.node.choose(&others) else { continue };
-            // It may be gone; those that watch it find out.
+            // Failures are ignored: the processes that watch this member detect them.
             let peer = *chosen;
             if let Ok(Followup::Fetch(revision)) = self.probe(peer).await {
                 let _ = self.fetcher().fetch(peer, revision).await;
@@ -345,8 +352,8 @@
         }
     }
 
-    /// Where the others are reached that are not known to be gone.
-    fn others(&self) -> Vec<SocketAddr> {
+    /// Inner addresses of the other members that are not gone.
+    fn other_addresses(&self) -> Vec<SocketAddr> {
         let own = self.node.own_record().name;
         let members = self.node.members().into_iter();
         let others =
@@ -354,39 +361,41 @@
         others.map(|member| member.record.inner).collect()
     }
 
-    /// Asks members at random while nobody confirms the configuration.
+    /// Probes random members while the configuration is unconfirmed.
     ///
-    /// All that a process polls can go at once. Until they are called silent nobody takes their
-    /// place, and whoever hears hardly anybody does not call others silent (see
-    /// [`Node::detect_silent_members`]). A change that others have is then missing here for longer than
-    /// operators are promised, and `status` shows this process behind. Some of those asked are there.
+    /// All poll targets of a process can fail at once. They are replaced only once they are marked
+    /// as silent, and a process that receives nothing from most members marks none (see
+    /// [`Node::detect_silent_members`]). A change would then arrive here later than operators are
+    /// promised, and `status` would show this process behind. Some of the probed members answer.
     async fn probe_while_isolated(&self) {
         loop {
             sleep(self.node.jitter(ISOLATED_PROBE)).await;
             if self.node.since_confirmed().is_none_or(|time| time < ISOLATED_AFTER) {
                 continue;
             }
-            let mut found = Found::default();
-            found.ask(self, self.node.choose_some(&self.others(), ISOLATED_PROBES)).await;
+            let mut found = ProbeResults::default();
+            found
+                .probe(self, self.node.choose_some(&self.other_addresses(), ISOLATED_PROBES))
+                .await;
             self.fetch_highest(found).await;
         }
     }
 
-    /// Fetches from processes that poll this one and turn out to be ahead of it.
+    /// Fetches from peers that poll this process and have a newer configuration.
     async fn fetch_from_pollers(&self) {
-        let mut ahead = self.node.newer_peer();
-        while ahead.changed().await.is_ok() {
-            let Some(offer) = ahead.borrow_and_update().clone() else { continue };
+        let mut newer_peer = self.node.newer_peer();
+        while newer_peer.changed().await.is_ok() {
+            let Some(offer) = newer_peer.borrow_and_update().clone() else { continue };
             let Some(peer) = self.node.address(&offer.name) else { continue };
             if let Err(error) = self.fetcher().fetch(peer, offer.revision).await {
-                // It offers again with its next poll.
-                tracing::debug!(peer = offer.name, %error, "newer configuration not fetched");
+                // The next poll of the peer triggers another attempt.
+                tracing::debug!(peer = offer.name, %error, "failed to fetch a newer configuration");
             }
         }
     }
 
-    /// Compares tables by their digest first: whole tables between random pairs would cost more
-    /// than everything else together.
+    /// Exchanges updates with a peer only if the digests differ: whole tables between random pairs
+    /// would cost more than all other traffic together.
     async fn probe(&self, peer: SocketAddr) -> Result<Followup, PeerError> {
         let asked = timeout(self.timing.answer_timeout, self.peers.ask(peer, PeerRequest::Status));
         let PeerAnswer::Status { record, revision, digest } =
@@ -395,20 +404,20 @@
             return Err(PeerError::Unexpected);
         };
         let name = record.name.clone();
-        self.node.take_status(*record, ConfigRevision(revision));
+        self.node.record_status(*record, ConfigRevision(revision));
         if digest == self.node.digest() && revision <= self.node.revision().0 {
             return Ok(Followup::None);
         }
         let asked =
             SentHeartbeat { table_version: self.node.table_version(), sent_at: Instant::now() };
-        let heartbeat = self.node.comparing_heartbeat(&name);
-        self.beat(peer, &name, heartbeat, asked).await
+        let heartbeat = self.node.digest_heartbeat(&name);
+        self.send_heartbeat(peer, &name, heartbeat, asked).await
     }
 
     async fn read_vm_list(&self) {
         loop {
-            let interval = match self.node.is_list_in_turn() {
-                true => self.timing.vm_list_interval.max(TIDY_INTERVAL),
+            let interval = match self.node.has_vm_list_rotation() {
+                true => self.timing.vm_list_interval.max(CLEANUP_INTERVAL),
                 false => self.timing.vm_list_interval,
             };
             sleep(self.node.jitter(interval)).await;
@@ -416,9 +425,9 @@
                 continue;
             }
             let Ok(vms) = self.vms.list().await else { continue };
-            let listed = vms.iter().map(|vm| vm.name.as_str()).collect();
+            let vm_names = vms.iter().map(|vm| vm.name.as_str()).collect();
             self.node.apply_vm_list(&vms);
-            seeds::tidy(self, &listed).await;
+            seeds::remove_stale(self, &vm_names).await;
         }
     }
 }
--- a/crates/control/src/transport.rs
+++ b/crates/control/src/transport.rs
@@ -1,27 +1,28 @@
-//! How other entries are reached.
+//! The interface for requests to other entries.
 
 use flamingowheel_backing::BoxFuture;
 use flamingowheel_protocol::peer::{PeerAnswer, PeerRequest};
 use std::net::SocketAddr;
 
-/// Why a peer gave no answer. A request to a peer has no effect that matters twice, so the kinds
-/// need not be told apart by what may have happened.
+/// Why a request to a peer failed. Requests are idempotent, so the kinds don't distinguish whether
+/// the peer may have processed the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PeerError {
-    /// No connection.
+    /// No connection could be opened, or it closed before the request was sent.
     #[error("peer unreachable")]
     Unreachable,
-    /// No answer in time.
+    /// No answer within the timeout, or the connection closed before the answer arrived.
     #[error("peer did not answer in time")]
     Timeout,
-    /// An answer to another question.
+    /// The answer has the wrong type or invalid content.
     #[error("peer answered something else")]
     Unexpected,
 }
 
-/// Asks other entries.
+/// Sends requests to other entries.
 pub trait PeerTransport: Send + Sync + 'static {
-    /// Sends one request to the entry with this inner address and waits for the answer.
+    /// Sends one request to the entry with this inner address and waits for the answer, without a
+    /// timeout of its own.
     fn ask(
         &self,
         peer: SocketAddr,
--- a/crates/control/src/websocket.rs
+++ b/crates/control/src/websocket.rs
@@ -1,4 +1,4 @@
-//! Reaching other entries over the inner protocol's authenticated connections.
+//! Requests between entries over the inner protocol's authenticated WebSocket connections.
 
 use crate::node::Node;
 use crate::transport::{PeerError, PeerTransport};
@@ -16,69 +16,70 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-/// A connection that nobody asked over for this long is closed. Random members are probed all the
-/// time; kept open, those connections would cost more in heartbeats than all that is said.
-const IDLE_LIMIT: Duration = Duration::from_secs(8);
-/// Most requests of one connection that are worked on at one time.
-const MAX_REQUESTS: usize = 32;
+/// A connection without a request for this long is closed. Random members are probed all the time;
+/// the heartbeats of those connections, kept open, would cost more than all requests.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(8);
+/// Upper bound on the concurrent requests of one connection.
+const MAX_CONCURRENT_REQUESTS: usize = 32;
 
 type PeerLink = Link<PeerFrame, PeerFrame>;
-type Waiting = Arc<Mutex<HashMap<u64, oneshot::Sender<PeerAnswer>>>>;
+type PendingAnswers = Arc<Mutex<HashMap<u64, oneshot::Sender<PeerAnswer>>>>;
 
-/// Asks peers, over one connection to each, opened when needed and again after it ended.
+/// Sends requests to peers over one connection each, opened when needed and again after it closed.
 pub struct WebSocketPeers {
     identity: Identity,
     connections: Mutex<HashMap<SocketAddr, Connection>>,
-    number: AtomicU64,
-    idle_limit: Duration,
+    next_number: AtomicU64,
+    idle_timeout: Duration,
 }
 
 #[derive(Clone)]
 struct Connection {
     sender: mpsc::Sender<PeerFrame>,
-    waiting: Waiting,
+    pending: PendingAnswers,
     used_at: Instant,
 }
 
 impl Connection {
-    fn is_needed(&self, idle_limit: Duration) -> bool {
-        let in_use = !lock(&self.waiting).is_empty() || self.used_at.elapsed() < idle_limit;
+    fn is_needed(&self, idle_timeout: Duration) -> bool {
+        let in_use = !lock(&self.pending).is_empty() || self.used_at.elapsed() < idle_timeout;
         !self.sender.is_closed() && in_use
     }
 }
 
 impl WebSocketPeers {
-    /// A transport that introduces itself in this way.
+    /// Creates a transport whose connections authenticate as `identity`.
     pub fn new(identity: Identity) -> Self {
-        Self::with_idle_limit(identity, IDLE_LIMIT)
+        Self::with_idle_timeout(identity, IDLE_TIMEOUT)
     }
 
-    /// The same, with another time after which connections without a question are closed.
-    pub fn with_idle_limit(identity: Identity, idle_limit: Duration) -> Self {
-        let number = AtomicU64::new(1);
-        Self { identity, connections: Mutex::default(), number, idle_limit }
+    /// Like [`WebSocketPeers::new`], but closes connections without a request after `idle_timeout`.
+    pub fn with_idle_timeout(identity: Identity, idle_timeout: Duration) -> Self {
+        let next_number = AtomicU64::new(1);
+        Self { identity, connections: Mutex::default(), next_number, idle_timeout }
     }
 
-    /// How many connections are open or were not yet found closed.
+    /// Number of connections that are open, or closed but not yet removed.
     pub fn open_connections(&self) -> usize {
         lock(&self.connections).len()
     }
 
     async fn connection(&self, peer: SocketAddr) -> Result<Connection, PeerError> {
-        if let Some(open) = self.open(peer) {
+        if let Some(open) = self.find_open(peer) {
             return Ok(open);
         }
         let link: PeerLink =
             connect(peer, &self.identity).await.map_err(|_| PeerError::Unreachable)?;
-        let connection = start(link);
+        let connection = spawn_receiver(link);
         lock(&self.connections).insert(peer, connection.clone());
         Ok(connection)
     }
 
-    /// The open connection to a peer; others that are no longer needed are closed on the way.
-    fn open(&self, peer: SocketAddr) -> Option<Connection> {
+    /// Returns the open connection to a peer. Also closes other connections that are not needed.
+    fn find_open(&self, peer: SocketAddr) -> Option<Connection> {
         let mut connections = lock(&self.connections);
-        connections.retain(|other, own| *other == peer || own.is_needed(self.idle_limit));
+        connections
+            .retain(|other, connection| *other == peer || connection.is_needed(self.idle_timeout));
         let open = connections.get_mut(&peer).filter(|open| !open.sender.is_closed())?;
         open.used_at = Instant::now();
         Some(open.clone())
@@ -93,11 +94,11 @@
     ) -> BoxFuture<'_, Result<PeerAnswer, PeerError>> {
         Box::pin(async move {
             let connection = self.connection(peer).await?;
-            let number = self.number.fetch_add(1, Ordering::Relaxed);
-            let (answered, answer) = oneshot::channel();
-            lock(&connection.waiting).insert(number, answered);
-            // Whoever asks may give up before the answer comes.
-            let _guard = Forget { number, waiting: &connection.waiting };
+            let number = self.next_number.fetch_add(1, Ordering::Relaxed);
+            let (answer_sender, answer) = oneshot::channel();
+            lock(&connection.pending).insert(number, answer_sender);
+            // Removes the entry if this future is dropped before the answer arrives.
+            let _guard = PendingGuard { number, pending: &connection.pending };
             let frame = PeerFrame::Request { number, request };
             connection.sender.send(frame).await.map_err(|_| PeerError::Unreachable)?;
             answer.await.map_err(|_| PeerError::Timeout)
@@ -105,54 +106,55 @@
     }
 }
 
-struct Forget<'a> {
+struct PendingGuard<'a> {
     number: u64,
-    waiting: &'a Waiting,
+    pending: &'a PendingAnswers,
 }
 
-impl Drop for Forget<'_> {
+impl Drop for PendingGuard<'_> {
     fn drop(&mut self) {
-        lock(self.waiting).remove(&self.number);
+        lock(self.pending).remove(&self.number);
     }
 }
 
-/// Hands answers to those that wait; when the connection ends they all hear of it.
-fn start(link: PeerLink) -> Connection {
+/// Spawns a task that passes answers to the pending requests. When the connection closes, all
+/// pending requests fail.
+fn spawn_receiver(link: PeerLink) -> Connection {
     let Link { sender, mut receiver, .. } = link;
-    let waiting = Waiting::default();
-    let connection = Connection { sender, waiting: Arc::clone(&waiting), used_at: Instant::now() };
+    let pending = PendingAnswers::default();
+    let connection = Connection { sender, pending: Arc::clone(&pending), used_at: Instant::now() };
     tokio::spawn(async move {
         while let Some(frame) = receiver.recv().await {
             if let PeerFrame::Answer { number, answer } = frame
-                && let Some(waiting) = lock(&waiting).remove(&number)
+                && let Some(answer_sender) = lock(&pending).remove(&number)
             {
-                // The one that asked may have given up.
-                let _ = waiting.send(answer);
+                // Sending fails if the requester has given up.
+                let _ = answer_sender.send(answer);
             }
         }
-        lock(&waiting).clear();
+        lock(&pending).clear();
     });
     connection
 }
 
-/// Answers other entries until `stop` fires.
+/// Answers requests of other entries until `stop` is cancelled.
 pub async fn serve(listener: TcpListener, identity: Identity, node: Node, stop: CancellationToken) {
     let closing = stop.clone();
-    let attend = move |link| attend(link, node.clone(), closing.clone());
-    accept_links(listener, identity, stop, attend).await;
+    let handle = move |link| handle_link(link, node.clone(), closing.clone());
+    accept_links(listener, identity, stop, handle).await;
 }
 
-async fn attend(mut link: PeerLink, node: Node, stop: CancellationToken) {
-    let permits = Arc::new(Semaphore::new(MAX_REQUESTS));
+async fn handle_link(mut link: PeerLink, node: Node, stop: CancellationToken) {
+    let permits = Arc::new(Semaphore::new(MAX_CONCURRENT_REQUESTS));
     while let Some(frame) = link.receiver.recv().await {
         let PeerFrame::Request { number, request } = frame else { continue };
         let Ok(permit) = Arc::clone(&permits).acquire_owned().await else { return };
         let (node, sender, stop) = (node.clone(), link.sender.clone(), stop.clone());
         tokio::spawn(async move {
-            // A held answer keeps the connection open; the peer would take a process that
-            // stopped for one that is there, for as long as the hold.
+            // A held answer would keep the connection open, and the peer would not notice for the
+            // duration of the hold that this process has stopped.
             let Some(answer) = stop.run_until_cancelled(node.answer(request)).await else { return };
-            // A connection that ended has nobody waiting.
+            // Sending fails if the connection has closed; no answer is needed then.
             let _ = sender.send(PeerFrame::Answer { number, answer }).await;
             drop(permit);
         });
--- a/crates/control/tests/websocket.rs
+++ b/crates/control/tests/websocket.rs
@@ -74,7 +74,7 @@
 async fn ask_many_keeps_few_connections() {
     // Each process probes a random member every few seconds. If all those connections stayed
     // open, their heartbeats would exceed what control may send.
-    let peers = WebSocketPeers::with_idle_limit(identity(0, 1), Duration::ZERO);
+    let peers = WebSocketPeers::with_idle_timeout(identity(0, 1), Duration::ZERO);
     let mut stops = Vec::new();
     for number in 1..8 {
         let (address, _, stop) = start(number).await;
