--- a/crates/config/tests/documents.rs
+++ b/crates/config/tests/documents.rs
@@ -1,4 +1,4 @@
-//! Operators' documents: reading, resolving and checking them.
+//! Parsing, resolving and validating operators' documents.
 
 use flamingowheel_config::desired::desired_model;
 use flamingowheel_config::document::{DocumentError, Edit, parse};
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn effective_overrides_only_what_is_given() {
+fn effective_overrides_only_given_fields() {
     let overridden = workspace("bibb", "b", "overrides: { limits: { in_flight: 4 }, priority: 9 }");
     let plain = workspace("jones", "j", "");
     let effective = EffectiveConfig::new(&documents(&format!("{TEMPLATE}{overridden}\n{plain}")));
@@ -65,8 +65,8 @@
 
 #[test]
 fn effective_workspace_outlives_removal() {
-    // A workspace is removed while one of its streams still runs. The stream must end whole, with
-    // the limits it began with; new requests are refused.
+    // A workspace is removed while one of its streams is in progress. The stream must keep the
+    // limits it started with until it is complete; new requests are refused.
     let mut documents = documents(&format!("{TEMPLATE}{}", workspace("bibb", "b", "")));
     let held = Arc::clone(EffectiveConfig::new(&documents).workspace("bibb").unwrap());
     documents.apply(ConfigRevision(2), &[Edit::RemoveWorkspace("bibb".to_owned())]);
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn parse_alias_bomb_is_refused() {
+fn parse_refuses_alias_bomb() {
     let mut text = String::from("kind: template\nname: &a [x, x, x, x, x, x, x, x, x, x]\n");
     for level in 0..12 {
         let (from, to) = (char::from(b'a' + level), char::from(b'b' + level));
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn validate_reports_every_error_in_one_answer() {
+fn validate_reports_every_problem() {
     let bad_template = "\
 kind: template
 name: Call Box
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn validate_template_in_use_stays() {
+fn validate_refuses_removal_of_template_in_use() {
     let base = documents(&format!("{TEMPLATE}{}", workspace("bibb", "b", "")));
     let removal = parse("kind: remove\ntemplate: callbox\n").unwrap();
     let problems = validate(&base, &removal).unwrap_err();
@@ -167,8 +167,8 @@
     }
 }
 
-/// What a lookup by name and by token finds, for names and tokens `w0` to `w5`.
-fn found(effective: &EffectiveConfig) -> Vec<(Option<EffectiveWorkspace>, Option<String>)> {
+/// Results of lookups by name and by token, for names and tokens `w0` to `w5`.
+fn lookups(effective: &EffectiveConfig) -> Vec<(Option<EffectiveWorkspace>, Option<String>)> {
     let look_up = |number: usize| {
         let name = format!("w{number}");
         let by_token = effective.workspace_by_token(name.as_bytes());
@@ -185,7 +185,8 @@
         ..ProptestConfig::default()
     })]
 
-    // Workspaces come, go, change templates and hand their tokens on, several in one change.
+    // Several workspaces per change are created, removed, moved to another template or given the
+    // token of another. The incremental update must equal a full build.
     #[test]
     fn effective_with_edits_equals_new(
         changes in prop::collection::vec(
@@ -210,22 +211,24 @@
             }
             documents.apply(documents.revision.next(), &edits);
             effective = effective.with_edits(&documents, &edits);
-            prop_assert_eq!(found(&effective), found(&EffectiveConfig::new(&documents)));
+            prop_assert_eq!(lookups(&effective), lookups(&EffectiveConfig::new(&documents)));
             prop_assert_eq!(effective.revision(), documents.revision);
         }
     }
 }
-// An operator pastes text that is no YAML. The parser repeats its error without end; the entry that
-// takes the change would loop and eat its memory.
+
+// After text that is not YAML the parser returns the same error without end. An entry that received
+// such text from an operator would loop until its memory is exhausted.
 #[test]
-fn parse_not_yaml_ends() {
+fn parse_not_yaml_terminates() {
     for text in ["[", "{", "@", "kind: remove\nworkspace: a\n---\n@"] {
         let errors = parse(text).unwrap_err();
         assert!((1..=2).contains(&errors.len()), "{errors:?}");
     }
 }
 
-// An alias that stands for nothing made the parser panic, and the operator's call broke off.
+// The YAML parser panics on an alias without an anchor, which aborted the operator's call without
+// an error message.
 #[test]
 fn parse_alias_without_anchor() {
     assert!(parse("kind: remove\nworkspace: [*a]\n").is_err());
@@ -236,10 +239,10 @@
     format!("kind: template\nname: {name}\nparameters: {{models: {{notes: {model}}}}}\n---\n")
 }
 
-/// Two operators name different versions of a model. All ranks of a group serve one, so one of the
-/// two would be accepted and never come into force.
+/// Two operators name different versions of a model. All ranks of a group serve one version, so one
+/// of the two would be accepted but never served.
 #[test]
-fn validate_other_version_refused_unless_changed_together() {
+fn validate_refuses_second_version_unless_changed_together() {
     let old = format!("{}{}", template_of("a", "{version: '1'}"), template_of("b", "{}"));
     let base = documents(&old);
     let check = |text: &str| {
@@ -259,15 +262,15 @@
     };
     assert_eq!(refused, [("parameters.models.notes.version".to_owned(), reason)]);
     let overrides = "overrides: {models: {notes: {version: '3'}}}\n";
-    let own = workspace("bibb", "t", overrides).replace("callbox", "a");
-    assert_eq!(check(&own).len(), 1);
+    let overridden = workspace("bibb", "t", overrides).replace("callbox", "a");
+    assert_eq!(check(&overridden).len(), 1);
     let both =
         format!("{}{}", template_of("a", "{version: '2'}"), template_of("b", "{version: '2'}"));
     assert_eq!(check(&both), []);
 }
 
 #[test]
-fn desired_model_unites_adapters_and_finds_the_version() {
+fn desired_model_merges_adapters_and_finds_the_version() {
     let templates = format!(
         "{}{}",
         template_of("a", "{adapters: [x, y]}"),
--- a/crates/config/tests/faults.rs
+++ b/crates/config/tests/faults.rs
@@ -1,5 +1,5 @@
-//! Random changes by several operators under random faults of the key-value service, against a
-//! simple oracle: what was told to the operators is what a fresh process finds.
+//! Random changes by several operators under random faults of the key-value service. A process that
+//! loads the configuration afterwards must find exactly what was reported to the operators.
 
 use flamingowheel_backing::BoxFuture;
 use flamingowheel_backing::fake::FakeKeyValue;
@@ -29,35 +29,36 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// Operators change these workspaces at the same moment.
+    /// Operators change these workspaces concurrently, one each.
     Apply(Vec<u8>),
+    /// The process of this operator folds the log.
     Fold(usize),
-    /// The next writes meet these faults, one each.
-    Strike(Vec<WriteFault>),
-    /// The service goes away after the first time, for the second, in milliseconds.
+    /// The next writes are subject to these faults, one each.
+    InjectFaults(Vec<WriteFault>),
+    /// The service is down after the first time, for the second, both in milliseconds.
     Outage(u64, u64),
-    /// Somebody asks for the outcome of a change while it is still open.
-    Ask,
+    /// The states of all changes with an unknown outcome are queried.
+    QueryUnknown,
 }
 
-/// What happens to one write. Its sender is told each time that no answer came.
+/// A fault of one write. In each case the sender gets a timeout instead of an answer.
 #[derive(Clone, Copy, Debug)]
 enum WriteFault {
-    /// It takes effect.
+    /// The write takes effect.
     AnswerLost,
-    /// It never arrives.
-    Lost,
-    /// It arrives after this time, in milliseconds.
-    Late(u64),
+    /// The write never arrives.
+    WriteLost,
+    /// The write arrives after this time, in milliseconds.
+    Delayed(u64),
 }
 
-/// A key-value service whose writes meet faults.
-struct StruckWrites {
+/// A key-value service that injects faults into writes.
+struct FaultyKeyValue {
     kv: FakeKeyValue,
     faults: Mutex<VecDeque<WriteFault>>,
 }
 
-impl StruckWrites {
+impl FaultyKeyValue {
     fn next_fault(&self, transaction: &Transaction) -> Option<WriteFault> {
         let writes = |operation: &Operation| matches!(operation, Operation::Put { .. });
         let is_write = transaction.on_success.iter().any(writes);
@@ -65,28 +66,28 @@
     }
 }
 
-impl KeyValue for StruckWrites {
+impl KeyValue for FaultyKeyValue {
     fn transact(
         &self,
         transaction: Transaction,
     ) -> BoxFuture<'_, Result<TransactionAnswer, KeyValueError>> {
-        const ANSWER_LIMIT: Duration = Duration::from_millis(500);
+        const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
         Box::pin(async move {
             match self.next_fault(&transaction) {
                 None => return self.kv.transact(transaction).await,
                 Some(WriteFault::AnswerLost) => {
                     let _ = self.kv.transact(transaction).await;
                 }
-                Some(WriteFault::Lost) => {}
-                Some(WriteFault::Late(late_ms)) => {
+                Some(WriteFault::WriteLost) => {}
+                Some(WriteFault::Delayed(delay_ms)) => {
                     let kv = self.kv.clone();
                     tokio::spawn(async move {
-                        sleep(Duration::from_millis(late_ms)).await;
+                        sleep(Duration::from_millis(delay_ms)).await;
                         let _ = kv.transact(transaction).await;
                     });
                 }
             }
-            sleep(ANSWER_LIMIT).await;
+            sleep(ANSWER_TIMEOUT).await;
             Err(KeyValueError::NoAnswer { limit_ms: 500 })
         })
     }
@@ -119,42 +120,49 @@
 fn step() -> impl Strategy<Value = Step> {
     let fault = prop_oneof![
         Just(WriteFault::AnswerLost),
-        Just(WriteFault::Lost),
-        (1..60_000_u64).prop_map(WriteFault::Late),
+        Just(WriteFault::WriteLost),
+        (1..60_000_u64).prop_map(WriteFault::Delayed),
     ];
     prop_oneof![
         6 => prop::collection::vec(0..4_u8, 1..=OPERATORS).prop_map(Step::Apply),
         1 => (0..OPERATORS).prop_map(Step::Fold),
-        3 => prop::collection::vec(fault, 1..20).prop_map(Step::Strike),
-        2 => (0..200_u64, 1..12_000_u64).prop_map(|(after, long)| Step::Outage(after, long)),
-        3 => Just(Step::Ask),
+        3 => prop::collection::vec(fault, 1..20).prop_map(Step::InjectFaults),
+        2 => (0..200_u64, 1..12_000_u64).prop_map(|(after, duration)| Step::Outage(after, duration)),
+        3 => Just(Step::QueryUnknown),
     ]
 }
 
-/// What operators were told.
+/// The outcomes that were reported to operators. Each change is given by the number of the
+/// workspace and its value.
 #[derive(Default)]
-struct Told {
+struct ReportedOutcomes {
     accepted: BTreeMap<ConfigRevision, (u8, u32)>,
     unknown: Vec<(ChangeId, u8, u32)>,
     not_accepted: Vec<ChangeId>,
 }
 
-impl Told {
-    fn accept(&mut self, revision: ConfigRevision, name: u8, value: u32) {
+impl ReportedOutcomes {
+    fn record_accepted(&mut self, revision: ConfigRevision, name: u8, value: u32) {
         let earlier = self.accepted.insert(revision, (name, value));
-        assert!(earlier.is_none_or(|earlier| earlier == (name, value)), "{revision:?} given twice");
+        assert!(
+            earlier.is_none_or(|earlier| earlier == (name, value)),
+            "{revision:?} reported for two changes"
+        );
     }
 
-    async fn resolve(&mut self, store: &Store) {
-        let mut left = Vec::new();
+    /// Queries the states of the changes whose outcomes are unknown.
+    async fn resolve_unknown(&mut self, store: &Store) {
+        let mut unresolved = Vec::new();
         for (id, name, value) in std::mem::take(&mut self.unknown) {
             match store.change_state(id).await {
-                Ok(ChangeState::Accepted { revision }) => self.accept(revision, name, value),
+                Ok(ChangeState::Accepted { revision }) => {
+                    self.record_accepted(revision, name, value)
+                }
                 Ok(ChangeState::NotAccepted) => self.not_accepted.push(id),
-                Ok(ChangeState::Unknown) | Err(_) => left.push((id, name, value)),
+                Ok(ChangeState::Unknown) | Err(_) => unresolved.push((id, name, value)),
             }
         }
-        self.unknown = left;
+        self.unknown = unresolved;
     }
 }
 
@@ -181,31 +189,32 @@
     (replica, applied)
 }
 
-/// A service, the operators' replicas of it, and what they were told.
+/// A key-value service, the operators' replicas, and the outcomes reported to them.
 struct Run {
     kv: FakeKeyValue,
-    struck: Arc<StruckWrites>,
+    faulty: Arc<FaultyKeyValue>,
     store: Store,
     replicas: Vec<Replica>,
-    told: Told,
-    value: u32,
+    reported: ReportedOutcomes,
+    /// The last value that was written; each change writes a new one.
+    last_value: u32,
 }
 
 impl Run {
     async fn start() -> Self {
         let kv = FakeKeyValue::new();
-        let struck = Arc::new(StruckWrites { kv: kv.clone(), faults: Mutex::default() });
-        let store = Store::new(Arc::clone(&struck) as Arc<dyn KeyValue>);
+        let faulty = Arc::new(FaultyKeyValue { kv: kv.clone(), faults: Mutex::default() });
+        let store = Store::new(Arc::clone(&faulty) as Arc<dyn KeyValue>);
         let template = parse("kind: template\nname: callbox\n").unwrap();
         let (first, applied) = apply(store.clone(), Replica::default(), template).await;
         applied.unwrap();
         Self {
             kv,
-            struck,
+            faulty,
             store,
             replicas: vec![first; OPERATORS],
-            told: Told::default(),
-            value: 0,
+            reported: ReportedOutcomes::default(),
+            last_value: 0,
         }
     }
 
@@ -213,63 +222,67 @@
         match step {
             Step::Apply(names) => self.apply(names).await,
             Step::Fold(number) => {
-                // It may fail half-way; that must not matter.
+                // A fold that fails half-way must have no effect on the documents.
                 let _ = self.store.fold(&mut self.replicas[number]).await;
             }
-            Step::Strike(faults) => self.struck.faults.lock().unwrap().extend(faults),
-            Step::Outage(after_ms, long_ms) => {
+            Step::InjectFaults(faults) => self.faulty.faults.lock().unwrap().extend(faults),
+            Step::Outage(after_ms, duration_ms) => {
                 let kv = self.kv.clone();
                 tokio::spawn(async move {
                     sleep(Duration::from_millis(after_ms)).await;
                     kv.set_down(true);
-                    sleep(Duration::from_millis(long_ms)).await;
+                    sleep(Duration::from_millis(duration_ms)).await;
                     kv.set_down(false);
                 });
             }
-            Step::Ask => self.told.resolve(&self.store).await,
+            Step::QueryUnknown => self.reported.resolve_unknown(&self.store).await,
         }
     }
 
     async fn apply(&mut self, names: Vec<u8>) {
         let mut tasks = Vec::new();
         for (number, name) in names.into_iter().enumerate() {
-            self.value += 1;
-            let edits = vec![edit(name, self.value)];
+            self.last_value += 1;
+            let edits = vec![edit(name, self.last_value)];
             let applying = apply(self.store.clone(), self.replicas[number].clone(), edits);
-            tasks.push((number, name, self.value, tokio::spawn(applying)));
+            tasks.push((number, name, self.last_value, tokio::spawn(applying)));
         }
         for (number, name, value, task) in tasks {
             let (replica, applied) = task.await.unwrap();
             assert!(replica.revision() >= self.replicas[number].revision());
             self.replicas[number].replace_if_newer(replica);
             match applied {
-                Ok(Applied::Accepted(change)) => self.told.accept(change.revision(), name, value),
-                Ok(Applied::Unchanged) => panic!("each value is new"),
-                Err(ApplyError::Unknown { id, .. }) => self.told.unknown.push((id, name, value)),
+                Ok(Applied::Accepted(change)) => {
+                    self.reported.record_accepted(change.revision(), name, value)
+                }
+                Ok(Applied::Unchanged) => panic!("a new value was reported as unchanged"),
+                Err(ApplyError::Unknown { id, .. }) => {
+                    self.reported.unknown.push((id, name, value))
+                }
                 Err(_) => {}
             }
         }
     }
 
-    /// Ends all faults, then compares.
-    async fn settle(mut self) {
+    /// Ends all faults, resolves unknown outcomes and compares.
+    async fn finish(mut self) {
         sleep(Duration::from_secs(30)).await;
         self.kv.set_down(false);
-        self.struck.faults.lock().unwrap().clear();
-        self.told.resolve(&self.store).await;
-        assert!(self.told.unknown.is_empty(), "{:?}", self.told.unknown);
-        // Whatever is still on its way arrives.
+        self.faulty.faults.lock().unwrap().clear();
+        self.reported.resolve_unknown(&self.store).await;
+        assert!(self.reported.unknown.is_empty(), "{:?}", self.reported.unknown);
+        // All delayed writes arrive.
         sleep(Duration::from_secs(60)).await;
-        for id in &self.told.not_accepted {
+        for id in &self.reported.not_accepted {
             assert_eq!(self.store.change_state(*id).await, Ok(ChangeState::NotAccepted));
         }
         self.compare().await;
     }
 
     async fn compare(&self) {
-        let told = self.told.accepted.values();
+        let accepted = self.reported.accepted.values();
         let expected: BTreeMap<_, _> =
-            told.map(|(name, value)| (format!("w{name}"), Some(*value))).collect();
+            accepted.map(|(name, value)| (format!("w{name}"), Some(*value))).collect();
         let fresh = self.store.load().await.unwrap();
         let found = fresh.documents().workspaces.iter().map(|(name, stored)| {
             let limits = stored.document.overrides.limits.as_ref();
@@ -287,9 +300,9 @@
         ..ProptestConfig::default()
     })]
 
-    // Whatever fails, and in whatever order, an operator is never told something that is not so.
+    // Under any combination and order of faults, no operator may be told a wrong outcome.
     #[test]
-    fn apply_tells_the_truth(steps in prop::collection::vec(step(), 1..24)) {
+    fn apply_reports_true_outcomes(steps in prop::collection::vec(step(), 1..24)) {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_time()
             .start_paused(true)
@@ -300,7 +313,7 @@
             for step in steps {
                 run.step(step).await;
             }
-            run.settle().await;
+            run.finish().await;
         });
     }
 }
--- a/crates/config/tests/settings.rs
+++ b/crates/config/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files: what is accepted, and how errors name their place.
+//! Parsing of settings files: accepted values, and the position or field in errors.
 
 use flamingowheel_config::problem::Reason;
 use flamingowheel_config::settings::{BackendServerKind, Role, Settings, SettingsError};
@@ -60,8 +60,8 @@
 
 #[test]
 fn parse_unknown_field_names_line() {
-    // A misspelt field that is skipped in silence leaves its default in force, and nobody
-    // notices until the limit that was meant does not hold.
+    // If a misspelt field were ignored, its default would stay in force unnoticed, and the intended
+    // limit would not hold.
     let error = parse(&[COMMON, ENTRY, "entry:\n  max_body_byte: 5\n"]).unwrap_err();
     let SettingsError::Syntax { line, column, .. } = &error else { panic!("{error:?}") };
     assert_eq!((*line, *column), (12, 3));
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn parse_secret_from_two_places() {
+fn parse_secret_with_two_sources_or_unreadable_file() {
     let text = COMMON.replace("{ inline: 0123456789abcdef }", "{ inline: a, file: b }");
     assert_eq!(problems(&[&text, ENTRY]), [("fleet_key.inline".to_owned(), Reason::Unexpected)]);
     let text = COMMON.replace("{ inline: 0123456789abcdef }", "{ file: no/such/file }");
@@ -108,7 +108,8 @@
     assert!(!shown.contains("0123456789abcdef") && !shown.contains("fedcba9876543210"), "{shown}");
 }
 
-// An alias that stands for nothing makes the parser panic; the daemon must say what is wrong.
+// The YAML parser panics on an alias without an anchor. The daemon must report an error instead of
+// crashing.
 #[test]
 fn parse_alias_without_anchor() {
     let broken = COMMON.replace("['127.0.0.1:2379']", "[*a]");
@@ -130,9 +131,9 @@
     let settings = parse(&[COMMON, ENTRY, STORE]).unwrap();
     let Role::Entry(entry) = settings.role else { panic!("not an entry") };
     assert_eq!(entry.weight_store.unwrap().max_members, 380);
-    let none = STORE.replace("max_members: 380", "max_members: 0");
-    assert_eq!(problems(&[COMMON, ENTRY, &none])[0].0, "entry.weight_store.max_members");
-    let unknown = STORE.replace("expert_bytes", "expert_byte");
-    let error = parse(&[COMMON, ENTRY, &unknown]).unwrap_err();
+    let zero_members = STORE.replace("max_members: 380", "max_members: 0");
+    assert_eq!(problems(&[COMMON, ENTRY, &zero_members])[0].0, "entry.weight_store.max_members");
+    let misspelt = STORE.replace("expert_bytes", "expert_byte");
+    let error = parse(&[COMMON, ENTRY, &misspelt]).unwrap_err();
     assert!(matches!(error, SettingsError::Syntax { line: 15, .. }), "{error}");
 }
--- a/crates/config/tests/store.rs
+++ b/crates/config/tests/store.rs
@@ -1,4 +1,4 @@
-//! Changes through the key-value service, with its faults.
+//! Changes written through the key-value service, with and without faults of the service.
 
 use flamingowheel_backing::BoxFuture;
 use flamingowheel_backing::fake::{FakeKeyValue, LostAnswer};
@@ -23,22 +23,22 @@
 
 type Fault = fn(&FakeKeyValue);
 
-/// A key-value service whose next write is struck by a fault.
-struct StruckWrite {
+/// A key-value service that injects a fault before the next write.
+struct FaultyKeyValue {
     kv: FakeKeyValue,
     fault: Mutex<Option<Fault>>,
 }
 
-impl KeyValue for StruckWrite {
+impl KeyValue for FaultyKeyValue {
     fn transact(
         &self,
         transaction: Transaction,
     ) -> BoxFuture<'_, Result<TransactionAnswer, KeyValueError>> {
         let writes = |operation: &Operation| matches!(operation, Operation::Put { .. });
         if transaction.on_success.iter().any(writes)
-            && let Some(strike) = self.fault.lock().unwrap().take()
+            && let Some(inject) = self.fault.lock().unwrap().take()
         {
-            strike(&self.kv);
+            inject(&self.kv);
         }
         self.kv.transact(transaction)
     }
@@ -78,18 +78,18 @@
         Self { store: Store::new(Arc::new(kv.clone())), replica: Replica::default() }
     }
 
-    /// An operator whose first write meets a fault.
-    fn struck(&self, kv: &FakeKeyValue, fault: Fault) -> Self {
-        let kv = StruckWrite { kv: kv.clone(), fault: Mutex::new(Some(fault)) };
+    /// An operator with the same replica, whose first write triggers `fault`.
+    fn with_fault(&self, kv: &FakeKeyValue, fault: Fault) -> Self {
+        let kv = FaultyKeyValue { kv: kv.clone(), fault: Mutex::new(Some(fault)) };
         Self { store: Store::new(Arc::new(kv)), replica: self.replica.clone() }
     }
 
     async fn apply(&mut self, text: &str) -> Result<Applied, ApplyError> {
         let seen = self.replica.revision();
-        self.apply_seen(text, seen, Uuid::new_v4()).await
+        self.apply_with(text, seen, Uuid::new_v4()).await
     }
 
-    async fn apply_seen(
+    async fn apply_with(
         &mut self,
         text: &str,
         seen: ConfigRevision,
@@ -101,15 +101,16 @@
         self.store.apply(&mut self.replica, &request).await
     }
 
-    async fn accepted(&mut self, text: &str) -> Arc<Change> {
+    async fn apply_accepted(&mut self, text: &str) -> Arc<Change> {
         match self.apply(text).await.unwrap() {
             Applied::Accepted(change) => change,
-            Applied::Unchanged => panic!("unchanged"),
+            Applied::Unchanged => panic!("the change made no difference"),
         }
     }
 }
 
-fn lose_and_go_down(kv: &FakeKeyValue, lost: LostAnswer) {
+/// Loses the next answer and stops the service 100 ms later.
+fn lose_answer_then_stop(kv: &FakeKeyValue, lost: LostAnswer) {
     kv.lose_answers(1, lost);
     let kv = kv.clone();
     tokio::spawn(async move {
@@ -132,11 +133,11 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn apply_accepted_is_read_by_a_fresh_process() {
+async fn apply_accepted_is_loaded_by_a_new_process() {
     let kv = FakeKeyValue::new();
     let mut operator = Operator::new(&kv);
-    operator.accepted(TEMPLATE).await;
-    operator.accepted(&workspace("bibb", 3)).await;
+    operator.apply_accepted(TEMPLATE).await;
+    operator.apply_accepted(&workspace("bibb", 3)).await;
     let fresh = operator.store.load().await.unwrap();
     assert_eq!(fresh.documents(), operator.replica.documents());
     assert_eq!(fresh.history().count(), 2);
@@ -145,26 +146,26 @@
 
 #[tokio::test(start_paused = true)]
 async fn apply_answer_lost_after_effect() {
-    // The write takes effect and its answer gets lost. Whoever takes that for a failure tells
-    // the operator "not accepted" while the fleet already runs the change.
+    // The write takes effect but its answer is lost. If that counted as a failure, the operator
+    // would be told "not accepted" while the fleet already applies the change.
     let kv = FakeKeyValue::new();
     let mut operator = Operator::new(&kv);
-    operator.accepted(TEMPLATE).await;
-    let mut struck = operator.struck(&kv, |kv| kv.lose_answers(2, LostAnswer::AfterEffect));
-    let change = struck.accepted(&workspace("bibb", 3)).await;
+    operator.apply_accepted(TEMPLATE).await;
+    let mut faulty = operator.with_fault(&kv, |kv| kv.lose_answers(2, LostAnswer::AfterEffect));
+    let change = faulty.apply_accepted(&workspace("bibb", 3)).await;
     assert_eq!(change.revision(), ConfigRevision(2));
     assert_eq!(operator.store.head().await.unwrap().head.change, Some(change.id));
 }
 
 #[tokio::test(start_paused = true)]
-async fn apply_write_arrives_after_the_answer_was_awaited() {
-    // The service is slower than the writer waits: the write takes effect when the writer has
-    // given up on it already. The operator must hear "accepted" or "unknown", never "not".
+async fn apply_write_takes_effect_after_the_timeout() {
+    // The service is slower than the writer's timeout, so the write takes effect after the writer
+    // gave up on it. The outcome must be "accepted" or "unknown", never "not accepted".
     let kv = FakeKeyValue::new();
     let mut operator = Operator::new(&kv);
-    operator.accepted(TEMPLATE).await;
-    let mut struck = operator.struck(&kv, |kv| kv.set_delay(Duration::from_millis(1_200)));
-    let outcome = struck.apply(&workspace("bibb", 3)).await;
+    operator.apply_accepted(TEMPLATE).await;
+    let mut faulty = operator.with_fault(&kv, |kv| kv.set_delay(Duration::from_millis(1_200)));
+    let outcome = faulty.apply(&workspace("bibb", 3)).await;
     kv.set_delay(Duration::ZERO);
     tokio::time::sleep(Duration::from_secs(2)).await;
     let head = operator.store.head().await.unwrap().head;
@@ -179,18 +180,18 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn apply_outage_in_the_middle_is_unknown_until_asked() {
-    // The service goes away right after the write was sent, and stays away. The operator gets an
-    // id and asks again later; by then the answer is certain, and it stays so.
+async fn apply_outage_after_the_write_is_unknown_until_queried() {
+    // The service stops right after the write was sent and stays down, so the outcome is unknown.
+    // A later query by the change's id must return the final state, and the same state again.
     let faults: [(LostAnswer, Fault); 2] = [
-        (LostAnswer::AfterEffect, |kv| lose_and_go_down(kv, LostAnswer::AfterEffect)),
-        (LostAnswer::BeforeEffect, |kv| lose_and_go_down(kv, LostAnswer::BeforeEffect)),
+        (LostAnswer::AfterEffect, |kv| lose_answer_then_stop(kv, LostAnswer::AfterEffect)),
+        (LostAnswer::BeforeEffect, |kv| lose_answer_then_stop(kv, LostAnswer::BeforeEffect)),
     ];
     for (lost, fault) in faults {
         let kv = FakeKeyValue::new();
         let mut operator = Operator::new(&kv);
-        operator.accepted(TEMPLATE).await;
-        let outcome = operator.struck(&kv, fault).apply(&workspace("bibb", 3)).await;
+        operator.apply_accepted(TEMPLATE).await;
+        let outcome = operator.with_fault(&kv, fault).apply(&workspace("bibb", 3)).await;
         let Err(ApplyError::Unknown { id, .. }) = outcome else { panic!("{lost:?} {outcome:?}") };
         kv.set_down(false);
         let expected = match lost {
@@ -207,13 +208,13 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn change_state_voids_a_write_still_on_its_way() {
-    // A copy of the write is held up on the network. The operator asks, hears "not accepted" and
-    // goes home; then the copy arrives. It must have no effect.
+async fn change_state_voids_a_delayed_write() {
+    // A copy of the write is delayed by the network and arrives after a query for the change's
+    // state returned "not accepted". It must have no effect.
     let kv = FakeKeyValue::new();
     let mut operator = Operator::new(&kv);
-    operator.accepted(TEMPLATE).await;
-    let mut late = operator.struck(&kv, |kv| kv.set_delay(Duration::from_secs(60)));
+    operator.apply_accepted(TEMPLATE).await;
+    let mut late = operator.with_fault(&kv, |kv| kv.set_delay(Duration::from_secs(60)));
     let outcome = late.apply(&workspace("bibb", 3)).await;
     let Err(ApplyError::Unknown { id, .. }) = outcome else { panic!("{outcome:?}") };
     kv.set_delay(Duration::ZERO);
@@ -224,37 +225,37 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn apply_voided_while_it_is_tried_again() {
-    // The tool asks for the outcome while the entry still tries. It was told "not accepted", so
-    // the entry must not go on and have the change accepted after all.
+async fn apply_voided_while_it_is_retried() {
+    // The tool queries the outcome while the entry still retries the write, and is told "not
+    // accepted". The entry's retry must not get the change accepted after that.
     let kv = FakeKeyValue::new();
     let mut operator = Operator::new(&kv);
-    operator.accepted(TEMPLATE).await;
+    operator.apply_accepted(TEMPLATE).await;
     let (uuid, seen) = (Uuid::new_v4(), operator.replica.revision());
-    let mut struck = operator.struck(&kv, |kv| kv.lose_answers(1, LostAnswer::BeforeEffect));
+    let mut faulty = operator.with_fault(&kv, |kv| kv.lose_answers(1, LostAnswer::BeforeEffect));
     let text = workspace("bibb", 3);
-    let applying = struck.apply_seen(&text, seen, uuid);
-    let asking = async {
+    let applying = faulty.apply_with(&text, seen, uuid);
+    let querying = async {
         tokio::time::sleep(Duration::from_millis(100)).await;
         let id = ChangeId { revision: seen.next(), uuid };
         operator.store.change_state(id).await
     };
-    let (applied, state) = tokio::join!(applying, asking);
+    let (applied, state) = tokio::join!(applying, querying);
     assert_eq!(state, Ok(ChangeState::NotAccepted));
     assert_eq!(applied, Err(ApplyError::Voided));
     assert_eq!(priority(&operator.store.load().await.unwrap(), "bibb"), None);
 }
 
 #[tokio::test(start_paused = true)]
-async fn apply_racing_operators() {
-    // Two operators look at the same revision and change the same workspace through different
-    // entries. The later one would undo the earlier one's change without either noticing.
+async fn apply_concurrent_edits_conflict() {
+    // Two operators read the same revision and change the same workspace through different
+    // entries. Without the check the later change would silently overwrite the earlier one.
     let kv = FakeKeyValue::new();
     let mut ana = Operator::new(&kv);
-    ana.accepted(&format!("{TEMPLATE}---\n{}", workspace("bibb", 3))).await;
+    ana.apply_accepted(&format!("{TEMPLATE}---\n{}", workspace("bibb", 3))).await;
     let mut ben = Operator::new(&kv);
     ben.replica = ana.store.load().await.unwrap();
-    let first = ana.accepted(&workspace("bibb", 4)).await;
+    let first = ana.apply_accepted(&workspace("bibb", 4)).await;
     let Err(ApplyError::Conflict(conflicts)) = ben.apply(&workspace("bibb", 5)).await else {
         panic!("no conflict")
     };
@@ -262,34 +263,39 @@
     let differs = conflicts[0].differs.clone().unwrap().fields;
     assert_eq!(differs[0].field, "overrides.priority");
     assert_eq!((&differs[0].before, &differs[0].after), (&Some(4.into()), &Some(5.into())));
-    // Having seen it, he may decide; and what others do elsewhere is no conflict.
-    ana.accepted(&workspace("jones", 1)).await;
+    // The refused attempt brought ben's replica up to date, so a second attempt is accepted.
+    // Changes to other workspaces don't conflict.
+    ana.apply_accepted(&workspace("jones", 1)).await;
     assert!(matches!(ben.apply(&workspace("bibb", 5)).await, Ok(Applied::Accepted(_))));
 }
 
 #[tokio::test(start_paused = true)]
-async fn apply_racing_removal_of_the_template() {
-    // One operator removes a template just when another creates its first workspace.
+async fn apply_concurrent_removal_of_the_template() {
+    // One operator removes a template while another creates its first workspace. The workspace must
+    // be refused, or it would be without a template.
     let kv = FakeKeyValue::new();
     let mut ana = Operator::new(&kv);
-    ana.accepted(TEMPLATE).await;
+    ana.apply_accepted(TEMPLATE).await;
     let mut ben = Operator::new(&kv);
     ben.replica = ana.store.load().await.unwrap();
-    ana.accepted("kind: remove\ntemplate: callbox\n").await;
+    ana.apply_accepted("kind: remove\ntemplate: callbox\n").await;
     let refused = ben.apply(&workspace("bibb", 5)).await;
     assert!(matches!(refused, Err(ApplyError::Invalid(_))), "{refused:?}");
 }
 
 #[tokio::test(start_paused = true)]
-async fn apply_many_at_once_all_accepted() {
+async fn apply_concurrent_changes_are_all_accepted() {
     let kv = FakeKeyValue::new();
-    Operator::new(&kv).accepted(TEMPLATE).await;
+    Operator::new(&kv).apply_accepted(TEMPLATE).await;
     kv.set_delay(Duration::from_millis(3));
     let tasks: Vec<_> = (0..8)
         .map(|number| {
             let kv = kv.clone();
             tokio::spawn(async move {
-                Operator::new(&kv).accepted(&workspace(&format!("w{number}"), 1)).await.revision()
+                Operator::new(&kv)
+                    .apply_accepted(&workspace(&format!("w{number}"), 1))
+                    .await
+                    .revision()
             })
         })
         .collect();
@@ -302,33 +308,33 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn apply_sent_again_is_accepted_once() {
-    // The operator's connection breaks before the answer; the tool sends the same change through
-    // another entry. Between the two somebody else has changed the workspace again.
+async fn apply_retried_request_is_accepted_once() {
+    // The operator's connection breaks before the answer, and the tool sends the same request to
+    // another entry. In between another change wrote the workspace. The retry must not revert it.
     let kv = FakeKeyValue::new();
     let mut ana = Operator::new(&kv);
-    ana.accepted(TEMPLATE).await;
+    ana.apply_accepted(TEMPLATE).await;
     let (seen, uuid) = (ana.replica.revision(), Uuid::new_v4());
-    let first = ana.apply_seen(&workspace("bibb", 3), seen, uuid).await.unwrap();
-    ana.accepted(&workspace("bibb", 4)).await;
+    let first = ana.apply_with(&workspace("bibb", 3), seen, uuid).await.unwrap();
+    ana.apply_accepted(&workspace("bibb", 4)).await;
     let mut other = Operator::new(&kv);
-    assert_eq!(other.apply_seen(&workspace("bibb", 3), seen, uuid).await, Ok(first));
+    assert_eq!(other.apply_with(&workspace("bibb", 3), seen, uuid).await, Ok(first));
     assert_eq!(priority(&other.replica, "bibb"), Some(4));
 }
 
 #[tokio::test(start_paused = true)]
-async fn fold_keeps_everything_over_several_rings() {
-    // The log is a ring. A slot that is used again before its change is in the buckets would
-    // lose an accepted change for every process that starts later.
+async fn fold_loses_nothing_when_slots_are_reused() {
+    // The log is a ring. If a slot were reused before its change is folded into the buckets, every
+    // process that starts later would miss an accepted change.
     let kv = FakeKeyValue::new();
     let mut operator = Operator::new(&kv);
-    operator.accepted(TEMPLATE).await;
+    operator.apply_accepted(TEMPLATE).await;
     for number in 0..(2 * LOG_SLOTS + 100) {
         let name = format!("w{}", number % 90);
         if number % 7 == 3 && operator.replica.documents().workspaces.contains_key(&name) {
-            operator.accepted(&format!("kind: remove\nworkspace: {name}\n")).await;
+            operator.apply_accepted(&format!("kind: remove\nworkspace: {name}\n")).await;
         } else if priority(&operator.replica, &name) != Some((number / 90 % 10) as u8) {
-            operator.accepted(&workspace(&name, (number / 90 % 10) as u8)).await;
+            operator.apply_accepted(&workspace(&name, (number / 90 % 10) as u8)).await;
         }
         if number % 50 == 0 {
             let fresh = operator.store.load().await.unwrap();
@@ -336,10 +342,10 @@
         }
         operator.store.fold_if_due(&mut operator.replica).await.unwrap();
     }
-    let entry = operator.store.head().await.unwrap();
+    let current = operator.store.head().await.unwrap();
     assert!(
-        entry.head.revision.0 > 2 * LOG_SLOTS
-            && entry.head.revision.0 - entry.head.folded.0 <= FOLD_THRESHOLD
+        current.head.revision.0 > 2 * LOG_SLOTS
+            && current.head.revision.0 - current.head.folded.0 <= FOLD_THRESHOLD
     );
     let largest = kv.peek(CONFIG_PREFIX).entries.iter().map(|entry| entry.value.len()).max();
     assert!(largest.unwrap() <= MAX_VALUE_BYTES);
@@ -347,35 +353,36 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn fold_left_undone_blocks_no_change() {
-    // Whoever should have folded died each time. The change that finds the ring full folds first.
+async fn fold_missed_does_not_block_changes() {
+    // The processes that accept changes stop before they fold, so the ring fills up. A change that
+    // finds the ring full must fold the log first.
     let kv = FakeKeyValue::new();
     let mut operator = Operator::new(&kv);
-    operator.accepted(TEMPLATE).await;
+    operator.apply_accepted(TEMPLATE).await;
     for number in 0..LOG_SLOTS + 3 {
-        operator.accepted(&workspace("bibb", (number % 2) as u8)).await;
+        operator.apply_accepted(&workspace("bibb", (number % 2) as u8)).await;
     }
     assert_eq!(operator.store.load().await.unwrap().documents(), operator.replica.documents());
 }
 
 #[tokio::test(start_paused = true)]
-async fn fold_paused_writer_reverts_nothing() {
-    // A process stops in the middle of folding and wakes after others folded further. Its bucket
-    // is older than the one stored; if it were written, accepted changes would be gone.
+async fn fold_paused_process_reverts_nothing() {
+    // A process is paused while folding and resumes after others folded further. Its bucket is
+    // older than the stored one; writing it would revert accepted changes.
     let kv = FakeKeyValue::new();
     let mut paused = Operator::new(&kv);
-    paused.accepted(TEMPLATE).await;
+    paused.apply_accepted(TEMPLATE).await;
     paused.store.fold(&mut paused.replica).await.unwrap();
-    paused.accepted(&workspace("bibb", 1)).await;
-    let mut struck = paused.struck(&kv, |kv| kv.set_delay(Duration::from_secs(60)));
-    assert!(struck.store.fold(&mut struck.replica).await.is_err());
+    paused.apply_accepted(&workspace("bibb", 1)).await;
+    let mut faulty = paused.with_fault(&kv, |kv| kv.set_delay(Duration::from_secs(60)));
+    assert!(faulty.store.fold(&mut faulty.replica).await.is_err());
     kv.set_delay(Duration::ZERO);
     let mut other = Operator::new(&kv);
     other.replica = other.store.load().await.unwrap();
-    other.accepted(&workspace("bibb", 7)).await;
-    // Others fill the ring, so that only the bucket still knows.
+    other.apply_accepted(&workspace("bibb", 7)).await;
+    // Fill the ring, so that only the bucket still holds the change of `bibb`.
     for number in 0..LOG_SLOTS {
-        other.accepted(&workspace("jones", (number % 2) as u8)).await;
+        other.apply_accepted(&workspace("jones", (number % 2) as u8)).await;
         other.store.fold_if_due(&mut other.replica).await.unwrap();
     }
     tokio::time::sleep(Duration::from_secs(120)).await;
@@ -386,10 +393,10 @@
 async fn apply_oversized_change() {
     let kv = FakeKeyValue::new();
     let mut operator = Operator::new(&kv);
-    operator.accepted(TEMPLATE).await;
+    operator.apply_accepted(TEMPLATE).await;
     let adapters = (0..2_500).map(|number| format!("adapter-with-a-long-name-{number:036}"));
     let adapters = adapters.collect::<Vec<_>>().join(", ");
-    // Each template fits a change, but all of them share one bucket.
+    // Each template fits into a change, but all templates share one bucket.
     for number in 0..8 {
         let text = format!(
             "kind: template\nname: t{number}\nparameters: {{ models: {{ m: {{ adapters: [{adapters}] }} }} }}\n"
@@ -404,15 +411,15 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn apply_service_restored_from_an_old_copy() {
-    // The service loses accepted changes. A process that follows it would revert them; one that
-    // writes on top would make two histories.
+async fn apply_service_restored_from_an_old_backup() {
+    // The service loses accepted changes. A process that followed it would revert them, and one
+    // that wrote to it would create a second, diverging history.
     let kv = FakeKeyValue::new();
     let mut operator = Operator::new(&kv);
-    operator.accepted(TEMPLATE).await;
-    operator.accepted(&workspace("bibb", 3)).await;
-    let gone = Operation::Delete { key: HEAD_KEY.to_owned() };
-    let transaction = Transaction { on_success: vec![gone], ..Transaction::default() };
+    operator.apply_accepted(TEMPLATE).await;
+    operator.apply_accepted(&workspace("bibb", 3)).await;
+    let delete = Operation::Delete { key: HEAD_KEY.to_owned() };
+    let transaction = Transaction { on_success: vec![delete], ..Transaction::default() };
     kv.transact(transaction).await.unwrap();
     let refused = operator.apply(&workspace("bibb", 4)).await;
     assert!(
