--- a/crates/entry/src/outcome.rs
+++ b/crates/entry/src/outcome.rs
@@ -56,7 +56,7 @@
     #[error("refused: {0}")]
     Refused(Refusal),
     /// The deadline passed before the request started to run.
-    #[error("deadline passed before the request started")]
+    #[error("deadline passed before it started")]
     DeadlinePassed,
     /// The idempotency key could not be bound, so nothing was sent.
     #[error("key-value service unavailable, so the idempotency key can't be checked")]
@@ -68,9 +68,7 @@
     #[error("the idempotency key was used for another request")]
     KeyMismatch,
     /// The ticket's agent process shut down, and its archive shows that the ticket never ran.
-    #[error(
-        "the agent process that the ticket names shut down without running it; request a new ticket"
-    )]
+    #[error("the process that holds the ticket ended without running it; take a new ticket")]
     HomeEnded,
 }
 
@@ -81,19 +79,19 @@
     #[error("body is not a chat completion request")]
     Body,
     /// A header's value can't be parsed.
-    #[error("header {0} can't be parsed")]
+    #[error("header {0} can't be read")]
     Header(&'static str),
     /// The path has dot segments, empty segments or escapes, which could lead out of its route.
-    #[error("path has dot segments, empty segments or escapes")]
+    #[error("path has dot segments")]
     Path,
     /// The body ended early or was not received in time.
-    #[error("body ended early or was not received in time")]
+    #[error("body incomplete")]
     BodyIncomplete,
     /// A query parameter is missing.
     #[error("query parameter {0} is missing")]
     Query(&'static str),
     /// The stream token is malformed or not signed by this fleet.
-    #[error("stream token is not valid")]
+    #[error("stream token can't be read")]
     StreamToken,
 }
 
@@ -130,14 +128,14 @@
     #[error("the agent process that had the request is gone")]
     AgentReplaced,
     /// The deadline passed while the attempt may have been running.
-    #[error("deadline passed while the request may have been running")]
+    #[error("deadline passed while it may have been running")]
     DeadlinePassed,
     /// The agent has no record of the stream any more.
-    #[error("the agent no longer has the stream: {0}")]
+    #[error("the stream is no longer there: {0}")]
     StreamGone(Refusal),
     /// The agent process that the ticket names (its home) is gone or has dropped the ticket's
     /// record, so earlier attempts under the ticket may have run.
-    #[error("the agent process that the ticket names can't say whether the ticket ran: {0}")]
+    #[error("the process that holds the ticket's record can't tell: {0}")]
     TicketHome(Refusal),
 }
 
