--- a/crates/control/benches/config.rs
+++ b/crates/control/benches/config.rs
@@ -1,7 +1,8 @@
-//! What the configuration costs at the size to design for. Prints `name=value` lines.
+//! Cost of the configuration at the planned fleet size. Prints `name=value` lines.
 //!
-//! `cargo bench --bench config` takes about a minute. Times of processor are of this machine;
-//! times in force are of the paused clock over links with a set delay.
+//! `cargo bench --bench config` takes about a minute. Processor times are those of the machine it
+//! runs on. Times until a change is in force are simulated: they are measured on tokio's paused
+//! clock over links with a fixed delay.
 
 #![allow(clippy::print_stdout, reason = "a bench reports on standard output")]
 
@@ -31,14 +32,14 @@
 const DAY_S: f64 = 86_400.0;
 const ENTRIES: usize = 380;
 const DATA_CENTRES: usize = 5;
-/// One way within a region.
+/// One-way delay within a region.
 const NEAR_DELAY: Duration = Duration::from_micros(500);
-/// One way between regions; an assumption.
+/// One-way delay between regions; an assumption.
 const FAR_DELAY: Duration = Duration::from_millis(40);
-/// One call of the key-value service; an assumption.
+/// Duration of one call of the key-value service; an assumption.
 const CALL_DELAY: Duration = Duration::from_millis(5);
 const CHANGES_PER_BATCH: usize = 500;
-/// Changes measured one by one.
+/// Number of changes whose cost is measured.
 const MEASURED_CHANGES: usize = 600;
 const IN_FORCE_CHANGES: usize = 24;
 
@@ -77,7 +78,7 @@
     }
 }
 
-/// One in ten overrides its limits.
+/// Creates a workspace; one in ten overrides its limits.
 fn workspace_of(number: usize, in_flight: u32) -> Workspace {
     let name = format!("workspace-{number:05}");
     let limits = Limits { in_flight: Some(in_flight), ..Limits::default() };
@@ -158,8 +159,8 @@
     kv.set_delay(Duration::ZERO);
 }
 
-/// Bytes of one replica with its resolved workspaces: the slope over several, since the first
-/// ones fill what the bench itself had freed.
+/// Bytes of one replica with its resolved workspaces: the mean growth over several replicas, after
+/// some that reuse memory which the bench itself had freed.
 async fn memory_of_one(store: &Store) -> f64 {
     const WARM: usize = 6;
     const MEASURED: usize = 6;
@@ -176,11 +177,11 @@
     resident_bytes().saturating_sub(resident) as f64 / MEASURED as f64
 }
 
-/// One workspace changes at a time, as operators do.
+/// Cost of changes of one workspace each, as operators make them.
 async fn change_costs(kv: &FakeKeyValue, store: &Store, replica: &mut Replica) {
     let calls = kv.calls().total();
-    let (mut taking, mut putting, mut bytes) = (Duration::ZERO, Duration::ZERO, 0);
-    let mut accepting = Duration::ZERO;
+    let (mut advance_time, mut resolve_time, mut bytes) = (Duration::ZERO, Duration::ZERO, 0);
+    let mut accept_time = Duration::ZERO;
     let mut other = replica.clone();
     let mut effective = EffectiveConfig::new(other.documents());
     let mut folded_bytes = 0;
@@ -188,7 +189,7 @@
         let edit = Edit::PutWorkspace(workspace_of(number * 10, 9 + number as u32));
         let start = Instant::now();
         let change = accept(store, replica, vec![edit]).await;
-        accepting += start.elapsed();
+        accept_time += start.elapsed();
         let stored = encode(&*change);
         bytes += stored.len();
         let before = kv.peek(BUCKET_PREFIX).revision;
@@ -200,20 +201,21 @@
         let received: Change = serde_json::from_slice(&stored).expect("just encoded");
         let received = Arc::new(received);
         other.advance(Arc::clone(&received)).expect("the next revision");
-        taking += start.elapsed();
+        advance_time += start.elapsed();
         let start = Instant::now();
         effective = effective.with_edits(other.documents(), &received.edits);
-        putting += start.elapsed();
+        resolve_time += start.elapsed();
     }
     let per_change = |total: f64| total / MEASURED_CHANGES as f64;
     let calls = (kv.calls().total() - calls) as f64;
     print("change_bytes", format!("{:.0}", per_change(bytes as f64)));
     print("change_fold_bytes", format!("{:.0}", per_change(folded_bytes as f64)));
-    print("change_accept_processor_ms", format!("{:.2}", per_change(millis_f64(accepting))));
-    print("change_take_processor_ms", format!("{:.3}", per_change(millis_f64(taking))));
-    print("change_resolve_processor_ms", format!("{:.2}", per_change(millis_f64(putting))));
+    print("change_accept_processor_ms", format!("{:.2}", per_change(millis_f64(accept_time))));
+    print("change_take_processor_ms", format!("{:.3}", per_change(millis_f64(advance_time))));
+    print("change_resolve_processor_ms", format!("{:.2}", per_change(millis_f64(resolve_time))));
     print("change_service_calls", format!("{:.2}", per_change(calls)));
-    let share = per_change(millis_f64(taking + putting)) * CHANGES_A_DAY / DAY_S / 1_000.0;
+    let share =
+        per_change(millis_f64(advance_time + resolve_time)) * CHANGES_A_DAY / DAY_S / 1_000.0;
     print("changes_core_share", format!("{share:.5}"));
     let start = Instant::now();
     std::hint::black_box(EffectiveConfig::new(other.documents()));
@@ -232,9 +234,9 @@
     print("data_centres", DATA_CENTRES);
     print("watches", fleet.kv.open_watches());
     in_force(&fleet, "in_force").await;
-    steady(&fleet).await;
-    deaf(&fleet).await;
-    down(&mut fleet).await;
+    steady_state(&fleet).await;
+    stalled_watches(&fleet).await;
+    start_during_outage(&mut fleet).await;
 }
 
 async fn in_force(fleet: &Fleet, name: &str) {
@@ -248,7 +250,7 @@
     print(&format!("{name}_max_ms"), millis(times[times.len() - 1]));
 }
 
-/// From the operator's request until the last entry has it.
+/// Applies a change and returns the time from the operator's request until every entry has it.
 async fn change_everywhere(fleet: &Fleet, entry: &Entry, number: usize) -> Duration {
     let start = tokio::time::Instant::now();
     let next = fleet.kv_revision() + 1;
@@ -258,11 +260,11 @@
     start.elapsed()
 }
 
-/// Calls and bytes with changes at their mean rate.
-async fn steady(fleet: &Fleet) {
+/// Calls of the key-value service and bytes sent, with changes at their mean rate.
+async fn steady_state(fleet: &Fleet) {
     const STEADY: Duration = Duration::from_secs(97);
     let calls = fleet.kv.calls().total();
-    fleet.network.measure();
+    fleet.network.start_measuring();
     let (start, processor) = (tokio::time::Instant::now(), Instant::now());
     let mut number = 0;
     while start.elapsed() < STEADY {
@@ -273,26 +275,26 @@
     }
     let seconds = start.elapsed().as_secs_f64();
     let calls = (fleet.kv.calls().total() - calls) as f64;
-    // All entries run on this one thread, the simulated links included.
+    // All entries and the simulated links run on this thread.
     let share = processor.elapsed().as_secs_f64() / seconds / ENTRIES as f64;
     print("steady_core_share", format!("{share:.5}"));
     print("steady_changes_per_s", format!("{:.3}", number as f64 / seconds));
     print("steady_service_calls_per_s", format!("{:.2}", calls / seconds));
-    let mut sent: Vec<u64> = fleet.network.measured().into_values().collect();
+    let mut sent: Vec<u64> = fleet.network.sent_bytes().into_values().collect();
     sent.sort_unstable();
     let rate = |bytes: u64| format!("{:.0}", bytes as f64 / seconds);
     print("steady_sent_bytes_per_s_p50", rate(sent[sent.len() / 2]));
     print("steady_sent_bytes_per_s_max", rate(sent[sent.len() - 1]));
 }
 
-/// All watches go deaf just before each change, which nobody but the service then has.
-async fn deaf(fleet: &Fleet) {
+/// All watches stall just before each change, which only the key-value service then has.
+async fn stalled_watches(fleet: &Fleet) {
     let mut slowest = Duration::ZERO;
     for number in 0..6 {
         fleet.kv.silence_watches();
         let start = tokio::time::Instant::now();
         let next = fleet.kv_revision() + 1;
-        fleet.apply_and_die(&template((next % 10) as u8)).await;
+        fleet.apply_and_crash(&template((next % 10) as u8)).await;
         fleet.until_revision(next, Duration::from_secs(60)).await;
         slowest = slowest.max(start.elapsed());
         tokio::time::sleep(Duration::from_secs(number)).await;
@@ -300,8 +302,8 @@
     print("in_force_deaf_watches_max_ms", millis(slowest));
 }
 
-/// A process starts while the service is down.
-async fn down(fleet: &mut Fleet) {
+/// Time until a process that starts while the key-value service is down can serve.
+async fn start_during_outage(fleet: &mut Fleet) {
     fleet.kv.set_down(true);
     fleet.kill(ENTRIES - 1);
     let start = tokio::time::Instant::now();
@@ -320,7 +322,7 @@
     duration.as_secs_f64() * 1_000.0
 }
 
-/// Resident memory of this process, 0 where it can't be told.
+/// Resident memory of this process, or 0 where `/proc` is not available.
 fn resident_bytes() -> u64 {
     const PAGE_BYTES: u64 = 4_096;
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
--- a/crates/control/src/directory.rs
+++ b/crates/control/src/directory.rs
@@ -1,9 +1,9 @@
 //! The directory: records of all agents of the fleet, replicated between entries.
 //!
 //! The record of an agent is written by an entry that has a link to the agent, or by the entry that
-//! probes a VM which is not known yet. Records are merged by version, so their order of arrival does
-//! not matter. An outdated record only costs a failed attempt to connect: what an agent may run is
-//! decided by its own incarnation, never by a record.
+//! probes a VM which is not known yet. Records are merged by version, so their order of arrival
+//! does not matter. An outdated record only costs a failed attempt to connect: what an agent may
+//! run is decided by its own incarnation, never by a record.
 
 use crate::membership::GONE_RETENTION;
 use flamingowheel_protocol::message::{Hello, Role};
--- a/crates/control/src/duties.rs
+++ b/crates/control/src/duties.rs
@@ -18,8 +18,8 @@
 }
 
 impl Duties {
-    /// Computes the duties of the process that owns `table`. Other processes that are silent or gone
-    /// are left out, so that their duties pass to the rest.
+    /// Computes the duties of the process that owns `table`. Other processes that are silent or
+    /// gone are left out, so that their duties pass to the rest.
     pub fn new(table: &Table) -> Self {
         let own = table.own_record();
         let has_duties =
--- a/crates/control/src/fetch.rs
+++ b/crates/control/src/fetch.rs
@@ -48,8 +48,8 @@
         self.node.advance(changes?, ConfigSource::Peer).map_err(|_| PeerError::Unexpected)
     }
 
-    /// Fetches all buckets. They must be of one revision: with a mix of two, a template's change could
-    /// be in force in only some of its workspaces.
+    /// Fetches all buckets. They must be of one revision: with a mix of two, a template's change
+    /// could be in force in only some of its workspaces.
     async fn fetch_all(&self, peer: SocketAddr) -> Result<(), PeerError> {
         for _ in 0..MAX_SNAPSHOT_ATTEMPTS {
             if let Some(replica) = self.fetch_buckets(peer).await? {
--- a/crates/control/src/membership.rs
+++ b/crates/control/src/membership.rs
@@ -288,8 +288,9 @@
         }
     }
 
-    /// Sets the last-seen time of all members to `now`. After a pause or a partition of this process
-    /// the old times are meaningless, and members get the full timeout before they count as silent.
+    /// Sets the last-seen time of all members to `now`. After a pause or a partition of this
+    /// process the old times are meaningless, and members get the full timeout before they count as
+    /// silent.
     pub fn reset_last_seen(&mut self, now: Instant) {
         self.members.values_mut().for_each(|member| member.last_seen_at = now);
     }
--- a/crates/control/src/pause.rs
+++ b/crates/control/src/pause.rs
@@ -1,7 +1,7 @@
 //! Detection of pauses of this process.
 //!
-//! A VM can be paused for minutes. Until the pause is detected, the process uses a configuration that
-//! may have been replaced and would mark all other processes as silent.
+//! A VM can be paused for minutes. Until the pause is detected, the process uses a configuration
+//! that may have been replaced and would mark all other processes as silent.
 
 use std::time::Duration;
 use tokio::time::Instant;
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -67,7 +67,7 @@
         // The service lost accepted changes, or its data is unusable. This process keeps its
         // configuration; an operator has to decide.
         error => {
-            tracing::error!(%error, "stored configuration unusable, keeping the configuration in force")
+            tracing::error!(%error, "stored configuration unusable, keeping the one in force")
         }
     }
 }
--- a/crates/control/src/synchronizer.rs
+++ b/crates/control/src/synchronizer.rs
@@ -158,7 +158,7 @@
             if from_peers {
                 tracing::warn!(
                     revision = self.node.revision().0,
-                    "key-value service unreachable, started with the highest revision among the peers"
+                    "key-value service unreachable, started with the peers' highest revision"
                 );
                 return;
             }
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet of entries over channels, with faults set by hand.
+//! A fleet of entries in one process over a simulated network, with injected faults.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -33,7 +33,7 @@
 
 pub const TEMPLATE: &str = "kind: template\nname: callbox\n";
 
-/// A template whose priority tells its version.
+/// A template that differs only in its priority.
 pub fn template(priority: u8) -> String {
     format!("kind: template\nname: callbox\nparameters: {{ priority: {priority} }}\n")
 }
@@ -43,7 +43,7 @@
     format!("---\nkind: workspace\nname: {name}\ntemplate: callbox\ntoken_sha256: [{hash}]\n")
 }
 
-/// Messages between entries, by inner address.
+/// A simulated network between entries, addressed by their inner addresses.
 #[derive(Clone)]
 pub struct Network {
     state: Arc<Mutex<NetworkState>>,
@@ -70,16 +70,16 @@
         Self { state: Arc::new(Mutex::new(state)), paused: watch::Sender::default() }
     }
 
-    /// Messages to and from this entry vanish.
+    /// Drops all messages to and from an entry until [`Network::reconnect`].
     pub fn cut(&self, address: SocketAddr) {
         self.state.lock().unwrap().cut.insert(address);
     }
 
-    pub fn mend(&self, address: SocketAddr) {
+    pub fn reconnect(&self, address: SocketAddr) {
         self.state.lock().unwrap().cut.remove(&address);
     }
 
-    /// The entry stands still: it neither asks nor answers, and finds all as it left it.
+    /// Pauses or resumes an entry. A paused entry sends and answers nothing, and keeps its state.
     pub fn pause(&self, address: SocketAddr, paused: bool) {
         self.paused.send_modify(|all| {
             if paused {
@@ -90,36 +90,36 @@
         });
     }
 
-    /// Sets how long a message takes between data centres of different parity, which stand for
-    /// two regions.
+    /// Sets the delay of messages between data centres with odd and with even numbers, which stand
+    /// for two regions.
     pub fn set_far_delay(&self, delay: Duration) {
         self.state.lock().unwrap().far_delay = delay;
     }
 
-    /// Sets how long a message takes otherwise.
+    /// Sets the delay of messages within a region.
     pub fn set_delay(&self, delay: Duration) {
         self.state.lock().unwrap().delay = delay;
     }
 
-    /// Begins to count the bytes that each entry sends, as encoded.
-    pub fn measure(&self) {
+    /// Starts to count the encoded bytes that each entry sends.
+    pub fn start_measuring(&self) {
         self.state.lock().unwrap().measured = Some(HashMap::new());
     }
 
-    /// Bytes sent since, by entry.
-    pub fn measured(&self) -> HashMap<SocketAddr, u64> {
+    /// Bytes sent since [`Network::start_measuring`], by entry.
+    pub fn sent_bytes(&self) -> HashMap<SocketAddr, u64> {
         self.state.lock().unwrap().measured.clone().unwrap_or_default()
     }
 
-    /// Counts a message, unless nobody asked for it.
-    fn count(&self, from: SocketAddr, frame: PeerFrame) {
+    /// Counts the bytes of a message, if measuring was started.
+    fn count_bytes(&self, from: SocketAddr, frame: PeerFrame) {
         if let Some(measured) = &mut self.state.lock().unwrap().measured {
             let bytes = encode(0, std::slice::from_ref(&frame)).unwrap().len();
             *measured.entry(from).or_default() += bytes as u64;
         }
     }
 
-    async fn running(&self, address: SocketAddr) {
+    async fn wait_while_paused(&self, address: SocketAddr) {
         let mut paused = self.paused.subscribe();
         let _ = paused.wait_for(|all| !all.contains(&address)).await;
     }
@@ -133,7 +133,7 @@
         if region(from) == region(to) { state.delay } else { state.far_delay }
     }
 
-    async fn carry(&self, from: SocketAddr, to: SocketAddr) -> Result<Node, PeerError> {
+    async fn deliver(&self, from: SocketAddr, to: SocketAddr) -> Result<Node, PeerError> {
         let delay = self.delay(from, to);
         tokio::time::sleep(delay).await;
         let found = {
@@ -148,33 +148,33 @@
     }
 }
 
-/// The network as one entry sees it.
-struct Port {
+/// The transport of one entry over the simulated network.
+struct EntryTransport {
     network: Network,
     own: SocketAddr,
 }
 
-impl PeerTransport for Port {
+impl PeerTransport for EntryTransport {
     fn ask(
         &self,
         peer: SocketAddr,
         request: PeerRequest,
     ) -> BoxFuture<'_, Result<PeerAnswer, PeerError>> {
         Box::pin(async move {
-            self.network.running(self.own).await;
+            self.network.wait_while_paused(self.own).await;
             let frame = PeerFrame::Request { number: 1, request: request.clone() };
-            self.network.count(self.own, frame);
+            self.network.count_bytes(self.own, frame);
             let (network, own) = (self.network.clone(), self.own);
-            // A task of its own: the peer goes on while the one that asks stands still.
-            let asked = tokio::spawn(async move {
-                let node = network.carry(own, peer).await?;
-                network.running(peer).await;
+            // In a task of its own, so that the peer continues while the requester is paused.
+            let answer = tokio::spawn(async move {
+                let node = network.deliver(own, peer).await?;
+                network.wait_while_paused(peer).await;
                 let answer = node.answer(request).await;
-                network.running(peer).await;
-                network.count(peer, PeerFrame::Answer { number: 1, answer: answer.clone() });
-                network.carry(peer, own).await.map(|_| answer)
+                network.wait_while_paused(peer).await;
+                network.count_bytes(peer, PeerFrame::Answer { number: 1, answer: answer.clone() });
+                network.deliver(peer, own).await.map(|_| answer)
             });
-            asked.await.unwrap_or(Err(PeerError::Unreachable))
+            answer.await.unwrap_or(Err(PeerError::Unreachable))
         })
     }
 }
@@ -212,7 +212,7 @@
     }
 }
 
-/// A fleet with its platform.
+/// A fleet of entries with its key-value service, VM list and network.
 pub struct Fleet {
     pub kv: FakeKeyValue,
     pub vms: FakeVmList,
@@ -221,7 +221,7 @@
 }
 
 impl Fleet {
-    /// Starts `count` entries in `centres` data centres and waits until all know of all.
+    /// Starts `count` entries in `centres` data centres and waits until each knows all others.
     pub async fn start(count: usize, centres: usize) -> Self {
         let mut fleet = Self {
             kv: FakeKeyValue::new(),
@@ -258,7 +258,7 @@
         let node = Node::new(record, Recorder::for_tests(&name));
         let store = Store::new(Arc::new(self.kv.clone()));
         let peers: Arc<dyn PeerTransport> =
-            Arc::new(Port { network: self.network.clone(), own: address });
+            Arc::new(EntryTransport { network: self.network.clone(), own: address });
         let spread = Synchronizer {
             node: node.clone(),
             store: store.clone(),
@@ -277,14 +277,14 @@
         &self.entries[&format!("entry-{number}")]
     }
 
-    /// Stops a process; its address answers nobody.
+    /// Stops a process. Requests to its address fail from then on.
     pub fn kill(&mut self, number: usize) {
         let entry = self.entries.remove(&format!("entry-{number}")).unwrap();
         entry.kill();
         self.network.state.lock().unwrap().nodes.remove(&entry.address);
     }
 
-    /// Waits until all entries are as asked; returns how long it took.
+    /// Waits until `reached` holds for all entries, at most for `limit`. Returns the time it took.
     pub async fn until<F>(&self, limit: Duration, reached: F) -> Duration
     where
         F: Fn(&Entry) -> bool,
@@ -301,15 +301,16 @@
         start.elapsed()
     }
 
-    /// The newest revision in the service, as an observer sees it.
+    /// The newest revision in the key-value service, read without counting as a call.
     pub fn kv_revision(&self) -> u64 {
         let found = self.kv.peek(HEAD_KEY).entries;
         let head = found.first().map(|entry| serde_json::from_slice::<Head>(&entry.value).unwrap());
         head.map_or(0, |head| head.revision.0)
     }
 
-    /// A change by an entry that dies right after, so that nobody has it but the service.
-    pub async fn apply_and_die(&self, text: &str) {
+    /// Writes a change to the key-value service without any entry having it, as if the entry that
+    /// applied it crashed right after.
+    pub async fn apply_and_crash(&self, text: &str) {
         let store = Store::new(Arc::new(self.kv.clone()));
         let mut replica = store.load().await.unwrap();
         let request = request(text, replica.revision());
@@ -321,14 +322,14 @@
     }
 }
 
-/// Drives a future only while the entry is not paused.
+/// Polls a future only while the entry is not paused.
 async fn pausable<F>(network: Network, address: SocketAddr, future: F)
 where
     F: Future<Output = ()>,
 {
     let mut future = pin!(future);
     loop {
-        network.running(address).await;
+        network.wait_while_paused(address).await;
         let mut paused = network.paused.subscribe();
         let pause = paused.wait_for(|all| all.contains(&address));
         let mut pause = pin!(pause);
--- a/crates/control/tests/membership.rs
+++ b/crates/control/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Who is believed to be there, with processes that die, pause or are cut off.
+//! The member table in a fleet of entries, with processes that crash or are partitioned.
 
 mod common;
 
@@ -12,23 +12,24 @@
 use tokio::time::Instant;
 
 #[tokio::test(start_paused = true)]
-async fn death_is_seen_by_all() {
-    // A VM vanishes without a word. Its address must not be given to callers for long.
+async fn crash_is_detected_by_all() {
+    // A VM disappears without notice. Callers must not be given its address for long.
     let mut fleet = Fleet::start(24, 3).await;
     fleet.kill(5);
     let silent = |entry: &common::Entry| entry.state_of("entry-5") == Some(MemberState::Silent);
     let took = fleet.until(Duration::from_secs(12), silent).await;
     assert!(took >= Duration::from_secs(4), "{took:?}");
-    // Silent is not gone: it may be cut off. Only the VM list says that it is gone.
+    // A silent process may only be partitioned. It is gone only if the VM list lacks its VM.
     fleet.vms.remove("vm-5");
     let gone = |entry: &common::Entry| entry.state_of("entry-5") == Some(MemberState::Gone);
     fleet.until(Duration::from_secs(12), gone).await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn death_accuses_nobody_else() {
-    // When a process is gone, others move up in the order and are watched by processes that never
-    // heard them before. Were those called silent, one death would take several out of answers.
+async fn crash_marks_no_other_as_silent() {
+    // When a process crashes, others get new pollers and watchers that have never received anything
+    // from them. If those were marked as silent, one crash would remove several entries from
+    // answers.
     let mut fleet = Fleet::start(24, 2).await;
     for number in 0..8 {
         fleet.kill(number);
@@ -37,15 +38,15 @@
             for entry in fleet.entries.values() {
                 let silent = |member: &MemberView| member.state == MemberState::Silent;
                 let members = entry.node.members();
-                let dead = |name: &str| !fleet.entries.contains_key(name);
-                assert!(members.iter().filter(|m| silent(m)).all(|m| dead(&m.record.name)));
+                let is_stopped = |name: &str| !fleet.entries.contains_key(name);
+                assert!(members.iter().filter(|m| silent(m)).all(|m| is_stopped(&m.record.name)));
             }
         }
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn leave_notice_is_quick() {
+async fn leave_propagates_quickly() {
     let fleet = Fleet::start(24, 3).await;
     fleet.entry(4).node.leave();
     let leaving = |entry: &common::Entry| entry.state_of("entry-4") == Some(MemberState::Leaving);
@@ -55,7 +56,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn vm_list_marks_leaving() {
-    // The platform will take a VM away and tells only its list.
+    // The platform announces the removal of a VM only in the VM list.
     let fleet = Fleet::start(12, 3).await;
     fleet.vms.set_leaving("vm-4");
     let leaving = |entry: &common::Entry| entry.state_of("entry-4") == Some(MemberState::Leaving);
@@ -63,20 +64,20 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn cut_off_process_accuses_nobody_and_comes_back() {
-    // One process loses the network for a minute, and the key-value service with it being down
-    // for all. It hears nobody; were it to call everybody silent, its word would go round once it
-    // is back and empty the address answers.
+async fn partitioned_process_marks_nobody_silent_and_recovers() {
+    // One process loses the network for a minute, while the key-value service is down for all. If
+    // it marked every other process as silent, those updates would propagate once it is back and
+    // empty the address answers.
     let fleet = Fleet::start(18, 2).await;
     fleet.kv.set_down(true);
     tokio::time::sleep(Duration::from_secs(30)).await;
-    // Several in turn: in which order a process hears the others again differs.
+    // Repeated for several processes, since the order in which the others are heard again varies.
     for number in 0..9 {
-        cut_off_and_back(&fleet, number).await;
+        partition_and_reconnect(&fleet, number).await;
     }
 }
 
-async fn cut_off_and_back(fleet: &Fleet, number: usize) {
+async fn partition_and_reconnect(fleet: &Fleet, number: usize) {
     let cut = fleet.entry(number);
     let name = format!("entry-{number}");
     fleet.network.cut(cut.address);
@@ -85,7 +86,7 @@
         assert_eq!(entry.state_of(&name), Some(MemberState::Silent));
     }
     assert!(cut.node.members().iter().all(|member| member.state == MemberState::Live));
-    fleet.network.mend(cut.address);
+    fleet.network.reconnect(cut.address);
     for _ in 0..40 {
         tokio::time::sleep(Duration::from_millis(500)).await;
         for entry in fleet.entries.values() {
@@ -98,13 +99,13 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn two_halves_find_each_other_again() {
-    // A whole data centre is cut off for ten minutes and comes back.
+async fn partition_of_a_data_centre_heals() {
+    // A whole data centre is partitioned for ten minutes and then reconnected.
     let fleet = Fleet::start(16, 2).await;
     let half: Vec<_> = (0..16).filter(|number| number % 2 == 1).collect();
     half.iter().for_each(|number| fleet.network.cut(fleet.entry(*number).address));
     tokio::time::sleep(Duration::from_secs(600)).await;
-    half.iter().for_each(|number| fleet.network.mend(fleet.entry(*number).address));
+    half.iter().for_each(|number| fleet.network.reconnect(fleet.entry(*number).address));
     let all_live = |entry: &common::Entry| {
         entry.node.members().iter().all(|member| member.state == MemberState::Live)
     };
@@ -113,7 +114,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn start_finds_others_by_the_key_value_service() {
-    // All VMs that the settings once named have been replaced.
+    // All VMs that the settings name as seeds have been replaced.
     let mut fleet = Fleet::start(3, 1).await;
     tokio::time::sleep(Duration::from_secs(1)).await;
     fleet.vms.set_down(true);
@@ -123,7 +124,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn start_finds_others_by_the_vm_list() {
-    // The same, with the key-value service down on top: the VM list and the shared port remain.
+    // No seeds, and the key-value service is down: only the VM list and the shared port remain.
     let mut fleet = Fleet::start(3, 1).await;
     fleet.kv.set_down(true);
     fleet.add_with_seeds(3, 1, Vec::new());
@@ -132,11 +133,11 @@
 
 #[tokio::test(start_paused = true)]
 async fn two_groups_that_never_met_join() {
-    // Two halves of a new fleet start at the same moment, each with seeds of its own only, before
-    // any entry is listed. Each would take itself for all there is.
+    // Two halves of a new fleet start at the same moment, each with seeds only in its own half,
+    // before any entry is registered. Neither half knows that the other exists.
     let mut fleet = Fleet::start(0, 1).await;
     fleet.vms.set_down(true);
-    // All have read the list before the first is on it.
+    // With this delay all entries read the registrations before the first one is written.
     fleet.kv.set_delay(Duration::from_millis(100));
     for number in 0..6 {
         let seeds = if number < 2 { Vec::new() } else { vec![record(number % 2, 1).inner] };
@@ -147,23 +148,24 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn quiet_fleet_sends_little() {
-    // Nothing changes, yet now and then processes that do not poll each other compare what they
-    // know. Were they to exchange whole tables, that would cost more than all the rest.
-    const WATCHED: Duration = Duration::from_secs(200);
-    const MOST_BYTES_PER_S: u64 = 1_500;
+async fn idle_fleet_sends_little() {
+    // Nothing changes, yet processes that don't poll each other probe each other periodically. If
+    // they exchanged whole tables, that would cost more than all other traffic.
+    const MEASURED: Duration = Duration::from_secs(200);
+    const MAX_BYTES_PER_S: u64 = 1_500;
     let fleet = Fleet::start(40, 2).await;
     tokio::time::sleep(Duration::from_secs(60)).await;
-    fleet.network.measure();
-    tokio::time::sleep(WATCHED).await;
-    let most = fleet.network.measured().into_values().max().unwrap();
-    assert!(most / WATCHED.as_secs() < MOST_BYTES_PER_S, "{} B/s", most / WATCHED.as_secs());
+    fleet.network.start_measuring();
+    tokio::time::sleep(MEASURED).await;
+    let most = fleet.network.sent_bytes().into_values().max().unwrap();
+    assert!(most / MEASURED.as_secs() < MAX_BYTES_PER_S, "{} B/s", most / MEASURED.as_secs());
 }
 
 #[test]
 fn merge_restarted_process_overrides_its_older_record() {
-    // A process restarts on the same VM. The record of its last start still goes round with a
-    // higher version; as long as that counts, the new one is not seen.
+    // A process restarts on the same VM, while the record of its previous start still circulates
+    // with a higher version. As long as that record takes precedence, peers don't see the new
+    // process.
     let now = Instant::now();
     let mut peer = Table::new(record(1, 1), now);
     let mut old = record(0, 1);
@@ -172,9 +174,9 @@
     peer.merge(MembershipUpdate { records: vec![old], ..MembershipUpdate::default() }, now);
     let mut own = record(0, 1);
     own.incarnation = Incarnation(77);
-    let mut fresh = Table::new(own, now);
-    fresh.merge(peer.updates_after(0), now);
-    peer.merge(fresh.updates_after(0), now);
+    let mut restarted = Table::new(own, now);
+    restarted.merge(peer.updates_after(0), now);
+    peer.merge(restarted.updates_after(0), now);
     let record = &peer.member("entry-0").unwrap().record;
     assert_eq!((record.incarnation, record.state), (Incarnation(77), MemberState::Live));
 }
@@ -208,8 +210,9 @@
 }
 
 #[test]
-fn vm_list_that_lags_takes_nobody_away() {
-    // A new VM is not yet listed, though its process is heard; and an empty list is an error.
+fn apply_vm_list_lagging_removes_nobody() {
+    // A new VM is not yet listed although messages of its process arrive. An empty list is an error
+    // and must not mark silent processes as gone.
     let now = Instant::now();
     let mut table = Table::new(record(1, 1), now);
     table.merge_direct(record(0, 1), now);
@@ -223,8 +226,8 @@
 
 #[test]
 fn expire_leaves_nothing_behind() {
-    // VMs are replaced under new names all the time. What is kept of the old ones would fill the
-    // memory in the end.
+    // VMs are continually replaced under new names. Anything kept of the old ones would leak
+    // memory.
     let now = Instant::now();
     let mut table = Table::new(record(0, 1), now);
     for number in 1..50 {
--- a/crates/control/tests/operators.rs
+++ b/crates/control/tests/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' interface over a fleet, with faults.
+//! The operators' HTTP API of a fleet of entries, with injected faults.
 
 mod common;
 
@@ -85,7 +85,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn apply_names_processes_without_the_change() {
-    // One entry is cut off. The operator must not be told "everywhere" without a word of it.
+    // Guards against reporting "everywhere" while one entry is partitioned and has not answered.
     let fleet = Fleet::start(6, 1).await;
     fleet.network.cut(fleet.entry(4).address);
     let answer = apply(fleet.entry(2), "wait_ms=3000", TEMPLATE).await;
@@ -108,7 +108,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn apply_conflict_shows_what_differs() {
-    // Two operators edit the same template, the second from what he saw before.
+    // Two operators edit the same template, the second one based on an outdated revision.
     let fleet = Fleet::start(2, 1).await;
     apply(fleet.entry(0), "operator=ana", &template(1)).await;
     apply(fleet.entry(0), "operator=ana", &template(2)).await;
@@ -122,8 +122,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn apply_through_an_entry_that_is_behind() {
-    // An entry is cut off from the others and has not heard of the last change. What it tells the
-    // operator must still be the difference to what was accepted, not to what it believes.
+    // An entry is partitioned from the others and lacks the last change. The diff in its answer
+    // must be against the revision that was accepted, not against its own outdated one.
     let fleet = Fleet::start(6, 1).await;
     apply(fleet.entry(0), "", &template(1)).await;
     fleet.until_revision(1, Duration::from_secs(5)).await;
@@ -146,23 +146,24 @@
 
 #[tokio::test(start_paused = true)]
 async fn apply_unknown_is_resolved_by_its_id() {
-    // The answer to the write gets lost and the service goes away right after. The operator is
-    // told that nobody knows, with an id, and later gets the truth by it.
+    // The answer to the write is lost and the service goes down right after. The operator gets an
+    // unknown outcome with the change's id, and the real outcome by that id once the service is
+    // back.
     for (lost, accepted) in [(LostAnswer::AfterEffect, true), (LostAnswer::BeforeEffect, false)] {
         let fleet = Fleet::start(1, 1).await;
-        // Between two reads of its own, which would meet the fault instead.
+        // Starts between two periodic reads of the entry, which would otherwise hit the fault.
         tokio::time::sleep(Duration::from_secs(2)).await;
         let (entry, kv) = (fleet.entry(0), fleet.kv.clone());
         kv.set_delay(Duration::from_millis(40));
-        let strike = tokio::spawn(async move {
-            // The head is being read; the next call is the write.
+        let fault = tokio::spawn(async move {
+            // At this point the head is being read; the next call is the write.
             tokio::time::sleep(Duration::from_millis(20)).await;
             kv.lose_answers(1, lost);
             tokio::time::sleep(Duration::from_millis(100)).await;
             kv.set_down(true);
         });
         let error = refused(entry, "", TEMPLATE).await;
-        strike.await.unwrap();
+        fault.await.unwrap();
         assert_eq!(error.code, ErrorCode::UnknownOutcome, "{error:?}");
         let id = error.change.unwrap();
         let path = format!("/v1/config/changes/{id}");
@@ -217,7 +218,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn status_tells_live_leaving_and_silent() {
+async fn status_shows_live_leaving_and_silent() {
     let fleet = Fleet::start(6, 2).await;
     apply(fleet.entry(0), "", TEMPLATE).await;
     fleet.until_revision(1, Duration::from_secs(5)).await;
--- a/crates/control/tests/synchronizer.rs
+++ b/crates/control/tests/synchronizer.rs
@@ -1,4 +1,5 @@
-//! Configuration in a fleet of entries, with faults of the service and of the network.
+//! Distribution of the configuration in a fleet of entries, with faults of the key-value service
+//! and of the network.
 
 mod common;
 
@@ -8,11 +9,11 @@
 use flamingowheel_config::effective::ConfigRevision;
 use std::time::Duration;
 
-/// What operators are promised.
+/// The time within which a change is in force everywhere, as promised to operators.
 const IN_FORCE_LIMIT: Duration = Duration::from_secs(11);
 
 #[tokio::test(start_paused = true)]
-async fn apply_reaches_everybody() {
+async fn apply_reaches_all_entries() {
     let fleet = Fleet::start(30, 3).await;
     assert!(matches!(fleet.entry(7).apply(TEMPLATE).await, Ok(Applied::Accepted(_))));
     let took = fleet.until_revision(1, IN_FORCE_LIMIT).await;
@@ -20,8 +21,8 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn watch_few_processes_only() {
-    // If every process watched, the service's rate would have to grow with the fleet.
+async fn watch_only_few_processes() {
+    // If every process watched, the load on the key-value service would grow with the fleet.
     let fleet = Fleet::start(30, 3).await;
     tokio::time::sleep(Duration::from_secs(20)).await;
     let before = fleet.kv.calls().total();
@@ -32,28 +33,28 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn watch_goes_deaf() {
-    // All watches stay open and bring nothing any more. Nobody sees an error, and the fleet would
-    // go on with the old configuration for good.
+async fn watch_stalled_is_replaced() {
+    // All watches stay open but deliver no more events. No process sees an error, and the fleet
+    // would keep the old configuration forever.
     let fleet = Fleet::start(12, 3).await;
     fleet.kv.silence_watches();
-    fleet.apply_and_die(TEMPLATE).await;
+    fleet.apply_and_crash(TEMPLATE).await;
     fleet.until_revision(1, IN_FORCE_LIMIT).await;
-    // The deaf ones were replaced, so the next change is quick again.
+    // The stalled watches were replaced, so the next change propagates quickly again.
     tokio::time::sleep(Duration::from_secs(10)).await;
-    fleet.apply_and_die(&template(3)).await;
+    fleet.apply_and_crash(&template(3)).await;
     let took = fleet.until_revision(2, IN_FORCE_LIMIT).await;
     assert!(took < Duration::from_secs(1), "{took:?}");
 }
 
 #[tokio::test(start_paused = true)]
-async fn watch_leaves_out_a_change() {
-    // A watch brings the second of two changes but not the first. Taking it alone would put a
+async fn watch_skips_a_change() {
+    // A watch delivers the second of two changes but not the first. Applying it alone would put a
     // configuration in force that no operator wrote.
     let fleet = Fleet::start(9, 3).await;
     fleet.kv.swallow_events(2);
-    fleet.apply_and_die(TEMPLATE).await;
-    fleet.apply_and_die(&workspace("bibb")).await;
+    fleet.apply_and_crash(TEMPLATE).await;
+    fleet.apply_and_crash(&workspace("bibb")).await;
     fleet.until_revision(2, Duration::from_secs(1)).await;
     for entry in fleet.entries.values() {
         assert!(entry.node.effective().borrow().workspace("bibb").is_some());
@@ -62,8 +63,9 @@
 
 #[tokio::test(start_paused = true)]
 async fn start_while_the_service_is_down() {
-    // A VM is replaced during an outage of the service. Its process has nothing but its peers,
-    // one of which was cut off before the last change. It must take the newest that any has.
+    // A VM is replaced during an outage of the key-value service. The new process has only its
+    // peers, one of which was partitioned before the last change. It must use the newest revision
+    // of any.
     let mut fleet = Fleet::start(6, 1).await;
     fleet.entry(0).apply(TEMPLATE).await.unwrap();
     fleet.until_revision(1, IN_FORCE_LIMIT).await;
@@ -76,24 +78,25 @@
         .await;
     fleet.kv.set_down(true);
     fleet.kill(5);
-    let fresh = fleet.add(6, 1).node.clone();
+    let new_node = fleet.add(6, 1).node.clone();
     tokio::time::sleep(Duration::from_secs(3)).await;
-    assert_eq!(fresh.revision(), ConfigRevision(2));
-    assert!(fresh.may_serve());
-    // It says where that came from, until the service answers again.
-    assert_eq!(fresh.source(), ConfigSource::PeersOnly);
-    // Its peers had answers of the service, but from before it started.
+    assert_eq!(new_node.revision(), ConfigRevision(2));
+    assert!(new_node.may_serve());
+    // It reports peers as the only source until the service answers again.
+    assert_eq!(new_node.source(), ConfigSource::PeersOnly);
+    // Its peers had answers of the service, but only from before the new process started.
     tokio::time::sleep(Duration::from_secs(20)).await;
-    assert_eq!(fresh.source(), ConfigSource::PeersOnly);
+    assert_eq!(new_node.source(), ConfigSource::PeersOnly);
     fleet.kv.set_down(false);
-    fleet.network.mend(fleet.entry(1).address);
+    fleet.network.reconnect(fleet.entry(1).address);
     fleet.until_revision(2, IN_FORCE_LIMIT).await;
     fleet.until(Duration::from_secs(20), |e| e.node.source() == ConfigSource::KeyValue).await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn start_asks_an_older_peer_too() {
-    // The older peer answers last. Taking its word would revert what is in force already.
+async fn adopt_older_replica_changes_nothing() {
+    // At a start, a peer with an older revision may answer last. Using its replica would revert the
+    // revision already in force.
     let fleet = Fleet::start(4, 1).await;
     fleet.entry(0).apply(TEMPLATE).await.unwrap();
     fleet.until_revision(1, IN_FORCE_LIMIT).await;
@@ -107,22 +110,22 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn start_without_anybody_waits() {
-    // Neither the service nor a peer answers. Serving without limits or tokens would be worse
-    // than refusing.
+async fn start_without_peers_and_service_waits() {
+    // Neither the service nor a peer answers. Serving without limits or tokens would be worse than
+    // refusing requests.
     let mut fleet = Fleet::start(1, 1).await;
     fleet.kv.set_down(true);
     fleet.kill(0);
-    let fresh = fleet.add(1, 1).node.clone();
+    let new_node = fleet.add(1, 1).node.clone();
     tokio::time::sleep(Duration::from_secs(30)).await;
-    assert!(!fresh.may_serve());
+    assert!(!new_node.may_serve());
     fleet.kv.set_down(false);
     tokio::time::sleep(Duration::from_secs(2)).await;
-    assert!(fresh.may_serve());
+    assert!(new_node.may_serve());
 }
 
 #[tokio::test(start_paused = true)]
-async fn outage_leaves_everything_in_force() {
+async fn outage_keeps_configuration_in_force() {
     let fleet = Fleet::start(9, 3).await;
     fleet.entry(0).apply(TEMPLATE).await.unwrap();
     fleet.until_revision(1, IN_FORCE_LIMIT).await;
@@ -137,8 +140,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn template_change_is_seen_in_all_workspaces_or_none() {
-    // A template is changed many times while its workspaces are looked at all along. Half of
-    // them under the old limits would be a mix that nobody accepted.
+    // A template is changed many times while its workspaces are read continually. If some of them
+    // still had the old parameters, that would be a mix that no operator accepted.
     let fleet = Fleet::start(6, 2).await;
     let names: Vec<String> = (0..200).map(|number| format!("w{number}")).collect();
     let workspaces: String = names.iter().map(|name| workspace(name)).collect();
@@ -147,49 +150,49 @@
     for version in 0..8 {
         let before = fleet.entry(0).node.revision().0;
         fleet.entry(version % 6).apply(&template(version as u8)).await.unwrap();
-        let mut seen = 0;
+        let mut checked = 0;
         while fleet.entries.values().any(|entry| entry.node.revision().0 <= before) {
             for entry in fleet.entries.values() {
                 let effective = entry.node.effective().borrow().clone();
-                let mut all = effective.workspaces().map(|own| own.parameters.priority);
+                let mut all = effective.workspaces().map(|workspace| workspace.parameters.priority);
                 let first = all.next().unwrap();
                 assert!(all.all(|other| other == first));
-                seen += 1;
+                checked += 1;
             }
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
-        assert!(seen > 0);
+        assert!(checked > 0);
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn pause_is_noticed_before_serving() {
-    // A VM stands still for a minute; meanwhile an operator replaces the configuration. The
-    // process wakes and believes in the old one. For a moment it must refuse rather than serve.
+async fn pause_is_detected_before_serving() {
+    // A VM is paused for a minute, in which an operator replaces the configuration. The process
+    // resumes with the old one and must refuse requests rather than serve them with it.
     let fleet = Fleet::start(6, 1).await;
     fleet.entry(0).apply(TEMPLATE).await.unwrap();
     fleet.until_revision(1, IN_FORCE_LIMIT).await;
     for number in 1..6 {
         let paused = fleet.entry(number);
         fleet.network.pause(paused.address, true);
-        // Its polls are answered meanwhile; the answers, of the old revision, lie ready for it.
+        // Its polls are answered meanwhile; the answers, with the old revision, are queued.
         tokio::time::sleep(Duration::from_millis(1_500)).await;
         let expected = fleet.entry(0).node.revision().next();
         fleet.entry(0).apply(&template(number as u8)).await.unwrap();
         tokio::time::sleep(Duration::from_secs(60)).await;
         assert!(paused.node.revision() < expected);
-        // It can ask nobody for a while after it wakes.
+        // It can reach nobody for a while after it resumes.
         fleet.network.cut(paused.address);
         fleet.kv.set_down(true);
         fleet.network.pause(paused.address, false);
-        // The time in which a process can't know is one tick of its clock.
+        // The pause can't be detected before the next check of the clock.
         tokio::time::sleep(flamingowheel_control::pause::TICK_INTERVAL).await;
         for step in 0..5_000 {
             let stale = paused.node.revision() < expected;
             assert!(!(stale && paused.node.may_serve()), "entry-{number} serves an old revision");
             tokio::time::sleep(Duration::from_millis(1)).await;
             if step == 2_000 {
-                fleet.network.mend(paused.address);
+                fleet.network.reconnect(paused.address);
             }
         }
         fleet.kv.set_down(false);
--- a/crates/control/tests/websocket.rs
+++ b/crates/control/tests/websocket.rs
@@ -1,4 +1,4 @@
-//! Entries over real connections on the loopback interface.
+//! Requests between entries over WebSocket connections on the loopback interface.
 
 mod common;
 
@@ -47,13 +47,13 @@
         let answer = peers.ask(address, PeerRequest::Status).await.unwrap();
         assert!(matches!(answer, PeerAnswer::Status { record, .. } if record.name == "entry-1"));
     }
-    // The peer's process ends while a question is held; whoever waits hears of it.
+    // The peer stops while it holds a heartbeat; the pending request must fail.
     let heartbeat = Node::new(record(0, 1), Recorder::for_tests("entry"))
         .heartbeat(None, Duration::from_secs(10));
     let heartbeat = flamingowheel_protocol::peer::Heartbeat { after: u64::MAX, ..heartbeat };
     let held = peers.ask(address, PeerRequest::Heartbeat(Box::new(heartbeat)));
     let (held, ()) = tokio::join!(held, async {
-        // The peer holds the question as soon as it knows who asks.
+        // The peer has received the heartbeat once the sender is in its member table.
         while node.members().len() < 2 {
             tokio::task::yield_now().await;
         }
@@ -66,14 +66,14 @@
 #[tokio::test]
 async fn ask_without_the_fleet_key() {
     let (address, _node, _stop) = start(1).await;
-    let stranger = WebSocketPeers::new(identity(0, 2));
-    assert_eq!(stranger.ask(address, PeerRequest::Status).await, Err(PeerError::Unreachable));
+    let unauthorized = WebSocketPeers::new(identity(0, 2));
+    assert_eq!(unauthorized.ask(address, PeerRequest::Status).await, Err(PeerError::Unreachable));
 }
 
 #[tokio::test]
 async fn ask_many_keeps_few_connections() {
-    // Each process probes a random member every few seconds. If all those connections stayed
-    // open, their heartbeats would exceed what control may send.
+    // Each process probes a random member every few seconds. If all those connections stayed open,
+    // their heartbeats would exceed the control plane's traffic budget.
     let peers = WebSocketPeers::with_idle_timeout(identity(0, 1), Duration::ZERO);
     let mut stops = Vec::new();
     for number in 1..8 {
@@ -82,14 +82,14 @@
         peers.ask(address, PeerRequest::Status).await.unwrap();
         assert_eq!(peers.open_connections(), 1);
     }
-    // One with a question on its way stays.
+    // A connection with a pending request stays open.
     let (held, node, _stop) = start(8).await;
     let (other, _, _stop) = start(9).await;
     let heartbeat = Node::new(record(0, 1), Recorder::for_tests("entry"))
         .heartbeat(None, Duration::from_millis(50));
     let heartbeat = flamingowheel_protocol::peer::Heartbeat { after: u64::MAX, ..heartbeat };
-    let question = peers.ask(held, PeerRequest::Heartbeat(Box::new(heartbeat)));
-    let (answer, ()) = tokio::join!(question, async {
+    let request = peers.ask(held, PeerRequest::Heartbeat(Box::new(heartbeat)));
+    let (answer, ()) = tokio::join!(request, async {
         while node.members().len() < 2 {
             tokio::task::yield_now().await;
         }
