--- a/crates/control/src/membership.rs
+++ b/crates/control/src/membership.rs
@@ -218,7 +218,7 @@
         }
     }
 
-    /// Records that a message of this process arrived.
+    /// Sets a member's last-seen time to `now`.
     pub fn mark_seen(&mut self, name: &str, now: Instant) {
         if let Some(member) = self.members.get_mut(name) {
             member.last_seen_at = now;
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -71,9 +71,9 @@
     /// Time of the last pause of this process, until the configuration is confirmed again.
     unconfirmed_since: Option<Instant>,
     confirmed_at: Option<Instant>,
-    /// Whether most watched members were unheard at the last check and the key-value service
-    /// did not answer.
-    cut_off: bool,
+    /// Whether this process counted as partitioned at the last check: most watched members were
+    /// overdue and the key-value service did not answer.
+    partitioned: bool,
     /// Members watched at the last check.
     watched: Vec<String>,
     key_value_answered_at: Option<Instant>,
@@ -121,7 +121,7 @@
     pub record: MemberRecord,
     /// State from the record, or `Leaving` if the VM list says so.
     pub state: MemberState,
-    /// Time since the member was last heard directly or its record last changed.
+    /// Time since the last message of the member arrived or its record last changed.
     pub last_seen_ago: Duration,
     /// The revision in force that the member last reported to this process.
     pub revision: ConfigRevision,
@@ -157,7 +157,7 @@
             source: ConfigSource::None,
             unconfirmed_since: None,
             confirmed_at: None,
-            cut_off: false,
+            partitioned: false,
             watched: Vec::new(),
             key_value_answered_at: None,
             started_at: Instant::now(),
@@ -297,8 +297,9 @@
     pub fn apply_heartbeat_answer(&self, answer: HeartbeatAnswer, sent: SentHeartbeat) -> Followup {
         let offered = ConfigRevision(answer.revision);
         let (name, incarnation) = (answer.from.name.clone(), answer.from.incarnation);
-        // Measured from when the heartbeat was sent. Measured from when the answer arrived, two
-        // peers that poll each other would each lose the travel time, and the age would never grow.
+        // Measured from when the heartbeat was sent. If it were measured from the answer's arrival,
+        // each exchange of two peers that poll each other would subtract the travel time, and the
+        // age would never grow.
         let answered_ago = answer.service_answered_ms_ago.map(Duration::from_millis);
         let service_answered = answered_ago.map(|ago| ago + sent.sent_at.elapsed());
         self.update(|state| {
--- a/crates/control/src/node/answers.rs
+++ b/crates/control/src/node/answers.rs
@@ -79,7 +79,7 @@
     /// Notifies the synchronizer if a peer that polls this process has a newer revision.
     ///
     /// This happens if the peer accepted an operator's change and the key-value service failed
-    /// before its watchers received it. Without the notification the polled processes would lack
+    /// before the watchers received it. Without the notification the polled processes would lack
     /// the change until the service is back.
     fn notify_if_newer(&self, name: &str, revision: ConfigRevision) {
         if revision > self.revision() {
--- a/crates/control/src/synchronizer.rs
+++ b/crates/control/src/synchronizer.rs
@@ -68,9 +68,9 @@
 
 impl ProbeResults {
     async fn probe(&mut self, synchronizer: &Synchronizer, peers: Vec<SocketAddr>) {
-        let asked =
+        let probes =
             peers.into_iter().map(|peer| async move { (peer, synchronizer.probe(peer).await) });
-        for (peer, answer) in join_all(asked).await {
+        for (peer, answer) in join_all(probes).await {
             self.any_answered |= answer.is_ok();
             if let Ok(Followup::Fetch(revision)) = answer {
                 self.offers.push((revision, peer));
@@ -166,15 +166,15 @@
         }
     }
 
-    /// Probes the seeds and fetches the highest revision found. Returns whether a configuration was
-    /// fetched.
+    /// Probes the seeds and fetches the highest revision results. Returns whether a configuration
+    /// was fetched.
     async fn probe_seeds(&self) -> bool {
-        let mut found = ProbeResults::default();
-        found.probe(self, seeds::configured_and_registered(self).await).await;
-        if !found.any_answered {
-            found.probe(self, seeds::from_vm_list(self).await).await;
+        let mut results = ProbeResults::default();
+        results.probe(self, seeds::configured_and_registered(self).await).await;
+        if !results.any_answered {
+            results.probe(self, seeds::from_vm_list(self).await).await;
         }
-        let fetched = self.fetch_highest(found).await;
+        let fetched = self.fetch_highest(results).await;
         if fetched {
             self.node.confirm_by_peers(None);
         }
@@ -182,9 +182,9 @@
     }
 
     /// Fetches the highest revision offered. Returns whether a fetch succeeded.
-    async fn fetch_highest(&self, mut found: ProbeResults) -> bool {
-        found.offers.sort_unstable();
-        for (revision, peer) in found.offers.into_iter().rev() {
+    async fn fetch_highest(&self, mut results: ProbeResults) -> bool {
+        results.offers.sort_unstable();
+        for (revision, peer) in results.offers.into_iter().rev() {
             // A lower revision is fetched only if every peer with a higher one failed.
             if self.fetcher().fetch(peer, revision).await.is_ok() {
                 return true;
@@ -200,10 +200,10 @@
         name: &str,
         hold: Duration,
     ) -> Result<Followup, PeerError> {
-        let asked =
+        let sent =
             SentHeartbeat { table_version: self.node.table_version(), sent_at: Instant::now() };
         let heartbeat = self.node.heartbeat(Some(name), hold);
-        self.send_heartbeat(peer, name, heartbeat, asked).await
+        self.send_heartbeat(peer, name, heartbeat, sent).await
     }
 
     async fn send_heartbeat(
@@ -211,7 +211,7 @@
         peer: SocketAddr,
         name: &str,
         heartbeat: Heartbeat,
-        asked: SentHeartbeat,
+        sent: SentHeartbeat,
     ) -> Result<Followup, PeerError> {
         let hold = Duration::from_millis(u64::from(heartbeat.hold_ms));
         let request = PeerRequest::Heartbeat(Box::new(heartbeat));
@@ -221,12 +221,12 @@
         // After a pause of this process an answer from before the pause may already be queued, and
         // `timeout` returns a ready answer even when it is late. Such an answer would confirm a
         // configuration that has been replaced since.
-        if asked.sent_at.elapsed() > limit {
+        if sent.sent_at.elapsed() > limit {
             return Err(PeerError::Timeout);
         }
         let PeerAnswer::Heartbeat(answer) = answer else { return Err(PeerError::Unexpected) };
         let missing = self.node.agents_missing_at_peer(&answer);
-        let followup = self.node.apply_heartbeat_answer(*answer, asked);
+        let followup = self.node.apply_heartbeat_answer(*answer, sent);
         self.send_missing_agents(peer, name, missing).await;
         Ok(followup)
     }
@@ -373,11 +373,11 @@
             if self.node.since_confirmed().is_none_or(|time| time < ISOLATED_AFTER) {
                 continue;
             }
-            let mut found = ProbeResults::default();
-            found
+            let mut results = ProbeResults::default();
+            results
                 .probe(self, self.node.choose_some(&self.other_addresses(), ISOLATED_PROBES))
                 .await;
-            self.fetch_highest(found).await;
+            self.fetch_highest(results).await;
         }
     }
 
@@ -397,9 +397,9 @@
     /// Exchanges updates with a peer only if the digests differ: whole tables between random pairs
     /// would cost more than all other traffic together.
     async fn probe(&self, peer: SocketAddr) -> Result<Followup, PeerError> {
-        let asked = timeout(self.timing.answer_timeout, self.peers.ask(peer, PeerRequest::Status));
+        let status = timeout(self.timing.answer_timeout, self.peers.ask(peer, PeerRequest::Status));
         let PeerAnswer::Status { record, revision, digest } =
-            asked.await.map_err(|_| PeerError::Timeout)??
+            status.await.map_err(|_| PeerError::Timeout)??
         else {
             return Err(PeerError::Unexpected);
         };
@@ -408,10 +408,10 @@
         if digest == self.node.digest() && revision <= self.node.revision().0 {
             return Ok(Followup::None);
         }
-        let asked =
+        let sent =
             SentHeartbeat { table_version: self.node.table_version(), sent_at: Instant::now() };
         let heartbeat = self.node.digest_heartbeat(&name);
-        self.send_heartbeat(peer, &name, heartbeat, asked).await
+        self.send_heartbeat(peer, &name, heartbeat, sent).await
     }
 
     async fn read_vm_list(&self) {
--- a/crates/control/tests/directory.rs
+++ b/crates/control/tests/directory.rs
@@ -30,7 +30,7 @@
     }
 }
 
-fn knows(entry: &Entry, number: usize, incarnation: u64) -> bool {
+fn has_record(entry: &Entry, number: usize, incarnation: u64) -> bool {
     let name = format!("agent-{number}");
     let agents = entry.node.agents();
     agents.iter().any(|agent| agent.name == name && agent.incarnation.0 == incarnation)
@@ -48,7 +48,7 @@
     }
     fleet.until(PROPAGATION_LIMIT, |entry| entry.node.agents().len() == 300).await;
     fleet.entry(3).node.record_agent(address(7), &hello(7, 2));
-    fleet.until(PROPAGATION_LIMIT, |entry| knows(entry, 7, 2)).await;
+    fleet.until(PROPAGATION_LIMIT, |entry| has_record(entry, 7, 2)).await;
     fleet.add(20, 3);
     fleet.until(Duration::from_secs(10), |entry| entry.node.agents().len() == 300).await;
     fleet.entry(5).node.downgrade_agent("agent-9", MemberState::Gone);
@@ -67,7 +67,7 @@
         sleep(Duration::from_secs(1)).await;
         fleet.entry(1).node.record_agent(address(1), &hello(1, 4));
     }
-    fleet.until(PROPAGATION_LIMIT, |entry| knows(entry, 1, 4)).await;
+    fleet.until(PROPAGATION_LIMIT, |entry| has_record(entry, 1, 4)).await;
     let digest = fleet.entry(0).node.digest();
     fleet.until(PROPAGATION_LIMIT, |entry| entry.node.digest() == digest).await;
 }
--- a/crates/control/tests/membership.rs
+++ b/crates/control/tests/membership.rs
@@ -71,7 +71,8 @@
     let fleet = Fleet::start(18, 2).await;
     fleet.kv.set_down(true);
     tokio::time::sleep(Duration::from_secs(30)).await;
-    // Repeated for several processes, since the order in which the others are heard again varies.
+    // Repeated for several processes, since the order in which messages of the others arrive again
+    // varies.
     for number in 0..9 {
         partition_and_reconnect(&fleet, number).await;
     }
