--- a/crates/flamingowheeld/benches/relay.rs
+++ b/crates/flamingowheeld/benches/relay.rs
@@ -1,7 +1,7 @@
-//! What the way through entry and agent costs, against calling the engine directly.
+//! Cost of relaying requests through an entry and an agent, compared with direct calls of the engine.
 //!
 //! One thread runs an entry and two agents; the engines, the platform's stand-ins and the callers
-//! run on others. Prints `name=value` lines. Processor time is that of the relaying threads alone.
+//! run on others. Prints `name=value` lines. CPU time is that of the relaying threads alone.
 
 #![allow(clippy::print_stdout, missing_docs, reason = "a program")]
 
@@ -33,7 +33,7 @@
 const LOAD_CALLERS: usize = 32;
 const LONG_CHUNKS: u64 = 2_000;
 const LONG_CALLERS: usize = 16;
-/// Kernel ticks a second in `/proc/self/task/*/stat`.
+/// Kernel ticks per second in `/proc/self/task/*/stat`.
 const TICKS_PER_S: f64 = 100.0;
 
 fn main() -> Result<(), Box<dyn std::error::Error + Send + Sync>> {
@@ -51,18 +51,18 @@
     let caller = Caller::new(TOKEN);
     latency(&caller, direct).await?;
     latency(&caller, entry).await?;
-    let straight = latency(&caller, direct).await?;
-    let relayed = latency(&caller, entry).await?;
+    let direct_latency = latency(&caller, direct).await?;
+    let relayed_latency = latency(&caller, entry).await?;
     let added = |quantile: f64| {
-        let by = |h: &Histogram<u64>| h.value_at_quantile(quantile) as f64 / 1_000.0;
-        by(&relayed) - by(&straight)
+        let in_ms = |h: &Histogram<u64>| h.value_at_quantile(quantile) as f64 / 1_000.0;
+        in_ms(&relayed_latency) - in_ms(&direct_latency)
     };
-    println!("direct_p50_ms={:.3}", straight.value_at_quantile(0.5) as f64 / 1_000.0);
-    println!("direct_p99_ms={:.3}", straight.value_at_quantile(0.99) as f64 / 1_000.0);
+    println!("direct_p50_ms={:.3}", direct_latency.value_at_quantile(0.5) as f64 / 1_000.0);
+    println!("direct_p99_ms={:.3}", direct_latency.value_at_quantile(0.99) as f64 / 1_000.0);
     println!("added_p50_ms={:.3}", added(0.5));
     println!("added_p99_ms={:.3}", added(0.99));
     let short = load(&caller, entry, "short", LOAD_CALLERS).await?;
-    println!("requests_per_s={:.0}", short.per_s());
+    println!("requests_per_s={:.0}", short.requests_per_s());
     println!("cpu_us_per_request={:.1}", short.cpu_s * 1e6 / short.requests as f64);
     println!("requests_per_core_s={:.0}", short.requests as f64 / short.cpu_s);
     let long = load(&caller, entry, "long", LONG_CALLERS).await?;
@@ -93,7 +93,7 @@
 }
 
 impl Load {
-    fn per_s(&self) -> f64 {
+    fn requests_per_s(&self) -> f64 {
         self.requests as f64 / self.wall_s
     }
 }
@@ -138,7 +138,7 @@
     Ok(())
 }
 
-/// Processor time of the threads that relay: the entry's and agents' traffic and control.
+/// CPU time of the relaying threads: traffic and control of the entry and the agents.
 fn relay_cpu_s() -> Result<f64, Box<dyn std::error::Error + Send + Sync>> {
     let mut ticks = 0;
     for task in std::fs::read_dir("/proc/self/task")? {
@@ -154,7 +154,7 @@
     Ok(ticks as f64 / TICKS_PER_S)
 }
 
-/// Serves an engine of the given number of chunks on a thread of its own.
+/// Starts an engine that answers with the given number of chunks on its own thread.
 fn start_engine(chunks: u64) -> Result<SocketAddr, Box<dyn std::error::Error + Send + Sync>> {
     let (sender, receiver) = std::sync::mpsc::channel();
     std::thread::Builder::new().name("engine".to_owned()).spawn(move || {
--- a/crates/flamingowheeld/src/cli.rs
+++ b/crates/flamingowheeld/src/cli.rs
@@ -1,4 +1,4 @@
-//! What was typed.
+//! Command-line parsing.
 
 use pico_args::Arguments;
 use std::ffi::OsString;
@@ -32,43 +32,43 @@
   3 settings refused  4 address in use   5 the demo failed
 ";
 
-/// What the daemon is asked to do.
+/// What the command line asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Show the help.
+    /// Print the help text.
     Help,
-    /// Show the version.
+    /// Print the version.
     Version,
-    /// Run the role of a settings file.
+    /// Run the entry or agent that a settings file describes.
     Run(PathBuf),
-    /// Run on the platform that the environment names.
+    /// Run with the platform settings file that the environment names.
     Platform,
-    /// Check a settings file.
+    /// Validate a settings file without running anything.
     Check(PathBuf),
-    /// Run the demo.
+    /// Run a demo fleet on loopback.
     Demo {
-        /// Try the promises once and end.
+        /// Run the demo's checks once and exit.
         once: bool,
-        /// The agent of the first work order dies while the order runs.
+        /// Kill the agent of the first work order while the order runs.
         lose_agent: bool,
     },
 }
 
-/// Why the command line is not understood.
+/// Why the command line was rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum UsageError {
-    /// An option lacks its value or has one that can't be read.
+    /// An option lacks its value, or the value can't be parsed.
     #[error("{0}")]
     Option(#[from] pico_args::Error),
-    /// Something that is not an option of the daemon.
+    /// An argument that is no option of the daemon.
     #[error("unknown argument {0:?}")]
     Unknown(OsString),
-    /// Nothing to do was named, or too much.
+    /// No command was given, or options that exclude each other.
     #[error("name exactly one of --settings, --check, --platform and --demo")]
-    NotOne,
+    NotExactlyOne,
 }
 
-/// Reads the arguments.
+/// Parses the arguments into a command.
 pub fn parse(mut arguments: Arguments) -> Result<Command, UsageError> {
     if arguments.contains(["-h", "--help"]) {
         return Ok(Command::Help);
@@ -86,14 +86,14 @@
         return Err(UsageError::Unknown(unknown));
     }
     if platform {
-        let is_alone = run.is_none() && check.is_none() && !demo && !once && !lose_agent;
-        return if is_alone { Ok(Command::Platform) } else { Err(UsageError::NotOne) };
+        let is_only_option = run.is_none() && check.is_none() && !demo && !once && !lose_agent;
+        return if is_only_option { Ok(Command::Platform) } else { Err(UsageError::NotExactlyOne) };
     }
     match (run, check, demo) {
         (Some(file), None, false) if !once && !lose_agent => Ok(Command::Run(file)),
         (None, Some(file), false) if !once && !lose_agent => Ok(Command::Check(file)),
         (None, None, true) if !(once && lose_agent) => Ok(Command::Demo { once, lose_agent }),
-        _ => Err(UsageError::NotOne),
+        _ => Err(UsageError::NotExactlyOne),
     }
 }
 
@@ -101,25 +101,28 @@
 mod tests {
     use super::*;
 
-    fn typed(arguments: &[&str]) -> Result<Command, UsageError> {
+    fn parse_args(arguments: &[&str]) -> Result<Command, UsageError> {
         parse(Arguments::from_vec(arguments.iter().map(OsString::from).collect()))
     }
 
     #[test]
     fn parse_known_commands() {
         let demo = |once, lose_agent| Command::Demo { once, lose_agent };
-        assert_eq!(typed(&["--demo", "--once"]).unwrap(), demo(true, false));
-        assert_eq!(typed(&["--demo", "--lose-agent"]).unwrap(), demo(false, true));
-        assert_eq!(typed(&["--platform"]).unwrap(), Command::Platform);
-        assert_eq!(typed(&["--settings", "a"]).unwrap(), Command::Run("a".into()));
+        assert_eq!(parse_args(&["--demo", "--once"]).unwrap(), demo(true, false));
+        assert_eq!(parse_args(&["--demo", "--lose-agent"]).unwrap(), demo(false, true));
+        assert_eq!(parse_args(&["--platform"]).unwrap(), Command::Platform);
+        assert_eq!(parse_args(&["--settings", "a"]).unwrap(), Command::Run("a".into()));
     }
 
     #[test]
     fn parse_contradictions_refused() {
-        assert!(matches!(typed(&[]), Err(UsageError::NotOne)));
-        assert!(matches!(typed(&["--demo", "--check", "a"]), Err(UsageError::NotOne)));
-        assert!(matches!(typed(&["--check", "a", "--lose-agent"]), Err(UsageError::NotOne)));
-        assert!(matches!(typed(&["--platform", "--demo"]), Err(UsageError::NotOne)));
-        assert!(matches!(typed(&["--dmeo"]), Err(UsageError::Unknown(_))));
+        assert!(matches!(parse_args(&[]), Err(UsageError::NotExactlyOne)));
+        assert!(matches!(parse_args(&["--demo", "--check", "a"]), Err(UsageError::NotExactlyOne)));
+        assert!(matches!(
+            parse_args(&["--check", "a", "--lose-agent"]),
+            Err(UsageError::NotExactlyOne)
+        ));
+        assert!(matches!(parse_args(&["--platform", "--demo"]), Err(UsageError::NotExactlyOne)));
+        assert!(matches!(parse_args(&["--dmeo"]), Err(UsageError::Unknown(_))));
     }
 }
--- a/crates/flamingowheeld/src/demo/caller.rs
+++ b/crates/flamingowheeld/src/demo/caller.rs
@@ -1,4 +1,4 @@
-//! A caller of the demo: one request at a time over HTTP.
+//! HTTP client of the demo and of tests.
 
 use bytes::Bytes;
 use flamingowheel_entry::http::OUTCOME_HEADER;
@@ -13,41 +13,41 @@
 /// Why a call failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// The request could not be sent or answered.
+    /// The request could not be sent, or no head of an answer arrived.
     #[error("request failed: {0}")]
     Send(#[from] hyper_util::client::legacy::Error),
-    /// The body broke off.
-    #[error("answer broke off: {0}")]
+    /// The connection failed within the answer's body.
+    #[error("connection failed within the answer: {0}")]
     Body(#[from] hyper::Error),
-    /// The request can't be built.
+    /// The request is not valid HTTP.
     #[error("request not valid: {0}")]
     Build(#[from] http::Error),
 }
 
-/// A whole answer.
+/// An answer whose body was read to its end.
 #[derive(Clone, Debug)]
 pub struct Reply {
-    /// The status.
+    /// HTTP status code.
     pub status: StatusCode,
-    /// The headers.
+    /// HTTP headers.
     pub headers: HeaderMap,
-    /// The body.
+    /// The complete body.
     pub body: Bytes,
 }
 
 impl Reply {
-    /// The outcome that the answer tells.
+    /// The value of the outcome header, or `none` without such a header.
     pub fn outcome(&self) -> &str {
         self.headers.get(OUTCOME_HEADER).and_then(|value| value.to_str().ok()).unwrap_or("none")
     }
 
-    /// The body as text.
+    /// The body as text; invalid UTF-8 is replaced.
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).into_owned()
     }
 }
 
-/// A caller with a workspace's token. It never sends a request twice by itself.
+/// A client with a bearer token. It never repeats a request.
 #[derive(Clone, Debug)]
 pub struct Caller {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -55,7 +55,7 @@
 }
 
 impl Caller {
-    /// A caller with this token.
+    /// Creates a caller that sends this bearer token.
     pub fn new(token: &str) -> Self {
         let mut builder = Client::builder(TokioExecutor::new());
         builder.retry_canceled_requests(false);
@@ -77,7 +77,7 @@
         Ok(Reply { status: head.status, headers: head.headers, body })
     }
 
-    /// Sends a request and leaves the body of its answer to be read.
+    /// Sends a request and returns its answer with the body still to be read.
     pub async fn open(
         &self,
         method: Method,
--- a/crates/flamingowheeld/src/demo/mod.rs
+++ b/crates/flamingowheeld/src/demo/mod.rs
@@ -1,4 +1,4 @@
-//! A small fleet with stand-ins of everything outside, in one process on loopback.
+//! A small fleet in one process on loopback, with stand-ins for every external service.
 
 pub mod caller;
 pub mod once;
@@ -29,34 +29,34 @@
 use tokio::runtime::{Builder, Runtime};
 use tokio_util::sync::CancellationToken;
 
-/// The workspace that the demo applies.
+/// Name of the demo's workspace.
 pub const WORKSPACE: &str = "peachline";
-/// Its token.
+/// Token of callers of [`WORKSPACE`].
 pub const TOKEN: &str = "peachline-demo-token";
-/// The operators' token of the demo.
+/// Token of operators.
 pub const OPERATORS_TOKEN: &str = "operators-demo-token";
-/// The model.
+/// Model that the engines serve.
 pub const MODEL: &str = "notes";
-/// The service with calls that may not be repeated.
+/// Plain service whose work orders must not run twice.
 pub const SERVICE: &str = "orders";
 
-/// The group whose ranks step together.
+/// Rank group of the engines, which step in lock-step.
 pub const GROUP: &str = "notes-a";
 
 const LAYERS: u16 = 2;
 const EXPERTS: u16 = 8;
 const SLOTS: u16 = 3;
-/// Time between two steps of the stand-in group.
-const STEP: Duration = Duration::from_millis(50);
-/// Tokens of the most popular expert a step; the next has half as many, and so on.
-const MOST_TOKENS: u64 = 512;
+/// Time between two steps of the rank group.
+const STEP_INTERVAL: Duration = Duration::from_millis(50);
+/// Tokens of the most used expert in a step; each following expert has half as many.
+const MAX_EXPERT_TOKENS: u64 = 512;
 
 const ENTRIES: u8 = 2;
 const RANKS: u8 = 4;
 const SERVERS: u8 = 2;
 
-/// A work order whose agent is to die takes this long, and the agent dies half-way.
-const LOST_ORDER_TIME: Duration = Duration::from_secs(2);
+/// Duration of the work order whose agent is killed; the agent is killed half-way.
+const LOST_ORDER_DURATION: Duration = Duration::from_secs(2);
 
 const CONFIGURATION: &str = "\
 kind: template
@@ -80,68 +80,69 @@
 /// Why the demo did not start.
 #[derive(Debug, thiserror::Error)]
 pub enum DemoError {
-    /// A role did not start.
+    /// An entry or agent did not start.
     #[error(transparent)]
     Start(#[from] StartError),
-    /// A stand-in did not start.
+    /// A stand-in or a runtime did not start.
     #[error("stand-in: {0}")]
     Standin(#[from] io::Error),
-    /// The demo's own settings are not accepted.
+    /// The settings that the demo generates are not valid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// The demo's own configuration can't be read.
+    /// The demo's configuration documents can't be parsed.
     #[error("the demo's configuration: {0:?}")]
     Document(Vec<DocumentError>),
-    /// The demo's configuration was not accepted.
+    /// The key-value service or the configuration rules refused the demo's configuration.
     #[error(transparent)]
     Apply(#[from] ApplyError),
-    /// The fleet was not ready in time.
-    #[error("the fleet was not ready within {} s", READY_LIMIT.as_secs())]
+    /// The processes were not all connected and configured in time.
+    #[error("the fleet was not ready within {} s", READY_TIMEOUT.as_secs())]
     NotReady,
-    /// A caller's request failed on its way.
+    /// A caller's request got no complete answer.
     #[error(transparent)]
     Call(#[from] caller::CallError),
 }
 
-/// How long the fleet may take to find itself.
-const READY_LIMIT: Duration = Duration::from_secs(15);
+/// Longest time until all processes are connected and have the configuration.
+const READY_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// The stand-ins and their faults.
+/// The stand-ins; their handles inject faults.
 pub struct Standins {
-    /// The key-value service.
+    /// The key-value service that holds the configuration.
     pub key_value: FakeKeyValue,
-    /// The VM list.
+    /// The list of the fleet's VMs.
     pub vms: FakeVmList,
-    /// The engines, one a rank.
+    /// The engines, one per rank.
     pub engines: Vec<FakeEngine>,
-    /// The engines' group; it notes every step that was run with two maps.
+    /// The engines' group; it records every step that ran with two maps.
     pub group: RankGroup,
-    /// The plain services.
+    /// The backend servers of [`SERVICE`].
     pub services: Vec<FakeService>,
     key_value_address: SocketAddr,
     vms_address: SocketAddr,
     stop: CancellationToken,
 }
 
-/// The whole fleet.
+/// Running entries and agents with their stand-ins.
 pub struct Fleet {
-    /// Everything outside.
+    /// The external services.
     pub standins: Standins,
-    /// The entries.
+    /// The entries, in the order of their names.
     pub entries: Vec<EntryProcess>,
-    /// The agents: those of the engines, then those of the services.
+    /// The agents: first those of the engines, then those of the services.
     pub agents: Vec<AgentProcess>,
-    /// Each agent's own, so that it can die with all that it does.
-    runtimes: Vec<OwnRuntime>,
+    /// One runtime per agent, in the order of `agents`: ending it kills the agent with all its tasks.
+    runtimes: Vec<AgentRuntime>,
     inner_port: u16,
-    /// The inner listeners of processes that are not started yet.
-    held: HashMap<IpAddr, TcpListener>,
+    /// The inner listeners of processes that have not started yet.
+    inner_listeners: HashMap<IpAddr, TcpListener>,
 }
 
-/// A runtime that ends in the background, as an async context may not wait for one.
-struct OwnRuntime(Option<Runtime>);
+/// A runtime that shuts down in the background, because an async context must not block on the
+/// shutdown.
+struct AgentRuntime(Option<Runtime>);
 
-impl OwnRuntime {
+impl AgentRuntime {
     fn start() -> io::Result<Self> {
         Builder::new_multi_thread().worker_threads(1).enable_all().build().map(Some).map(Self)
     }
@@ -153,19 +154,19 @@
     }
 }
 
-impl Drop for OwnRuntime {
+impl Drop for AgentRuntime {
     fn drop(&mut self) {
         self.end();
     }
 }
 
 impl Fleet {
-    /// Starts everything, has the configuration accepted, and waits until it is in force.
+    /// Starts all stand-ins and processes, applies the configuration, and waits until it is in force.
     pub async fn start() -> Result<Self, DemoError> {
-        let (inner_port, held) = ports::hold_same_port(&process_ips()).await?;
+        let (inner_port, inner_listeners) = ports::bind_same_port(&process_ips()).await?;
         let standins = start_standins().await?;
         let (entries, agents, runtimes) = (Vec::new(), Vec::new(), Vec::new());
-        let mut fleet = Self { standins, entries, agents, runtimes, inner_port, held };
+        let mut fleet = Self { standins, entries, agents, runtimes, inner_port, inner_listeners };
         let (group, stop) = (fleet.standins.group.clone(), fleet.standins.stop.clone());
         tokio::spawn(run_group(group, stop));
         fleet.start_agents().await?;
@@ -201,17 +202,17 @@
             self.settings(name, agent_ip(vm), &format!("role: agent\nagent: {kind}\n"))?;
         let sockets = self.sockets(&settings).await?;
         let recorder = recorder(&settings)?;
-        let runtime = OwnRuntime::start()?;
-        let Some(own) = &runtime.0 else { return Ok(()) };
+        let runtime = AgentRuntime::start()?;
+        let Some(running) = &runtime.0 else { return Ok(()) };
         let start = async move { AgentProcess::start_on(&settings, recorder, sockets).await };
-        let agent = own.spawn(start).await.map_err(io::Error::other)??;
+        let agent = running.spawn(start).await.map_err(io::Error::other)??;
         self.agents.push(agent);
         self.runtimes.push(runtime);
         Ok(())
     }
 
     async fn sockets(&mut self, settings: &Settings) -> Result<Sockets, StartError> {
-        match self.held.remove(&settings.listen.inner.ip()) {
+        match self.inner_listeners.remove(&settings.listen.inner.ip()) {
             Some(inner) => Sockets::bind_others(&settings.listen, inner).await,
             None => Sockets::bind(&settings.listen).await,
         }
@@ -254,7 +255,7 @@
         peers.collect::<Vec<_>>().join(", ")
     }
 
-    /// Has operators say this of the model.
+    /// Applies the demo's configuration with these YAML parameters of the model.
     async fn apply(&self, model: &str) -> Result<(), DemoError> {
         let hash = flamingowheel_config::token::TokenHash::of(TOKEN.as_bytes());
         let documents = CONFIGURATION.replace("TOKEN_HASH", &hash.to_string());
@@ -264,7 +265,7 @@
         apply(self.standins.key_value_address, &documents, seen).await
     }
 
-    /// Waits until every entry knows the workspace and every agent.
+    /// Waits until every entry has the workspace and is connected to all agents and entries.
     async fn wait_ready(&self) -> Result<(), DemoError> {
         let agents = usize::from(RANKS + SERVERS);
         let ready = || {
@@ -280,13 +281,15 @@
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         };
-        tokio::time::timeout(READY_LIMIT, waiting).await.map_err(|_| DemoError::NotReady)
+        tokio::time::timeout(READY_TIMEOUT, waiting).await.map_err(|_| DemoError::NotReady)
     }
 
-    /// Waits for the first work order and has its agent die while the order runs; gives its name.
+    /// Waits for the first work order, kills its agent while the order runs, and returns the agent's
+    /// name.
     pub async fn lose_agent(&mut self) -> String {
-        let delay = |time| self.standins.services.iter().for_each(|one| one.set_delay(time));
-        delay(LOST_ORDER_TIME);
+        let set_delay =
+            |time| self.standins.services.iter().for_each(|service| service.set_delay(time));
+        set_delay(LOST_ORDER_DURATION);
         let is_busy = |(index, agent): (usize, &AgentProcess)| {
             index >= usize::from(RANKS) && agent.record_count() > 0
         };
@@ -296,13 +299,13 @@
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
         };
-        tokio::time::sleep(LOST_ORDER_TIME / 2).await;
+        tokio::time::sleep(LOST_ORDER_DURATION / 2).await;
         self.runtimes.remove(busy).end();
-        delay(Duration::ZERO);
+        set_delay(Duration::ZERO);
         self.agents.remove(busy).name().to_owned()
     }
 
-    /// What to try, as shell commands.
+    /// Shell commands to try with the running fleet.
     pub fn guide(&self) -> String {
         let mut text =
             String::from("A small fleet runs on loopback. Ctrl-C drains and ends it.\n\n");
@@ -335,12 +338,12 @@
         text
     }
 
-    /// Lets everything in progress end, entries first.
+    /// Drains and stops all processes, entries first, then the stand-ins.
     pub async fn leave(self) {
         for entry in self.entries {
-            let hurry = CancellationToken::new();
-            hurry.cancel();
-            entry.leave(hurry, None).await;
+            let skip_ttl_wait = CancellationToken::new();
+            skip_ttl_wait.cancel();
+            entry.leave(skip_ttl_wait, None).await;
         }
         for mut agent in self.agents {
             agent.leave(None).await;
@@ -349,12 +352,13 @@
     }
 }
 
-/// Lets engines step in lock-step, as ranks of one group, and count their experts' tokens.
+/// Steps the engines in lock-step, as ranks of one group, and counts their experts' tokens, until
+/// `stop` is cancelled.
 pub async fn run_group(group: RankGroup, stop: CancellationToken) {
     while !stop.is_cancelled() {
-        tokio::time::sleep(STEP).await;
+        tokio::time::sleep(STEP_INTERVAL).await;
         if group.try_step() {
-            group.count_work(|_, expert| MOST_TOKENS >> expert, &[1.0; RANKS as usize]);
+            group.count_work(|_, expert| MAX_EXPERT_TOKENS >> expert, &[1.0; RANKS as usize]);
         }
     }
 }
@@ -410,7 +414,8 @@
     })
 }
 
-/// Has a configuration accepted without the operators' tool.
+/// Writes a configuration directly to the key-value service, without the operators' tool. `seen` is
+/// the revision that the change is based on.
 pub async fn apply(
     key_value: SocketAddr,
     documents: &str,
--- a/crates/flamingowheeld/src/demo/once.rs
+++ b/crates/flamingowheeld/src/demo/once.rs
@@ -1,6 +1,6 @@
-//! Tries the demo's promises once and tells whether they hold.
+//! Runs the demo's checks once and prints whether they passed.
 
-#![allow(clippy::print_stdout, reason = "what the demo shows")]
+#![allow(clippy::print_stdout, reason = "the demo prints its results")]
 
 use crate::demo::caller::{Caller, Reply};
 use crate::demo::{DemoError, Fleet, MODEL, SERVICE, TOKEN, WORKSPACE};
@@ -11,15 +11,15 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The version that is named in the end.
+/// The model version that the last check configures.
 const VERSION: &str = "2026-12";
 
-/// Engines that don't serve it by then never will.
-const CHANGE_LIMIT: Duration = Duration::from_secs(60);
+/// An engine that does not serve the new version after this time counts as failed.
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(60);
 
 const ORDER: &[u8] = b"repair callbox 17";
 
-/// Shows every step; `false` if one did not show what is promised.
+/// Runs the checks and prints their results; returns whether all passed.
 pub async fn run(fleet: &Fleet) -> Result<bool, DemoError> {
     let caller = Caller::new(TOKEN);
     let (first, second) = (fleet.entries[0].callers, fleet.entries[1].callers);
@@ -27,9 +27,9 @@
     let streamed = stream(&caller, addresses.first().copied().unwrap_or(first)).await?;
     let ran_once = file_twice(fleet, &caller, first, second).await?;
     let changed = change_version(fleet).await?;
-    let all = !addresses.is_empty() && streamed && ran_once && changed;
-    println!("{}", if all { "all as promised" } else { "NOT as promised" });
-    Ok(all)
+    let all_passed = !addresses.is_empty() && streamed && ran_once && changed;
+    println!("{}", if all_passed { "all as promised" } else { "NOT as promised" });
+    Ok(all_passed)
 }
 
 async fn ask_addresses(caller: &Caller, entry: SocketAddr) -> Result<Vec<SocketAddr>, DemoError> {
@@ -50,11 +50,11 @@
     let path = "/v1/chat/completions";
     let reply = caller.call(Method::POST, entry, path, &[], body.into()).await?;
     show("stream", &reply);
-    // The end of the body was seen, or reading it would have failed.
+    // The body is complete: reading it would have failed otherwise.
     Ok(reply.status.is_success() && reply.body == expected)
 }
 
-/// The same order with the same key, through two entries: one run, two equal answers.
+/// Files the same order with the same key through two entries; checks for one run and equal answers.
 async fn file_twice(
     fleet: &Fleet,
     caller: &Caller,
@@ -64,23 +64,23 @@
     let path = format!("/v1/services/{SERVICE}/orders");
     let key = [("idempotency-key", "callbox-17-2026-12-02")];
     let body = Bytes::from_static(ORDER);
-    let one = caller.call(Method::POST, first, &path, &key, body.clone()).await?;
-    show("work order, first entry", &one);
-    let two = caller.call(Method::POST, second, &path, &key, body).await?;
-    show("work order again, second entry", &two);
+    let first_reply = caller.call(Method::POST, first, &path, &key, body.clone()).await?;
+    show("work order, first entry", &first_reply);
+    let second_reply = caller.call(Method::POST, second, &path, &key, body).await?;
+    show("work order again, second entry", &second_reply);
     let runs: u32 = fleet.standins.services.iter().map(|service| service.executions(ORDER)).sum();
     println!("the work order ran {runs} time(s)");
-    let complete = one.outcome() == "complete" && two.outcome() == "complete";
-    Ok(complete && runs == 1 && one.body == two.body)
+    let complete = first_reply.outcome() == "complete" && second_reply.outcome() == "complete";
+    Ok(complete && runs == 1 && first_reply.body == second_reply.body)
 }
 
-/// An operator names another version of the model; every engine serves it soon after.
+/// Configures another version of the model; checks that every engine serves it in time.
 async fn change_version(fleet: &Fleet) -> Result<bool, DemoError> {
-    let asked_at = Instant::now();
+    let began = Instant::now();
     fleet.apply(&format!("{{version: '{VERSION}'}}")).await?;
     let engines = &fleet.standins.engines;
-    let serve = || engines.iter().all(|engine| engine.peek_state().version == VERSION);
-    while !serve() && asked_at.elapsed() < CHANGE_LIMIT {
+    let all_serve = || engines.iter().all(|engine| engine.peek_state().version == VERSION);
+    while !all_serve() && began.elapsed() < CHANGE_TIMEOUT {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     let count = engines.iter().filter(|engine| engine.peek_state().version == VERSION).count();
@@ -88,7 +88,7 @@
         "version {VERSION} of {MODEL} accepted: {count} of {} engines serve it",
         engines.len()
     );
-    Ok(serve())
+    Ok(all_serve())
 }
 
 fn show(what: &str, reply: &Reply) {
--- a/crates/flamingowheeld/src/demo/ports.rs
+++ b/crates/flamingowheeld/src/demo/ports.rs
@@ -1,57 +1,59 @@
-//! One port that is free on several IPs.
+//! Binds one port on several IPs.
 
 use std::collections::HashMap;
 use std::io;
 use std::net::IpAddr;
 use tokio::net::TcpListener;
 
-/// How many ports are tried.
-const TRIES: u32 = 32;
+/// Number of ports tried before the error is returned.
+const MAX_ATTEMPTS: u32 = 32;
 
-/// Listens on the same port on every IP, as all processes of a fleet do.
+/// Binds the same free port on every IP, as the processes of a fleet share their inner port.
 ///
-/// The listeners are kept for the processes to come. A port that is only found free and let go can
-/// be given away before its process binds it, and the fleet would not start, now and then.
-pub(super) async fn hold_same_port(
+/// Returns the listeners for the processes to use. If a free port were released again, another
+/// socket could get it before its process binds it, and the fleet would fail to start now and then.
+pub(super) async fn bind_same_port(
     ips: &[IpAddr],
 ) -> io::Result<(u16, HashMap<IpAddr, TcpListener>)> {
-    let mut tries = 1;
+    let mut attempts = 1;
     loop {
-        match hold_any(ips).await {
-            Err(error) if error.kind() == io::ErrorKind::AddrInUse && tries < TRIES => tries += 1,
-            held => return held,
+        match bind_any_port(ips).await {
+            Err(error) if error.kind() == io::ErrorKind::AddrInUse && attempts < MAX_ATTEMPTS => {
+                attempts += 1
+            }
+            listeners => return listeners,
         }
     }
 }
 
-/// Takes the port that is free on the first IP; an error if another IP has it in use.
-async fn hold_any(ips: &[IpAddr]) -> io::Result<(u16, HashMap<IpAddr, TcpListener>)> {
-    let (mut port, mut held) = (0, HashMap::new());
+/// Binds a port that is free on the first IP on all of them; fails if it is in use on another.
+async fn bind_any_port(ips: &[IpAddr]) -> io::Result<(u16, HashMap<IpAddr, TcpListener>)> {
+    let (mut port, mut listeners) = (0, HashMap::new());
     for ip in ips {
         let listener = TcpListener::bind((*ip, port)).await?;
         port = listener.local_addr()?.port();
-        held.insert(*ip, listener);
+        listeners.insert(*ip, listener);
     }
-    Ok((port, held))
+    Ok((port, listeners))
 }
 
 #[cfg(test)]
 mod tests {
-    use super::hold_same_port;
+    use super::bind_same_port;
     use std::io::ErrorKind;
     use std::net::{IpAddr, Ipv4Addr};
     use tokio::net::TcpListener;
 
-    // The fleet picks its port, then its first process asks for any port on the same IP and is given
-    // that one. The fleet ends with "address already in use" although nothing else runs.
+    // If the fleet chose a port without binding it, its first process could be assigned that port when
+    // it binds port 0 on the same IP. The start would fail with "address already in use".
     #[tokio::test]
-    async fn hold_same_port_nobody_else_gets_it() {
+    async fn bind_same_port_is_not_assigned_again() {
         let ips: Vec<IpAddr> = (1..=3).map(|n| Ipv4Addr::new(127, 0, 3, n).into()).collect();
-        let (port, held) = hold_same_port(&ips).await.unwrap();
-        assert_eq!(held.len(), ips.len());
+        let (port, listeners) = bind_same_port(&ips).await.unwrap();
+        assert_eq!(listeners.len(), ips.len());
         for ip in ips {
-            let taken = TcpListener::bind((ip, port)).await.unwrap_err();
-            assert_eq!(taken.kind(), ErrorKind::AddrInUse);
+            let error = TcpListener::bind((ip, port)).await.unwrap_err();
+            assert_eq!(error.kind(), ErrorKind::AddrInUse);
         }
     }
 }
--- a/crates/flamingowheeld/src/discovery.rs
+++ b/crates/flamingowheeld/src/discovery.rs
@@ -1,9 +1,9 @@
-//! Finds agents through the VM list, and says which of them this entry keeps a link to.
+//! Discovers agents through the VM list and selects those that this entry links to.
 //!
-//! A small fleet's entries read the list each for itself and link to every agent. In a larger one
-//! they read it in turn, by the fleet's clock: one read each interval in all. Whoever reads looks
-//! at VMs that nobody knows, tells the others what it finds through the directory, and tells
-//! agents whose VM is leaving.
+//! In a small fleet every entry reads the list in every interval and links to every agent. In a
+//! larger one the entries read it in rotation by a shared clock, so that there is one read an
+//! interval in all. The entry whose turn it is probes VMs that are not in the directory, publishes
+//! what it finds through the directory, and notifies agents whose VM is leaving.
 
 use flamingowheel_backing::vm::{Vm, VmList, VmState};
 use flamingowheel_control::node::Node;
@@ -21,58 +21,59 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// VMs looked at in one turn at the most. At 64 a second a fleet of 7,300 that starts at once is
-/// found within two minutes.
-const MAX_LOOKS: usize = 64;
+/// Most VMs probed in one turn. At 64 a second a fleet of 7,300 VMs that starts at once is found
+/// within two minutes.
+const MAX_PROBES: usize = 64;
 
-/// How long a new entry has to meet the others.
-const MEETING_TIME: Duration = Duration::from_secs(10);
+/// How long a new entry waits to learn of the other entries before it links to many agents.
+const STARTUP_GRACE: Duration = Duration::from_secs(10);
 
-/// How long the agent of a leaving VM may take to be reached.
-const NOTICE_LIMIT: Duration = Duration::from_millis(1_500);
+/// Longest time to connect to the agent of a leaving VM.
+const NOTICE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Where agents are found.
+/// Discovers agents and maintains the set of links to them.
 pub struct Discovery {
-    /// The platform's list.
-    pub list: Arc<dyn VmList>,
-    /// Told which agents need a link.
+    /// The platform's list of VMs.
+    pub vm_list: Arc<dyn VmList>,
+    /// The links; receives the set of agents to link to.
     pub agents: Arc<Agents>,
-    /// The directory of agents, and the other entries.
+    /// Source of the agent directory and of the other entries.
     pub node: Node,
-    /// The cells, as of now.
-    pub book: Arc<dyn Fn() -> Arc<AddressBook> + Send + Sync>,
-    /// Milliseconds on a clock that the fleet's entries share but for a small error.
-    pub clock: Arc<dyn Fn() -> u64 + Send + Sync>,
-    /// The port on which every process of the fleet listens for the others.
+    /// Returns the current address book, which holds the cells.
+    pub address_book: Arc<dyn Fn() -> Arc<AddressBook> + Send + Sync>,
+    /// Wall clock in milliseconds; entries' clocks may differ slightly.
+    pub fleet_clock_ms: Arc<dyn Fn() -> u64 + Send + Sync>,
+    /// The port on which every process of the fleet listens for other processes.
     pub inner_port: u16,
-    /// This process's own address, which is no agent's.
-    pub own: IpAddr,
-    /// Time between two reads.
-    pub interval: Duration,
+    /// This entry's IP, which is left out as it is not an agent's.
+    pub own_ip: IpAddr,
+    /// Time between two reads of the VM list, over all entries that read in rotation.
+    pub read_interval: Duration,
 }
 
 impl Discovery {
-    /// Runs for ever. While the list can't be read, what is known stays: a VM that is gone is
-    /// noticed by its connection.
+    /// Runs discovery; never returns. While the list can't be read, the last set of agents stays in
+    /// use: a VM that is gone is detected by its connection.
     pub async fn run(self) {
-        let mut tick = tokio::time::interval(self.interval);
+        let mut tick = tokio::time::interval(self.read_interval);
         tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         let started = Instant::now();
-        let mut wanted = Wanted::default();
+        let mut wanted = WantedLinks::default();
         loop {
             tick.tick().await;
-            self.note_connected();
-            let book = (self.book)();
+            self.record_connected();
+            let book = (self.address_book)();
             let is_small = book.uses_all_entries();
             self.node.set_vm_list_rotation(!is_small);
-            let read = if is_small || self.is_own_turn() { self.read().await } else { None };
+            let read = if is_small || self.is_own_turn() { self.read_list().await } else { None };
             if let (Some(vms), true) = (&read, is_small) {
                 wanted.listed = self.agent_vms(vms);
-                wanted.as_of = None;
+                wanted.computed_from = None;
             }
-            self.refresh(&mut wanted, &book, is_small);
-            // A new entry of a large fleet knows nobody yet, and must not link to all for that.
-            let is_new = started.elapsed() < MEETING_TIME && wanted.vms.len() > MAX_LINKS;
+            self.update_links(&mut wanted, &book, is_small);
+            // A new entry of a large fleet does not know the other entries yet and would link to
+            // every agent.
+            let is_new = started.elapsed() < STARTUP_GRACE && wanted.vms.len() > MAX_LINKS;
             if !wanted.vms.is_empty() && !is_new {
                 self.agents.set_vms(&wanted.vms);
             }
@@ -80,15 +81,15 @@
                 if !is_small {
                     self.node.apply_vm_list(&vms);
                 }
-                self.look(&vms, is_small).await;
+                self.probe_changed(&vms, is_small).await;
             }
         }
     }
 
-    async fn read(&self) -> Option<Vec<Vm>> {
-        match self.list.list().await {
-            // This VM is listed too, so an empty list is a fault of the list. Taking it at its
-            // word would leave all callers without a backend server.
+    async fn read_list(&self) -> Option<Vec<Vm>> {
+        match self.vm_list.list().await {
+            // An empty list must be wrong, as it lacks this entry's own VM. Applying it would drop
+            // the links to all backend servers.
             Ok(vms) if vms.is_empty() => tracing::warn!("empty VM list not taken"),
             Ok(vms) => return Some(vms),
             Err(error) => tracing::warn!(%error, "VM list not read"),
@@ -96,30 +97,36 @@
         None
     }
 
-    /// Works out anew which links are wanted, if anything changed.
-    fn refresh(&self, wanted: &mut Wanted, book: &Arc<AddressBook>, is_small: bool) {
+    /// Computes the wanted links again if the inputs have changed.
+    fn update_links(&self, wanted: &mut WantedLinks, book: &Arc<AddressBook>, is_small: bool) {
         let pinned = self.agents.pinned_groups();
         let version = self.node.table_version();
-        let is_same = |(known, built, groups): &(u64, Arc<AddressBook>, BTreeSet<String>)| {
-            *known == version && Arc::ptr_eq(built, book) && *groups == pinned
+        let is_same = |(computed_version, computed_book, groups): &(
+            u64,
+            Arc<AddressBook>,
+            BTreeSet<String>,
+        )| {
+            *computed_version == version && Arc::ptr_eq(computed_book, book) && *groups == pinned
         };
-        if wanted.as_of.as_ref().is_some_and(is_same) {
+        if wanted.computed_from.as_ref().is_some_and(is_same) {
             return;
         }
         let directory = self.node.agents();
         self.agents.set_directory(&directory);
         match book.servers_of(&self.node.own_record().name) {
-            // A leaving entry stands before no cell, and callers still come: it keeps its links.
+            // A leaving entry belongs to no cell but still serves callers: it keeps its links.
             Some(servers) if servers.is_empty() => {}
-            Some(servers) if !is_small => wanted.vms = of_cells(&directory, &servers, &pinned),
-            _ => wanted.vms = self.all(&directory, &wanted.listed),
+            Some(servers) if !is_small => {
+                wanted.vms = agents_of_cells(&directory, &servers, &pinned)
+            }
+            _ => wanted.vms = self.all_agents(&directory, &wanted.listed),
         }
-        wanted.as_of = Some((version, Arc::clone(book), pinned));
+        wanted.computed_from = Some((version, Arc::clone(book), pinned));
     }
 
-    /// Processes that a link reached write their own record: that is how a restart is noticed,
-    /// and how a record that went wrong is set right.
-    fn note_connected(&self) {
+    /// Records the hello of every connected agent in the directory. This detects restarts and
+    /// corrects wrong records.
+    fn record_connected(&self) {
         for (agent, connected) in self.agents.connected() {
             self.node.record_agent(agent.address(), &connected.hello);
         }
@@ -130,64 +137,65 @@
         let members = self.node.members();
         let live = members.iter().filter(|member| member.state == MemberState::Live);
         let names: Vec<&str> = live.map(|member| member.record.name.as_str()).collect();
-        let interval_ms = (self.interval.as_millis() as u64).max(1);
-        is_turn(&names, &self.node.own_record().name, (self.clock)() / interval_ms)
+        let interval_ms = (self.read_interval.as_millis() as u64).max(1);
+        is_turn(&names, &self.node.own_record().name, (self.fleet_clock_ms)() / interval_ms)
     }
 
-    /// Looks at what the list shows and the directory does not, and tells those that must leave.
-    async fn look(&self, vms: &[Vm], is_small: bool) {
+    /// Probes VMs that are in the list but not in the directory, and the reverse, and notifies agents
+    /// whose VM is leaving.
+    async fn probe_changed(&self, vms: &[Vm], is_small: bool) {
         let directory = self.node.agents();
         let by_address: HashMap<SocketAddr, &AgentRecord> =
             directory.iter().map(|agent| (agent.address, &**agent)).collect();
         let listed: HashSet<SocketAddr> = vms.iter().map(|vm| self.address(vm)).collect();
         let vanished = directory.iter().filter(|agent| !listed.contains(&agent.address));
-        let mut looks: Vec<SocketAddr> = vanished.map(|agent| agent.address).collect();
-        looks.truncate(MAX_LOOKS / 2);
+        let mut probes: Vec<SocketAddr> = vanished.map(|agent| agent.address).collect();
+        probes.truncate(MAX_PROBES / 2);
         let leaving = vms.iter().filter(|vm| vm.state == VmState::Leaving);
         let leaving = leaving.filter_map(|vm| by_address.get(&self.address(vm)));
         let notices: FuturesUnordered<_> = leaving.map(|agent| self.notify(agent)).collect();
         if !is_small {
             let entries: HashSet<SocketAddr> =
                 self.node.members().into_iter().map(|member| member.record.inner).collect();
-            let known = |address: &SocketAddr| {
+            let is_known = |address: &SocketAddr| {
                 by_address.contains_key(address)
                     || entries.contains(address)
-                    || address.ip() == self.own
+                    || address.ip() == self.own_ip
             };
-            let mut unknown: Vec<_> = listed.into_iter().filter(|a| !known(a)).collect();
-            // Not the same ones each time: VMs that don't answer must not hide the others.
+            let mut unknown: Vec<_> = listed.into_iter().filter(|a| !is_known(a)).collect();
+            // In random order, so that VMs that don't answer can't keep the others from being probed.
             unknown.sort_by_cached_key(|_| rand::random::<u32>());
-            looks.extend(unknown.into_iter().take(MAX_LOOKS - looks.len()));
+            probes.extend(unknown.into_iter().take(MAX_PROBES - probes.len()));
         }
-        let looks: FuturesUnordered<_> =
-            looks.into_iter().map(|address| self.look_at(address, &by_address)).collect();
-        tokio::join!(notices.collect::<()>(), looks.collect::<()>());
+        let probes: FuturesUnordered<_> =
+            probes.into_iter().map(|address| self.probe(address, &by_address)).collect();
+        tokio::join!(notices.collect::<()>(), probes.collect::<()>());
     }
 
-    async fn look_at(&self, address: SocketAddr, known: &HashMap<SocketAddr, &AgentRecord>) {
+    async fn probe(&self, address: SocketAddr, by_address: &HashMap<SocketAddr, &AgentRecord>) {
         match self.agents.fetch_hello(address).await {
             Some(hello) if matches!(hello.role, Role::Agent(_)) => {
                 self.node.record_agent(address, &hello);
             }
             Some(_) => {}
-            // On no listed VM, and not reached either.
+            // Its VM is not listed, and it can't be reached either.
             None => {
-                if let Some(agent) = known.get(&address) {
+                if let Some(agent) = by_address.get(&address) {
                     self.node.downgrade_agent(&agent.name, MemberState::Gone);
                 }
             }
         }
     }
 
-    /// Tells an agent that its VM is leaving. Entries that have a link to it say it again when
-    /// the directory tells them.
+    /// Notifies an agent that its VM is leaving. Entries with a link to it repeat the notice when the
+    /// directory shows that it is leaving.
     async fn notify(&self, agent: &AgentRecord) {
         if agent.state == MemberState::Leaving {
             return;
         }
-        let reached = self.agents.link_to(agent.address);
-        let connecting = reached.connected_after(0);
-        let Ok(Some(connected)) = tokio::time::timeout(NOTICE_LIMIT, connecting).await else {
+        let link = self.agents.link_to(agent.address);
+        let connecting = link.connected_after(0);
+        let Ok(Some(connected)) = tokio::time::timeout(NOTICE_TIMEOUT, connecting).await else {
             return;
         };
         if connected.sender.send(EntryMessage::VmLeaving).await.is_ok() {
@@ -195,16 +203,16 @@
         }
     }
 
-    /// Every VM of the list, and agents that the list leaves out by mistake.
-    fn all(&self, directory: &[Arc<AgentRecord>], listed: &[AgentVm]) -> Vec<AgentVm> {
-        let known: HashSet<SocketAddr> = listed.iter().map(|vm| vm.address).collect();
-        let unlisted = directory.iter().filter(|agent| !known.contains(&agent.address));
+    /// Every listed VM, and agents of the directory that the list lacks by mistake.
+    fn all_agents(&self, directory: &[Arc<AgentRecord>], listed: &[AgentVm]) -> Vec<AgentVm> {
+        let listed_addresses: HashSet<SocketAddr> = listed.iter().map(|vm| vm.address).collect();
+        let unlisted = directory.iter().filter(|agent| !listed_addresses.contains(&agent.address));
         let unlisted = unlisted.map(|agent| agent_vm(agent));
         listed.iter().copied().chain(unlisted).take(MAX_SERVERS).collect()
     }
 
     fn agent_vms(&self, vms: &[Vm]) -> Vec<AgentVm> {
-        let others = vms.iter().filter(|vm| vm.ip != self.own);
+        let others = vms.iter().filter(|vm| vm.ip != self.own_ip);
         others
             .map(|vm| AgentVm { address: self.address(vm), leaving: vm.state == VmState::Leaving })
             .collect()
@@ -215,24 +223,24 @@
     }
 }
 
-/// The links that are wanted, and what that was worked out from.
+/// The wanted links and the inputs that they were computed from.
 #[derive(Default)]
-struct Wanted {
+struct WantedLinks {
     listed: Vec<AgentVm>,
     vms: Vec<AgentVm>,
     /// Version of the table, the address book and the groups.
-    as_of: Option<(u64, Arc<AddressBook>, BTreeSet<String>)>,
+    computed_from: Option<(u64, Arc<AddressBook>, BTreeSet<String>)>,
 }
 
-/// The agents of these cells, and all ranks of the groups that this entry coordinates.
-fn of_cells(
+/// The agents of the servers in this entry's cells, and all ranks of the groups that it coordinates.
+fn agents_of_cells(
     directory: &[Arc<AgentRecord>],
     servers: &BTreeSet<ServerKey>,
     pinned: &BTreeSet<String>,
 ) -> Vec<AgentVm> {
     let is_wanted = |agent: &&Arc<AgentRecord>| {
         servers.contains(&ServerKey::from_name(&agent.name))
-            || group(agent).is_some_and(|group| pinned.contains(group))
+            || group_name(agent).is_some_and(|group| pinned.contains(group))
     };
     directory.iter().filter(is_wanted).map(|agent| agent_vm(agent)).collect()
 }
@@ -241,15 +249,15 @@
     AgentVm { address: agent.address, leaving: agent.state == MemberState::Leaving }
 }
 
-fn group(agent: &AgentRecord) -> Option<&str> {
+fn group_name(agent: &AgentRecord) -> Option<&str> {
     match &agent.serves {
         Serves::Model { group, .. } => Some(group),
         Serves::Service { .. } => None,
     }
 }
 
-/// Whether it is an entry's turn to read the list. Entries whose views differ leave a turn out or
-/// take it twice.
+/// Whether it is an entry's turn to read the list. Where the entries' views of the members differ, a
+/// turn may be skipped or taken twice.
 fn is_turn(live: &[&str], own: &str, turn: u64) -> bool {
     let mut order = live.to_vec();
     order.sort_unstable();
--- a/crates/flamingowheeld/src/entry.rs
+++ b/crates/flamingowheeld/src/entry.rs
@@ -5,7 +5,7 @@
 use crate::groups::Groups;
 use crate::keys::{EntryBinder, KeyPeers};
 use crate::listen::{ListenLimits, Sockets, StartError, serve};
-use crate::loans::{EntryLender, borrow};
+use crate::loans::{EntryLender, request_loans};
 use crate::membership::{publish_addresses, publish_configuration};
 use crate::models;
 use crate::operators;
@@ -51,11 +51,12 @@
 use tokio::task::JoinHandle;
 use tokio_util::sync::CancellationToken;
 
-/// How much longer than callers keep addresses a leaving entry goes on accepting.
-const ADDRESS_MARGIN: Duration = Duration::from_secs(3);
+/// How long a leaving entry accepts connections after the last address answer that named it has
+/// expired.
+const ADDRESS_TTL_MARGIN: Duration = Duration::from_secs(3);
 
-/// How often a leaving entry looks whether its last request ended.
-const DRAIN_POLL: Duration = Duration::from_millis(50);
+/// How often a leaving entry checks whether its last request has ended.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A running entry.
 pub struct EntryProcess {
@@ -64,14 +65,14 @@
     stop_accepting: CancellationToken,
     callers_task: JoinHandle<()>,
     stop: CancellationToken,
-    /// Where callers reach it.
+    /// Bound address of the callers' listener.
     pub callers: SocketAddr,
-    /// Where operators reach it.
+    /// Bound address of the operators' listener.
     pub operators: SocketAddr,
 }
 
 impl EntryProcess {
-    /// Starts an entry.
+    /// Binds the addresses of the settings and starts an entry.
     pub async fn start(settings: &Settings, recorder: Recorder) -> Result<Self, StartError> {
         let sockets = Sockets::bind(&settings.listen).await?;
         Self::start_on(settings, recorder, sockets).await
@@ -83,12 +84,12 @@
         recorder: Recorder,
         sockets: Sockets,
     ) -> Result<Self, StartError> {
-        let Role::Entry(own) = &settings.role else { return Err(StartError::OtherRole) };
+        let Role::Entry(entry_settings) = &settings.role else { return Err(StartError::OtherRole) };
         let Sockets { inner, operators, callers } = sockets;
         let callers = callers.ok_or(StartError::NoCallersAddress)?;
         let inner_address = inner.local_addr()?;
         let (callers_address, operators_address) = (callers.local_addr()?, operators.local_addr()?);
-        let config = Arc::new(config(settings, own, callers_address));
+        let config = Arc::new(entry_config(settings, entry_settings, callers_address));
         recorder.record(Event::ProcessStarted {
             version: env!("CARGO_PKG_VERSION").into(),
             incarnation: uuid::Uuid::from_u64_pair(0, config.incarnation.0),
@@ -102,12 +103,14 @@
         let (stop, stop_accepting) = (CancellationToken::new(), CancellationToken::new());
         let store = Store::new(Arc::clone(&kv));
         let member = format!("{}-{}", config.name, config.incarnation.0);
-        let loads = own.weight_store.as_ref();
-        let loads = loads.map(|store| models::loads(Arc::clone(&kv), &member, store));
-        let groups = Groups::new(kv, Arc::clone(&agents), node.clone()).with_loads(loads);
+        let weight_store = entry_settings.weight_store.as_ref();
+        let load_limiter =
+            weight_store.map(|store| models::load_limiter(Arc::clone(&kv), &member, store));
+        let groups =
+            Groups::new(kv, Arc::clone(&agents), node.clone()).with_load_limiter(load_limiter);
         let group_routes = groups.router();
         let peers: Arc<dyn PeerTransport> = Arc::new(WebSocketPeers::new(identity.clone()));
-        let spread = Synchronizer {
+        let synchronizer = Synchronizer {
             node: node.clone(),
             store: store.clone(),
             peers: Arc::clone(&peers),
@@ -115,33 +118,34 @@
             seeds: settings.peers.clone(),
             timing: SynchronizerTiming::default(),
         };
-        sample(&recorder, &state, &agents);
+        register_gauges(&recorder, &state, &agents);
         node.set_lender(Arc::new(EntryLender(Arc::clone(&state))));
         node.set_key_binder(Arc::new(EntryBinder(Arc::clone(&state))));
         state.claims.set_peers(Arc::new(KeyPeers::new(node.clone(), Arc::clone(&peers))));
-        let borrower = borrow(node.clone(), Arc::clone(&state), Arc::clone(&peers));
+        let loan_requester = request_loans(node.clone(), Arc::clone(&state), Arc::clone(&peers));
         let discovery = discovery(settings, Arc::clone(&agents), &state);
-        let (publisher, stopped, served) = (Arc::clone(&state), stop.clone(), node.clone());
+        let (control_state, stopped, control_node) =
+            (Arc::clone(&state), stop.clone(), node.clone());
         spawn_control("control", move || async move {
             tokio::join!(
-                spread.run(stopped.clone()),
-                serve_peers(inner, identity, served.clone(), stopped),
-                publish_configuration(served.clone(), Arc::clone(&publisher)),
-                publish_addresses(served, publisher),
+                synchronizer.run(stopped.clone()),
+                serve_peers(inner, identity, control_node.clone(), stopped),
+                publish_configuration(control_node.clone(), Arc::clone(&control_state)),
+                publish_addresses(control_node, control_state),
                 discovery.run(),
-                borrower,
+                loan_requester,
                 groups.run(),
             );
         })?;
         let routes = flamingowheel_entry::http::router(Arc::clone(&state));
-        let limits = limits(own);
+        let limits = listen_limits(entry_settings);
         let callers_task = tokio::spawn(serve(callers, routes, limits, stop_accepting.clone()));
-        let others = Arc::new(AgentList(Arc::clone(&agents)));
-        let routes = operators_router(OperatorsApi { node, store, peers, agents: others })
+        let agent_list = Arc::new(AgentList(Arc::clone(&agents)));
+        let routes = operators_router(OperatorsApi { node, store, peers, agents: agent_list })
             .merge(group_routes)
             .merge(flamingowheel_entry::http::entries_router(Arc::clone(&state)))
             .merge(flamingowheel_observe::http::router(recorder));
-        let routes = operators::guard(routes, &settings.operators_token);
+        let routes = operators::require_token(routes, &settings.operators_token);
         tokio::spawn(serve(operators, routes, ListenLimits::default(), stop.clone()));
         Ok(Self {
             state,
@@ -154,35 +158,36 @@
         })
     }
 
-    /// What its handlers share.
+    /// State shared by the entry's request handlers.
     pub fn state(&self) -> &Arc<EntryState> {
         &self.state
     }
 
-    /// The agents it is connected to.
+    /// The links to agents.
     pub fn agents(&self) -> &Arc<Agents> {
         &self.agents
     }
 
-    /// Disappears from address answers, goes on accepting for longer than callers keep them,
-    /// then lets every request and stream end, however long it takes. `hurry` skips the wait for
-    /// callers' answers to run out.
-    pub async fn leave(self, hurry: CancellationToken, deadline: Option<Duration>) {
+    /// Withdraws the entry from address answers, accepts connections until callers' answers have
+    /// expired, then waits until every request and stream has ended. `skip_ttl_wait` ends the wait
+    /// for callers' answers to expire. `deadline` limits the wait for requests; `None` waits without
+    /// limit.
+    pub async fn leave(self, skip_ttl_wait: CancellationToken, deadline: Option<Duration>) {
         let began = Instant::now();
         let requests = u32::try_from(self.state.in_progress.get()).unwrap_or(u32::MAX);
         let cause = LeaveCause::Signal;
         self.state.recorder.record(Event::LeaveBegan { cause, requests });
         self.state.node.leave();
         tokio::select! {
-            () = tokio::time::sleep(self.state.config.address_ttl + ADDRESS_MARGIN) => {}
-            () = hurry.cancelled() => {}
+            () = tokio::time::sleep(self.state.config.address_ttl + ADDRESS_TTL_MARGIN) => {}
+            () = skip_ttl_wait.cancelled() => {}
         }
         self.stop_accepting.cancel();
         let state = Arc::clone(&self.state);
         let drained = async move {
             let _ = self.callers_task.await;
             while state.in_progress.get() > 0 {
-                tokio::time::sleep(DRAIN_POLL).await;
+                tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
             }
         };
         match deadline {
@@ -199,8 +204,9 @@
     }
 }
 
-/// Has the metrics read how much is in use. They outlive the entry, so they must not keep it.
-fn sample(recorder: &Recorder, state: &Arc<EntryState>, agents: &Arc<Agents>) {
+/// Registers the gauges of the entry's occupancy. They hold weak references, as the metrics outlive
+/// the entry.
+fn register_gauges(recorder: &Recorder, state: &Arc<EntryState>, agents: &Arc<Agents>) {
     let metrics = recorder.metrics();
     let weak = Arc::downgrade(state);
     metrics.register_sampler(OccupancyKind::InFlight, move || {
@@ -216,7 +222,7 @@
     });
 }
 
-/// The agents that this entry is connected to, for the operators' status.
+/// The agents that this entry is or was connected to, for the operators' status.
 struct AgentList(Arc<Agents>);
 
 impl OtherProcesses for AgentList {
@@ -229,7 +235,7 @@
             };
             agent_status(agent, &connected.hello, state)
         });
-        // An agent that died would otherwise be missing without a word while its VM is listed.
+        // Without these a dead agent whose VM is still listed would be missing from the status.
         let lost = self.0.disconnected();
         let lost =
             lost.iter().map(|(agent, hello)| agent_status(agent, hello, ProcessState::Silent));
@@ -244,7 +250,7 @@
         vm: hello.vm.clone(),
         data_centre: hello.data_centre.clone(),
         state,
-        // Agents hold no configuration.
+        // Agents don't hold a configuration.
         revision: ConfigRevision::default(),
         operators_address: hello.operators,
         heard_ms_ago: agent.since_heartbeat().as_millis() as u64,
@@ -257,7 +263,7 @@
     recorder: &Recorder,
     operators: SocketAddr,
 ) -> Identity {
-    let keeping =
+    let link_options =
         LinkOptions { timing: Timing::default(), logical_clock: Arc::new(recorder.clone()) };
     let hello = Hello {
         name: config.name.clone(),
@@ -267,7 +273,7 @@
         operators: Some(operators),
         role: PeerRole::Entry,
     };
-    Identity { hello, key: config.fleet_key.clone(), link_options: keeping }
+    Identity { hello, key: config.fleet_key.clone(), link_options }
 }
 
 fn member_record(
@@ -315,21 +321,25 @@
     (state, agents)
 }
 
-fn config(settings: &Settings, own: &EntrySettings, callers: SocketAddr) -> EntryConfig {
+fn entry_config(
+    settings: &Settings,
+    entry_settings: &EntrySettings,
+    callers: SocketAddr,
+) -> EntryConfig {
     let key = fleet_key(settings);
     let mut config = EntryConfig::new(&settings.name, &settings.data_centre, callers, key);
-    config.address_ttl = Duration::from_secs(own.address_ttl_s);
-    config.max_body_bytes = own.max_body_bytes as usize;
-    config.body_timeout = Duration::from_millis(own.body_timeout_ms);
+    config.address_ttl = Duration::from_secs(entry_settings.address_ttl_s);
+    config.max_body_bytes = entry_settings.max_body_bytes as usize;
+    config.body_timeout = Duration::from_millis(entry_settings.body_timeout_ms);
     config
 }
 
-/// The fleet's key, drawn out to its length by a hash.
+/// Derives the fleet key from the settings' secret by SHA-256.
 pub fn fleet_key(settings: &Settings) -> FleetKey {
     FleetKey::new(Sha256::digest(settings.fleet_key.expose()).into())
 }
 
-/// The client of the key-value service, at all of its addresses.
+/// Creates a client of the key-value service that fails over between its addresses.
 pub fn key_value(settings: &Settings) -> Failover<EtcdClient> {
     let limits = HttpLimits {
         head_ms: settings.key_value.timeout_ms,
@@ -344,24 +354,24 @@
 }
 
 fn discovery(settings: &Settings, agents: Arc<Agents>, state: &Arc<EntryState>) -> Discovery {
-    let (books, recorder) = (Arc::clone(state), state.recorder.clone());
+    let (entry_state, recorder) = (Arc::clone(state), state.recorder.clone());
     Discovery {
-        list: vm_list(settings),
+        vm_list: vm_list(settings),
         agents,
         node: state.node.clone(),
-        book: Arc::new(move || books.addresses.load_full()),
-        clock: Arc::new(move || recorder.stamp().wall_ms()),
+        address_book: Arc::new(move || entry_state.addresses.load_full()),
+        fleet_clock_ms: Arc::new(move || recorder.stamp().wall_ms()),
         inner_port: settings.listen.inner.port(),
-        own: settings.listen.inner.ip(),
-        interval: Duration::from_millis(settings.vm_list.interval_ms),
+        own_ip: settings.listen.inner.ip(),
+        read_interval: Duration::from_millis(settings.vm_list.interval_ms),
     }
 }
 
-fn limits(own: &EntrySettings) -> ListenLimits {
+fn listen_limits(entry_settings: &EntrySettings) -> ListenLimits {
     ListenLimits {
-        max_connections: own.max_connections as usize,
-        max_headers: own.max_header_count as usize,
-        max_head_bytes: own.max_header_bytes as usize,
-        head_timeout: Duration::from_millis(own.header_timeout_ms),
+        max_connections: entry_settings.max_connections as usize,
+        max_headers: entry_settings.max_header_count as usize,
+        max_head_bytes: entry_settings.max_header_bytes as usize,
+        head_timeout: Duration::from_millis(entry_settings.header_timeout_ms),
     }
 }
--- a/crates/flamingowheeld/src/exit.rs
+++ b/crates/flamingowheeld/src/exit.rs
@@ -1,21 +1,21 @@
-//! How the daemon ends.
+//! The daemon's exit codes.
 
 use std::process::ExitCode;
 
-/// Exit codes of the daemon.
+/// How the daemon ended; each variant has its own exit code.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Exit {
-    /// Ended as asked, everything drained.
+    /// Ended as requested.
     Success,
-    /// Could not start or go on.
+    /// Could not start, failed while running, or was ended by a third signal.
     Failure,
-    /// The command line is not understood.
+    /// The command line is not valid.
     Usage,
-    /// The settings are not accepted.
+    /// The settings are not valid.
     Settings,
-    /// An address is in use or may not be used.
+    /// An address could not be bound.
     Address,
-    /// The demo showed something other than what is promised.
+    /// At least one of the demo's checks failed.
     DemoFailed,
 }
 
--- a/crates/flamingowheeld/src/groups.rs
+++ b/crates/flamingowheeld/src/groups.rs
@@ -1,11 +1,11 @@
 //! Coordinates rank groups from the entries.
 //!
-//! An entry keeps links to all ranks of the groups it coordinates, besides those of its cells.
-//! Each group is the duty of the entry that ranks first for it; the lease in the key-value
-//! service decides where entries disagree for a while.
+//! Each group is assigned to one live entry by rendezvous hashing. While entries disagree about the
+//! assignment, the lease in the key-value service decides. An entry keeps links to all ranks of the
+//! groups that it coordinates, in addition to those of its cells.
 
 use crate::models;
-use crate::placement::{Observer, even_map};
+use crate::placement::{LoadObserver, even_map};
 use axum::extract::State;
 use axum::routing::get;
 use axum::{Json, Router};
@@ -42,14 +42,14 @@
 /// Path of the groups' status on the operators' port.
 pub const GROUPS_PATH: &str = "/v1/groups";
 
-/// Time between two looks at which groups are this entry's duty.
-const DUTY_INTERVAL: Duration = Duration::from_secs(1);
+/// Time between two checks of which groups are assigned to this entry.
+const ASSIGNMENT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time between two plans.
+/// Time between two plans of a group's expert map.
 const PLAN_INTERVAL: Duration = Duration::from_secs(10);
 
-/// How long a rank may take to tell its state for a plan.
-const READ_LIMIT: Duration = Duration::from_secs(1);
+/// Longest time to wait for a rank's state for a plan.
+const READ_TIMEOUT: Duration = Duration::from_secs(1);
 
 type Statuses = Arc<Mutex<BTreeMap<String, watch::Receiver<GroupStatus>>>>;
 
@@ -59,9 +59,9 @@
     leases: Leases,
     agents: Arc<Agents>,
     node: Node,
-    duties: BTreeMap<String, CancellationToken>,
+    stop_tokens: BTreeMap<String, CancellationToken>,
     statuses: Statuses,
-    loads: Option<LoadLimiter>,
+    load_limiter: Option<LoadLimiter>,
 }
 
 /// One group as its agents describe it.
@@ -73,39 +73,39 @@
 }
 
 impl Groups {
-    /// None yet.
+    /// Creates a coordinator of groups that coordinates none until [`Groups::run`] is called.
     pub fn new(kv: Arc<dyn KeyValue>, agents: Arc<Agents>, node: Node) -> Self {
         let leases = Leases::new(Arc::clone(&kv), Timing::default().lease_ttl);
-        let (duties, statuses) = Default::default();
-        Self { kv, leases, agents, node, duties, statuses, loads: None }
+        let (stop_tokens, statuses) = Default::default();
+        Self { kv, leases, agents, node, stop_tokens, statuses, load_limiter: None }
     }
 
-    /// Keeps loads of weights within this process's share of the weight store's rate.
-    pub fn with_loads(self, loads: Option<LoadLimiter>) -> Self {
-        Self { loads, ..self }
+    /// Sets the limiter of weight loads; with `None` loads are not limited.
+    pub fn with_load_limiter(self, load_limiter: Option<LoadLimiter>) -> Self {
+        Self { load_limiter, ..self }
     }
 
-    /// The route that tells the status of the groups that this entry coordinates.
+    /// The route [`GROUPS_PATH`], which returns the status of the groups that this entry coordinates.
     pub fn router(&self) -> Router {
-        Router::new().route(GROUPS_PATH, get(give_status)).with_state(Arc::clone(&self.statuses))
+        Router::new().route(GROUPS_PATH, get(get_status)).with_state(Arc::clone(&self.statuses))
     }
 
-    /// Takes up and gives up duties for ever.
+    /// Starts and stops coordinators as groups are assigned and withdrawn; never returns.
     pub async fn run(mut self) {
         loop {
-            let groups = self.own_groups();
+            let groups = self.assigned_groups();
             self.agents.pin_groups(groups.iter().map(|group| group.name.clone()).collect());
-            self.give_up(&groups);
+            self.stop_withdrawn(&groups);
             for group in groups {
-                if !self.duties.contains_key(&group.name) {
-                    self.take_up(group);
+                if !self.stop_tokens.contains_key(&group.name) {
+                    self.start_coordinator(group);
                 }
             }
-            sleep(DUTY_INTERVAL).await;
+            sleep(ASSIGNMENT_INTERVAL).await;
         }
     }
 
-    fn own_groups(&self) -> Vec<Group> {
+    fn assigned_groups(&self) -> Vec<Group> {
         let members = self.node.members();
         let live = members.iter().filter(|member| member.state == MemberState::Live);
         let entries: Vec<EntryKey> =
@@ -113,23 +113,23 @@
         let own = EntryKey::from_name(&self.node.own_record().name);
         let listed = self.node.agents();
         let connected = self.agents.connected();
-        let met = connected.iter().map(|(_, c)| (&c.profile.serves, c.profile.experts));
-        let known = listed.iter().map(|agent| (&agent.serves, agent.experts)).chain(met);
+        let linked = connected.iter().map(|(_, c)| (&c.profile.serves, c.profile.experts));
+        let profiles = listed.iter().map(|agent| (&agent.serves, agent.experts)).chain(linked);
         let mut seen = HashSet::new();
-        let first = known.filter(|(serves, experts)| match serves {
+        let first_of_group = profiles.filter(|(serves, experts)| match serves {
             Serves::Model { group, .. } => experts.is_some() && seen.insert(group),
             Serves::Service { .. } => false,
         });
         let mut groups: Vec<Group> =
-            first.filter_map(|(serves, experts)| group_of(serves, experts)).collect();
+            first_of_group.filter_map(|(serves, experts)| group_of(serves, experts)).collect();
         groups.sort_by(|a, b| a.name.cmp(&b.name));
         groups.dedup_by(|a, b| a.name == b.name);
-        groups.retain(|group| first_for(&group.name, &entries) == Some(own));
+        groups.retain(|group| assigned_entry(&group.name, &entries) == Some(own));
         groups
     }
 
-    fn give_up(&mut self, groups: &[Group]) {
-        self.duties.retain(|name, stop| {
+    fn stop_withdrawn(&mut self, groups: &[Group]) {
+        self.stop_tokens.retain(|name, stop| {
             let keep = groups.iter().any(|group| group.name == *name);
             if !keep {
                 stop.cancel();
@@ -137,10 +137,10 @@
             keep
         });
         let mut statuses = self.statuses.lock().unwrap_or_else(PoisonError::into_inner);
-        statuses.retain(|name, _| self.duties.contains_key(name));
+        statuses.retain(|name, _| self.stop_tokens.contains_key(name));
     }
 
-    fn take_up(&mut self, group: Group) {
+    fn start_coordinator(&mut self, group: Group) {
         let ranks = LinkRanks { agents: Arc::clone(&self.agents), group: group.clone() };
         let records = RecordStore::new(Arc::clone(&self.kv), &group.name);
         let (desired, receiver) = watch::channel(None);
@@ -155,9 +155,9 @@
         .with_rollout(
             Arc::clone(&self.kv),
             &group.model,
-            models::wanted(self.node.effective(), &group.model),
+            models::desired_serving(self.node.effective(), &group.model),
         )
-        .with_load_limiter(self.loads.clone());
+        .with_load_limiter(self.load_limiter.clone());
         let stop = CancellationToken::new();
         let status = coordinator.status();
         let mut statuses = self.statuses.lock().unwrap_or_else(PoisonError::into_inner);
@@ -171,38 +171,39 @@
             record: coordinator.record(),
             effective: self.node.effective(),
         };
-        let about =
+        let recorder =
             self.node.recorder().with_subject(Subject::default().group(group.name.as_str()));
-        let teller = tell(about, group.name.clone(), records.clone(), coordinator.status());
-        self.duties.insert(group.name.clone(), stop.clone());
+        let event_recorder =
+            record_changes(recorder, group.name.clone(), records.clone(), coordinator.status());
+        self.stop_tokens.insert(group.name.clone(), stop.clone());
         tokio::spawn(async move {
-            let first = first_map(&records, group.shape).await;
-            planner.desired.send_replace(Some(first));
+            let initial = initial_map(&records, group.shape).await;
+            planner.desired.send_replace(Some(initial));
             tokio::select! {
                 () = coordinator.run(stop) => {}
                 () = planner.run() => {}
-                () = teller => {}
+                () = event_recorder => {}
             }
         });
     }
 }
 
-/// The map to begin with: the one in force, and an even one only for a group that has none. An
-/// entry that takes a group over would otherwise undo what was rebalanced before.
-async fn first_map(records: &RecordStore, shape: ExpertShape) -> ExpertMap {
+/// The desired map to begin with: the group's map in force, or an even map for a new group. An entry
+/// that takes over a group and began with the even map would undo earlier rebalancing.
+async fn initial_map(records: &RecordStore, shape: ExpertShape) -> ExpertMap {
     loop {
         match records.read().await {
             Ok(stored) => return stored.record.in_force.map,
             Err(RecordError::Missing) => return even_map(shape),
-            Err(error) => tracing::warn!(%error, "group's record not read"),
+            Err(error) => tracing::warn!(%error, "group's record not read; trying again"),
         }
-        sleep(DUTY_INTERVAL).await;
+        sleep(ASSIGNMENT_INTERVAL).await;
     }
 }
 
-/// Records what becomes of a group, until its coordinator is gone.
-async fn tell(
-    about: SubjectRecorder,
+/// Records events for changes of a group's status, until its coordinator is dropped.
+async fn record_changes(
+    recorder: SubjectRecorder,
     group: String,
     records: RecordStore,
     mut status: watch::Receiver<GroupStatus>,
@@ -210,30 +211,30 @@
     let mut before = GroupStatus::default();
     while status.changed().await.is_ok() {
         let now = status.borrow_and_update().clone();
-        if leads(&now) && !leads(&before) {
-            about.record(lease_won(&group, &records).await);
+        if is_coordinator(&now) && !is_coordinator(&before) {
+            recorder.record(lease_won(&group, &records).await);
         }
-        for event in changes(&group, &before, &now) {
-            about.record(event);
+        for event in status_events(&group, &before, &now) {
+            recorder.record(event);
         }
         before = now;
     }
 }
 
-fn leads(status: &GroupStatus) -> bool {
+fn is_coordinator(status: &GroupStatus) -> bool {
     status.activity != Activity::Following
 }
 
-/// The number is that of the record as it stands; 0 if it can't be read just now.
+/// The event's fencing number is that of the current record; 0 if the record can't be read.
 async fn lease_won(group: &str, records: &RecordStore) -> Event {
     let stored = records.read().await;
     let fencing_number = stored.map_or(0, |stored| stored.fence().0);
     Event::LeaseWon { lease: group.into(), fencing_number }
 }
 
-fn changes(group: &str, before: &GroupStatus, now: &GroupStatus) -> Vec<Event> {
+fn status_events(group: &str, before: &GroupStatus, now: &GroupStatus) -> Vec<Event> {
     let mut events = Vec::new();
-    if leads(before) && !leads(now) {
+    if is_coordinator(before) && !is_coordinator(now) {
         events.push(Event::LeaseLost { lease: group.into() });
     }
     let map_revision = now.map_version;
@@ -243,15 +244,15 @@
     if now.activity == Activity::Running && map_revision > before.map_version {
         events.push(Event::Switch { step: SwitchStep::Resumed, map_revision });
     }
-    let known = |rank| before.out_of_service.iter().any(|other| other.rank == rank);
-    for out in now.out_of_service.iter().filter(|out| !known(out.rank)) {
+    let was_out = |rank| before.out_of_service.iter().any(|other| other.rank == rank);
+    for out in now.out_of_service.iter().filter(|out| !was_out(out.rank)) {
         let backend_server = format!("{group} rank {}", out.rank).into();
         events.push(Event::RankUnverified { backend_server, map_revision });
     }
     events
 }
 
-async fn give_status(State(statuses): State<Statuses>) -> Json<BTreeMap<String, GroupStatus>> {
+async fn get_status(State(statuses): State<Statuses>) -> Json<BTreeMap<String, GroupStatus>> {
     let statuses = statuses.lock().unwrap_or_else(PoisonError::into_inner);
     let current = |(name, status): (&String, &watch::Receiver<GroupStatus>)| {
         (name.clone(), status.borrow().clone())
@@ -265,12 +266,12 @@
     Some(Group { name: group.clone(), model: model.clone(), shape })
 }
 
-/// The entry that ranks first for a group, by rendezvous hashing.
-fn first_for(group: &str, entries: &[EntryKey]) -> Option<EntryKey> {
+/// The entry that a group is assigned to, by rendezvous hashing.
+fn assigned_entry(group: &str, entries: &[EntryKey]) -> Option<EntryKey> {
     entries.iter().copied().max_by_key(|entry| xxh3_64_with_seed(group.as_bytes(), entry.0))
 }
 
-/// Reaches the ranks of a group over the connections to their agents.
+/// Sends requests to a group's ranks over the links to their agents.
 #[derive(Clone)]
 struct LinkRanks {
     agents: Arc<Agents>,
@@ -296,7 +297,7 @@
     async fn ask(&self, rank: usize, request: RankRequest) -> Result<RankState, RankError> {
         let agent = self.agent(rank).ok_or(RankError::NoAnswer)?;
         let mut body = Vec::new();
-        // Writing plain values into memory can't fail.
+        // Serialising plain values into memory can't fail.
         let _ = ciborium::into_writer(&request, &mut body);
         let answer = agent.send_order(Bytes::from(body)).await.ok_or(RankError::NoAnswer)?;
         ciborium::from_reader(&answer[..]).map_err(|_| RankError::NoAnswer)?
@@ -317,7 +318,7 @@
     }
 }
 
-/// Plans a group's map from what its engines count.
+/// Plans a group's expert map from its engines' counters.
 struct Planner {
     group: Group,
     ranks: LinkRanks,
@@ -329,47 +330,48 @@
 
 impl Planner {
     async fn run(self) {
-        let mut observer = Observer::new(self.group.shape);
+        let mut observer = LoadObserver::new(self.group.shape);
         loop {
             sleep(PLAN_INTERVAL).await;
             self.plan(&mut observer).await;
         }
     }
 
-    async fn plan(&self, observer: &mut Observer) {
-        let Some(stored) = self.settled() else { return };
-        let Some(states) = self.read(stored.fence()).await else { return };
+    async fn plan(&self, observer: &mut LoadObserver) {
+        let Some(stored) = self.running_record() else { return };
+        let Some(states) = self.read_states(stored.fence()).await else { return };
         observer.observe(&states);
-        // A switch that began meanwhile would be undone by a plan made from the map before it.
-        if self.settled().as_ref() != Some(&stored) {
+        // A plan made from the earlier map would undo a switch that has begun since.
+        if self.running_record().as_ref() != Some(&stored) {
             return;
         }
         let current = &stored.record.in_force.map;
-        let wanted = observer.better_map(current, &self.params());
-        self.desired.send_replace(Some(wanted.unwrap_or_else(|| current.clone())));
+        let better = observer.better_map(current, &self.params());
+        self.desired.send_replace(Some(better.unwrap_or_else(|| current.clone())));
     }
 
     /// The record, if this process coordinates the group and no switch is under way.
-    fn settled(&self) -> Option<StoredRecord> {
+    fn running_record(&self) -> Option<StoredRecord> {
         let running = self.status.borrow().activity == Activity::Running;
         self.record.borrow().clone().filter(|_| running)
     }
 
-    /// All ranks' states, or none: a plan from half the loads would move experts for nothing.
-    async fn read(&self, fence: Fence) -> Option<Vec<RankState>> {
-        let read = |rank| timeout(READ_LIMIT, self.ranks.call(rank, RankRequest::read(fence)));
+    /// The states of all ranks, or `None` if one is missing: a plan from partial loads would move
+    /// experts needlessly.
+    async fn read_states(&self, fence: Fence) -> Option<Vec<RankState>> {
+        let read = |rank| timeout(READ_TIMEOUT, self.ranks.call(rank, RankRequest::read(fence)));
         let states = join_all((0..self.ranks.count()).map(read)).await;
         states.into_iter().map(|state| state.ok()?.ok()).collect()
     }
 
-    /// Weights of the first template that offers the group's model.
+    /// Rebalancing weights of the first template, by name, that offers the group's model.
     fn params(&self) -> Params {
         let effective = self.effective.borrow();
-        let serves = effective
+        let offering = effective
             .workspaces()
             .filter(|workspace| workspace.parameters.models.contains_key(&self.group.model))
             .min_by(|a, b| a.template.cmp(&b.template));
-        serves.map_or_else(Params::skew_weighted, |workspace| {
+        offering.map_or_else(Params::skew_weighted, |workspace| {
             let weights = &workspace.rebalancing;
             Params::from_weights(weights.skew_weight, weights.move_weight)
         })
@@ -384,24 +386,25 @@
 
     const SHAPE: ExpertShape = ExpertShape { ranks: 2, layers: 1, experts: 4, slots: 2 };
 
-    // The entry that coordinated a group is replaced; another takes the group over. Going back to
-    // the even map would cost the group two switches, and be slow until it is rebalanced again.
+    // Another entry takes over a group. Going back to the even map would cost the group two switches
+    // and make it slow until it is rebalanced again.
     #[tokio::test(start_paused = true)]
-    async fn first_map_keeps_the_one_in_force() {
+    async fn initial_map_is_the_one_in_force() {
         let records = RecordStore::new(Arc::new(FakeKeyValue::new()), "notes-a");
-        assert_eq!(first_map(&records, SHAPE).await, even_map(SHAPE));
+        assert_eq!(initial_map(&records, SHAPE).await, even_map(SHAPE));
         let rebalanced = ExpertMap { layers: vec![vec![vec![0, 3], vec![1, 2]]] };
         records.create(GroupRecord::first(rebalanced.clone(), 2)).await.unwrap();
-        assert_eq!(first_map(&records, SHAPE).await, rebalanced);
+        assert_eq!(initial_map(&records, SHAPE).await, rebalanced);
     }
 
-    // The key-value service is down when the group is taken over.
+    // The key-value service is down when the group is taken over. An even map would replace the
+    // map in force, which can't be read.
     #[tokio::test(start_paused = true)]
-    async fn first_map_waits_for_the_service() {
+    async fn initial_map_waits_for_the_service() {
         let kv = FakeKeyValue::new();
         let records = RecordStore::new(Arc::new(kv.clone()), "notes-a");
         kv.set_down(true);
-        let waiting = tokio::spawn(async move { first_map(&records, SHAPE).await });
+        let waiting = tokio::spawn(async move { initial_map(&records, SHAPE).await });
         sleep(Duration::from_secs(60)).await;
         assert!(!waiting.is_finished());
         kv.set_down(false);
--- a/crates/flamingowheeld/src/lib.rs
+++ b/crates/flamingowheeld/src/lib.rs
@@ -1,4 +1,4 @@
-//! The daemon's parts: each role assembled from its settings, and a demo of the whole on loopback.
+//! Assembles entry and agent processes from their settings, and runs a demo fleet on loopback.
 
 pub mod agent;
 
--- a/crates/flamingowheeld/src/listen.rs
+++ b/crates/flamingowheeld/src/listen.rs
@@ -14,62 +14,62 @@
 use tokio::sync::Semaphore;
 use tokio_util::sync::CancellationToken;
 
-/// Pause after a failed accept; out of descriptors, most likely.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
+/// Delay after a failed accept, whose most likely cause is a lack of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Why a process did not start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// An address can't be listened on.
+    /// Binding a listener failed.
     #[error("can't listen on {address} for {purpose}: {source}")]
     Bind {
-        /// The address.
+        /// The address from the settings.
         address: SocketAddr,
-        /// What it is for.
+        /// Who connects to it, for the error message.
         purpose: &'static str,
-        /// What the operating system said.
+        /// The operating system's error.
         source: io::Error,
     },
-    /// A thread could not be started.
+    /// The control thread could not be started, or a socket's address could not be read.
     #[error("can't start a thread: {0}")]
     Thread(#[from] io::Error),
-    /// Metrics could not be registered.
+    /// The metrics could not be registered.
     #[error(transparent)]
     Metrics(#[from] flamingowheel_observe::metrics::MetricsError),
-    /// The settings are those of another role.
+    /// An entry was started with an agent's settings, or the reverse.
     #[error("settings are not those of this role")]
     OtherRole,
-    /// An entry has no address for callers.
+    /// The settings of an entry lack the address for callers.
     #[error("settings name no address for callers")]
     NoCallersAddress,
 }
 
-/// Binds a listener.
+/// Binds a listener; `purpose` names its users in the error.
 pub async fn bind(address: SocketAddr, purpose: &'static str) -> Result<TcpListener, StartError> {
     let bound = TcpListener::bind(address).await;
     bound.map_err(|source| StartError::Bind { address, purpose, source })
 }
 
-/// The listeners of a process, bound before it starts.
+/// The listeners of a process, bound before anything else of it starts.
 pub struct Sockets {
-    /// For the fleet's own processes.
+    /// For other processes of the fleet.
     pub inner: TcpListener,
-    /// For operators.
+    /// For operators' HTTP requests.
     pub operators: TcpListener,
-    /// For callers, on an entry.
+    /// For callers' HTTP requests; entries only.
     pub callers: Option<TcpListener>,
 }
 
 impl Sockets {
-    /// Binds what the settings name.
+    /// Binds every address of the settings.
     pub async fn bind(listen: &ListenSettings) -> Result<Self, StartError> {
         let inner = bind(listen.inner, "the fleet's own processes").await?;
         Self::bind_others(listen, inner).await
     }
 
-    /// Binds all but the inner listener, which is bound already. It comes first because its port is
-    /// fixed: another one on the same IP with port 0 might be given that very port, and the process
-    /// would not start, now and then, with "address already in use".
+    /// Binds all but the inner listener, which is bound already. The inner listener comes first
+    /// because its port is fixed: another listener on the same IP with port 0 could be assigned that
+    /// port, and the start would fail now and then with "address already in use".
     pub async fn bind_others(
         listen: &ListenSettings,
         inner: TcpListener,
@@ -83,16 +83,16 @@
     }
 }
 
-/// Bounds on what a client may make a listener hold or wait for.
+/// Limits on the connections and request heads of a listener.
 #[derive(Clone, Debug)]
 pub struct ListenLimits {
-    /// Connections at one time.
+    /// Open connections; further ones wait in the kernel's accept queue.
     pub max_connections: usize,
-    /// Headers of one request.
+    /// Number of headers in one request.
     pub max_headers: usize,
-    /// Size of a request's head, in bytes.
+    /// Size of a request's head in bytes; at least 8 KiB are allowed.
     pub max_head_bytes: usize,
-    /// Time a client may take to send the head.
+    /// Time that a client may take to send a request's head.
     pub head_timeout: Duration,
 }
 
@@ -107,7 +107,7 @@
     }
 }
 
-/// Serves until `stop` fires, then lets open requests finish.
+/// Serves until `stop` is cancelled, then waits until open requests have finished.
 pub async fn serve(
     listener: TcpListener,
     router: Router,
@@ -115,14 +115,14 @@
     stop: CancellationToken,
 ) {
     let graceful = GracefulShutdown::new();
-    let places = Arc::new(Semaphore::new(limits.max_connections));
+    let permits = Arc::new(Semaphore::new(limits.max_connections));
     loop {
         let accepted = tokio::select! {
-            accepted = accept(&listener, &places) => accepted,
+            accepted = accept(&listener, &permits) => accepted,
             () = stop.cancelled() => break,
         };
-        let Some((stream, place)) = accepted else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+        let Some((stream, permit)) = accepted else {
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let _ = stream.set_nodelay(true);
@@ -130,9 +130,9 @@
         let connection = builder(&limits).serve_connection(TokioIo::new(stream), service);
         let connection = graceful.watch(connection);
         tokio::spawn(async move {
-            // A client that breaks off is no fault of this side.
+            // The error is ignored: usually the client closed the connection.
             let _ = connection.await;
-            drop(place);
+            drop(permit);
         });
     }
     drop(listener);
@@ -141,12 +141,12 @@
 
 async fn accept(
     listener: &TcpListener,
-    places: &Arc<Semaphore>,
+    permits: &Arc<Semaphore>,
 ) -> Option<(TcpStream, tokio::sync::OwnedSemaphorePermit)> {
-    // The kernel's queue holds those beyond the limit; they are not refused, they wait.
-    let place = Arc::clone(places).acquire_owned().await.ok()?;
+    // Connections beyond the limit are not refused; they wait in the kernel's accept queue.
+    let permit = Arc::clone(permits).acquire_owned().await.ok()?;
     match listener.accept().await {
-        Ok((stream, _)) => Some((stream, place)),
+        Ok((stream, _)) => Some((stream, permit)),
         Err(error) => {
             tracing::warn!(%error, "can't accept");
             None
@@ -164,5 +164,5 @@
     builder
 }
 
-/// Smallest buffer that the HTTP library takes.
+/// Smallest read buffer that hyper accepts.
 const MIN_BUFFER_BYTES: usize = 8 * 1024;
--- a/crates/flamingowheeld/src/loans.rs
+++ b/crates/flamingowheeld/src/loans.rs
@@ -1,4 +1,4 @@
-//! Moves shares of workspaces' limits between entries.
+//! Lends and borrows shares of workspaces' limits between entries.
 
 use flamingowheel_control::node::{Lender, Node};
 use flamingowheel_control::transport::PeerTransport;
@@ -12,53 +12,54 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Time between two looks at what is missing.
-const INTERVAL: Duration = Duration::from_millis(100);
+/// Longest time between two checks for loan requests to send.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A lender that does not answer in this time is passed over for now.
-const ANSWER_LIMIT: Duration = Duration::from_millis(250);
+/// A lender that does not answer in this time is skipped until the next request.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Lends from this entry's shares.
+/// Lends to other entries from this entry's shares.
 pub struct EntryLender(pub Arc<EntryState>);
 
 impl Lender for EntryLender {
     fn lend(&self, workspace: &str, borrower: EntryKey, request: &LoanRequest) -> Loan {
-        let nothing = Loan { number: request.number, share: 0.0 };
+        let no_loan = Loan { number: request.number, share: 0.0 };
         let effective = self.0.effective.load();
-        let Some(workspace) = effective.workspace(workspace) else { return nothing };
+        let Some(workspace) = effective.workspace(workspace) else { return no_loan };
         let members = self.0.subset(workspace);
         self.0.limiter.lend(workspace, &members, borrower, request)
     }
 }
 
-/// Asks for loans for ever.
-pub async fn borrow(node: Node, state: Arc<EntryState>, peers: Arc<dyn PeerTransport>) {
+/// Sends the limiter's loan requests; never returns.
+pub async fn request_loans(node: Node, state: Arc<EntryState>, peers: Arc<dyn PeerTransport>) {
     loop {
-        state.limiter.wait_for_demand(INTERVAL).await;
-        let asked = state.limiter.loan_requests();
-        join_all(asked.iter().map(|borrowing| ask(&node, &state, &*peers, borrowing))).await;
+        state.limiter.wait_for_demand(CHECK_INTERVAL).await;
+        let requests = state.limiter.loan_requests();
+        join_all(requests.iter().map(|outgoing| request_loan(&node, &state, &*peers, outgoing)))
+            .await;
     }
 }
 
-async fn ask(
+async fn request_loan(
     node: &Node,
     state: &EntryState,
     peers: &dyn PeerTransport,
-    borrowing: &OutgoingLoanRequest,
+    outgoing: &OutgoingLoanRequest,
 ) {
     let members = node.members();
     let lender =
-        members.iter().find(|member| EntryKey::from_name(&member.record.name) == borrowing.lender);
+        members.iter().find(|member| EntryKey::from_name(&member.record.name) == outgoing.lender);
     let Some(lender) = lender else { return };
     let request = PeerRequest::Loan {
-        workspace: borrowing.workspace.to_string(),
+        workspace: outgoing.workspace.to_string(),
         borrower: state.config.name.clone(),
-        request: borrowing.request,
+        request: outgoing.request,
     };
-    let answer = timeout(ANSWER_LIMIT, peers.ask(lender.record.inner, request)).await;
-    // Without an answer nothing was lent as far as this side may assume; the lender's loan ends
-    // by itself.
+    let answer = timeout(ANSWER_TIMEOUT, peers.ask(lender.record.inner, request)).await;
+    // Without an answer this entry must assume that nothing was lent. If the lender did lend, the loan
+    // expires by itself.
     if let Ok(Ok(PeerAnswer::Loan(loan))) = answer {
-        state.limiter.apply_loan(borrowing, &loan);
+        state.limiter.apply_loan(outgoing, &loan);
     }
 }
--- a/crates/flamingowheeld/src/main.rs
+++ b/crates/flamingowheeld/src/main.rs
@@ -1,4 +1,4 @@
-//! The daemon.
+//! The `flamingowheeld` daemon: runs an entry, an agent or the demo.
 
 #![allow(clippy::print_stdout, clippy::print_stderr, reason = "a command-line program")]
 
--- a/crates/flamingowheeld/src/membership.rs
+++ b/crates/flamingowheeld/src/membership.rs
@@ -1,4 +1,4 @@
-//! Brings what the control thread knows into what traffic reads.
+//! Publishes configuration and addresses from the control thread to the request handlers.
 
 use flamingowheel_control::node::{MemberView, Node};
 use flamingowheel_entry::addresses::{AddressBook, EntryMember, RegionScope, Scope};
@@ -10,14 +10,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How often the address book is built anew although no member changed, because backend servers
-/// may have come or gone.
-const REFRESH: Duration = Duration::from_secs(2);
+/// How often to check for changed backend servers when no member changes.
+const REFRESH_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Shortest time between two address books.
-const REBUILD_PAUSE: Duration = Duration::from_millis(250);
+/// Shortest time between two builds of the address book.
+const MIN_REBUILD_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Publishes every configuration that comes in force.
+/// Publishes each effective configuration to the request handlers.
 pub async fn publish_configuration(node: Node, state: Arc<EntryState>) {
     let mut effective = node.effective();
     loop {
@@ -28,7 +27,7 @@
     }
 }
 
-/// Publishes the entries that callers may be sent to.
+/// Publishes the address book, which lists the entries that callers may be sent to.
 pub async fn publish_addresses(node: Node, state: Arc<EntryState>) {
     let mut progress = node.progress();
     let mut built_from = None;
@@ -45,17 +44,18 @@
                     return;
                 }
             }
-            () = tokio::time::sleep(REFRESH) => {}
+            () = tokio::time::sleep(REFRESH_INTERVAL) => {}
         }
-        // When many processes start, each is news; cutting cells anew for each would take a core.
-        tokio::time::sleep(REBUILD_PAUSE).await;
+        // When many processes start, each one is a change; a rebuild of the cells for each would take
+        // a whole core.
+        tokio::time::sleep(MIN_REBUILD_INTERVAL).await;
     }
 }
 
-/// Backend servers by what they serve and where: those of the directory, and those at hand whose
-/// record may not be in it yet, which count as near.
+/// Backend servers by scope and region: those of the directory, and connected ones that are not in
+/// the directory yet, which count as in this entry's region.
 fn scopes(node: &Node, connected: &[Scope]) -> Vec<RegionScope> {
-    let own = RegionKey::from_name(&node.own_record().region);
+    let own_region = RegionKey::from_name(&node.own_record().region);
     let members = node.members();
     let region = |member: &MemberView| RegionKey::from_name(&member.record.region);
     let regions: HashMap<&str, RegionKey> =
@@ -63,7 +63,7 @@
     let mut scopes: BTreeMap<(ScopeKey, RegionKey), BTreeSet<ServerKey>> = BTreeMap::new();
     let mut listed = HashSet::new();
     for agent in node.agents() {
-        // A data centre without entries is a region of its own.
+        // A data centre without entries counts as its own region.
         let region = regions.get(agent.data_centre.as_str()).copied();
         let region = region.unwrap_or_else(|| RegionKey::from_name(&agent.data_centre));
         let (scope, server) =
@@ -73,16 +73,17 @@
     }
     for (scope, servers) in connected {
         let unlisted = servers.iter().filter(|server| !listed.contains(server));
-        scopes.entry((*scope, own)).or_default().extend(unlisted);
+        scopes.entry((*scope, own_region)).or_default().extend(unlisted);
     }
-    let owned = |((scope, region), servers): (_, BTreeSet<ServerKey>)| {
+    let to_region_scope = |((scope, region), servers): (_, BTreeSet<ServerKey>)| {
         (scope, region, servers.into_iter().collect())
     };
-    scopes.into_iter().map(owned).collect()
+    scopes.into_iter().map(to_region_scope).collect()
 }
 
-/// A silent entry may only be cut off from here, but a caller sent to it would lose time; it is
-/// offered again as soon as it is heard.
+/// Members of the address book. An entry that is not live is marked as leaving: a silent one may only
+/// be unreachable from here, but callers sent to it could lose time. It is offered again as soon as
+/// it is live.
 fn members(node: &Node) -> Vec<EntryMember> {
     node.members()
         .into_iter()
--- a/crates/flamingowheeld/src/models.rs
+++ b/crates/flamingowheeld/src/models.rs
@@ -1,4 +1,4 @@
-//! What operators accepted of a group's model, and how fast its weights may be loaded.
+//! The configured version and adapters of a group's model, and the rate limit for loading its weights.
 
 use flamingowheel_backing::kv::KeyValue;
 use flamingowheel_config::desired::desired_model;
@@ -10,9 +10,9 @@
 use std::sync::Arc;
 use tokio::sync::watch;
 
-/// Version and adapters of a model, now and after each change of the configuration, for as long as
-/// somebody listens.
-pub fn wanted(
+/// Watches the configured version and adapters of a model; `None` while the configuration does not
+/// offer the model. The watching task ends when all receivers are dropped.
+pub fn desired_serving(
     mut effective: watch::Receiver<Arc<EffectiveConfig>>,
     model: &str,
 ) -> watch::Receiver<Option<DesiredServing>> {
@@ -20,10 +20,10 @@
     let (sender, receiver) = watch::channel(None);
     tokio::spawn(async move {
         loop {
-            let now = wanted_of(&effective.borrow_and_update(), &model);
-            sender.send_if_modified(|known| {
-                let changed = *known != now;
-                *known = now;
+            let now = serving_of(&effective.borrow_and_update(), &model);
+            sender.send_if_modified(|current| {
+                let changed = *current != now;
+                *current = now;
                 changed
             });
             tokio::select! {
@@ -35,14 +35,18 @@
     receiver
 }
 
-fn wanted_of(effective: &EffectiveConfig, model: &str) -> Option<DesiredServing> {
+fn serving_of(effective: &EffectiveConfig, model: &str) -> Option<DesiredServing> {
     let desired = desired_model(effective, model)?;
     Some(DesiredServing { version: desired.version, adapters: desired.adapters })
 }
 
-/// The share of the weight store that this process paces its groups' loads by. `member` is unique to
-/// the process.
-pub fn loads(kv: Arc<dyn KeyValue>, member: &str, settings: &WeightStoreSettings) -> LoadLimiter {
+/// Limits the rate of weight loads to this process's share of the weight store's rate. `member`
+/// identifies the process and must be unique to it.
+pub fn load_limiter(
+    kv: Arc<dyn KeyValue>,
+    member: &str,
+    settings: &WeightStoreSettings,
+) -> LoadLimiter {
     let limits = StoreLimits {
         rate_bytes_per_s: settings.rate_bytes_per_s as f64,
         max_members: usize::try_from(settings.max_members).unwrap_or(usize::MAX),
@@ -73,13 +77,13 @@
     }
 
     #[tokio::test(start_paused = true)]
-    async fn wanted_follows_the_configuration() {
+    async fn desired_serving_follows_configuration() {
         let (sender, receiver) = watch::channel(effective(1, "{}"));
-        let mut wanted = wanted(receiver, "notes");
-        wanted.wait_for(|wanted| *wanted == Some(DesiredServing::default())).await.unwrap();
+        let mut serving = desired_serving(receiver, "notes");
+        serving.wait_for(|serving| *serving == Some(DesiredServing::default())).await.unwrap();
         sender.send_replace(effective(2, "{version: '7', adapters: [a]}"));
         let expected =
             DesiredServing { version: Some("7".to_owned()), adapters: ["a".to_owned()].into() };
-        wanted.wait_for(|wanted| *wanted == Some(expected.clone())).await.unwrap();
+        serving.wait_for(|serving| *serving == Some(expected.clone())).await.unwrap();
     }
 }
--- a/crates/flamingowheeld/src/operators.rs
+++ b/crates/flamingowheeld/src/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' port: every route behind the operators' token.
+//! Authentication of the operators' HTTP routes.
 
 use axum::Router;
 use axum::extract::{Request, State};
@@ -10,18 +10,19 @@
 use std::sync::Arc;
 use subtle::ConstantTimeEq;
 
-/// Puts the token check before all routes of `router`.
-pub fn guard(router: Router, token: &Secret) -> Router {
-    let wanted: Arc<[u8]> = Sha256::digest(token.expose()).to_vec().into();
-    router.layer(middleware::from_fn_with_state(wanted, check))
+/// Requires the operators' token as bearer token on all routes of `router`; other requests are
+/// answered with 401.
+pub fn require_token(router: Router, token: &Secret) -> Router {
+    let expected: Arc<[u8]> = Sha256::digest(token.expose()).to_vec().into();
+    router.layer(middleware::from_fn_with_state(expected, check_token))
 }
 
-async fn check(State(wanted): State<Arc<[u8]>>, request: Request, next: Next) -> Response {
+async fn check_token(State(expected): State<Arc<[u8]>>, request: Request, next: Next) -> Response {
     let given = request.headers().get(header::AUTHORIZATION);
     let token = given.and_then(|value| value.as_bytes().strip_prefix(b"Bearer "));
     let matches = token.is_some_and(|token| {
         let digest = Sha256::digest(token);
-        bool::from(digest.as_slice().ct_eq(&wanted))
+        bool::from(digest.as_slice().ct_eq(&expected))
     });
     if !matches {
         return StatusCode::UNAUTHORIZED.into_response();
--- a/crates/flamingowheeld/src/orders.rs
+++ b/crates/flamingowheeld/src/orders.rs
@@ -1,4 +1,4 @@
-//! Puts the group's gate before an agent's engine.
+//! Handles orders for an agent's engine through the group's gate.
 
 use crate::agent::authority;
 use crate::entry::key_value;
@@ -21,32 +21,33 @@
 use tokio::sync::OnceCell;
 use tokio::time::sleep;
 
-/// Pause after the group's record could not be read.
-const RETRY: Duration = Duration::from_millis(500);
+/// Delay before reading the group's record again after an error.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// An engine answers an order or a question in this time, or counts as silent.
-const ENGINE_LIMIT_MS: u64 = 1_000;
+/// Longest time without a byte within an engine's answer; then the engine counts as silent.
+const SILENCE_TIMEOUT_MS: u64 = 1_000;
 
-/// Loading an expert map's weights takes longer than other orders.
-const STAGE_LIMIT_MS: u64 = 60_000;
+/// Longest time until an engine's answer begins. Staging an expert map loads weights and takes longer
+/// than other orders.
+const HEAD_TIMEOUT_MS: u64 = 60_000;
 
-/// Carries out orders through the gate, once it is open.
-pub struct GateOrders {
+/// Carries out orders through the gate; refuses them until the gate is open.
+pub struct GateOrderHandler {
     gate: OnceCell<Gate<HttpOrders>>,
-    about: SubjectRecorder,
+    group_recorder: SubjectRecorder,
 }
 
-impl GateOrders {
-    /// Opens the gate in the background. Until the group's record has been read no order is
-    /// taken: the lowest acceptable fencing number is not known. `None` for plain services.
+impl GateOrderHandler {
+    /// Opens the gate in the background. Orders are refused until the group's record has been read,
+    /// because the lowest acceptable fencing number is not known before. `None` for plain services.
     pub fn start(
         settings: &Settings,
-        own: &AgentSettings,
+        agent_settings: &AgentSettings,
         incarnation: Incarnation,
         agent: &AgentHandle,
         recorder: &Recorder,
     ) -> Option<Arc<Self>> {
-        let BackendServerKind::Engine { group, checks_fencing, .. } = &own.kind else {
+        let BackendServerKind::Engine { group, checks_fencing, .. } = &agent_settings.kind else {
             return None;
         };
         let kind = match checks_fencing {
@@ -54,17 +55,17 @@
             false => EngineKind::IgnoresFence,
         };
         let limits = HttpLimits {
-            head_ms: STAGE_LIMIT_MS,
-            silence_ms: ENGINE_LIMIT_MS,
-            idle_ms: ENGINE_LIMIT_MS,
+            head_ms: HEAD_TIMEOUT_MS,
+            silence_ms: SILENCE_TIMEOUT_MS,
+            idle_ms: SILENCE_TIMEOUT_MS,
             ..HttpLimits::default()
         };
-        let engine = HttpOrders::new(authority(own.backend_server), limits);
+        let engine = HttpOrders::new(authority(agent_settings.backend_server), limits);
         let records = RecordStore::new(Arc::new(key_value(settings)), group);
-        let about = recorder.with_subject(Subject::default().group(group.as_str()));
-        let orders = Arc::new(Self { gate: OnceCell::new(), about });
+        let group_recorder = recorder.with_subject(Subject::default().group(group.as_str()));
+        let orders = Arc::new(Self { gate: OnceCell::new(), group_recorder });
         let intake = Arc::new(AgentIntake(agent.clone()));
-        tokio::spawn(open(Arc::clone(&orders), engine, kind, incarnation, records, intake));
+        tokio::spawn(open_gate(Arc::clone(&orders), engine, kind, incarnation, records, intake));
         Some(orders)
     }
 
@@ -73,17 +74,17 @@
         let request: RankRequest = ciborium::from_reader(body)
             .map_err(|_| RankError::NotPossible { reason: "request can't be read".to_owned() })?;
         let answer = gate.handle(&request).await;
-        if let Some(event) = event(&request, &answer) {
-            self.about.record(event);
+        if let Some(event) = order_event(&request, &answer) {
+            self.group_recorder.record(event);
         }
         answer
     }
 }
 
-/// What is recorded of an order: with the number that its coordinator won its lease with, so that
-/// a group's time line tells who ordered what. Reads are not recorded.
-fn event(request: &RankRequest, answer: &Result<RankState, RankError>) -> Option<Event> {
-    let order = kind(request.target.as_ref()?);
+/// The event to record for an order, with the fencing number of its coordinator, so that a group's
+/// time line shows which coordinator gave which order. Reads are not recorded.
+fn order_event(request: &RankRequest, answer: &Result<RankState, RankError>) -> Option<Event> {
+    let order = order_kind(request.target.as_ref()?);
     let fencing_number = request.fence.0;
     match answer {
         Ok(_) => Some(Event::OrderApplied { order, fencing_number }),
@@ -95,7 +96,7 @@
     }
 }
 
-fn kind(target: &OrderTarget) -> OrderKind {
+fn order_kind(target: &OrderTarget) -> OrderKind {
     match target {
         OrderTarget::Serve { .. } => OrderKind::Serve,
         OrderTarget::StageMap { .. } => OrderKind::StageMap,
@@ -105,8 +106,8 @@
     }
 }
 
-async fn open(
-    orders: Arc<GateOrders>,
+async fn open_gate(
+    orders: Arc<GateOrderHandler>,
     engine: HttpOrders,
     kind: EngineKind,
     incarnation: Incarnation,
@@ -119,19 +120,21 @@
                 let _ = orders.gate.set(gate.with_intake(intake));
                 return;
             }
-            Err(error) => tracing::warn!(%error, "group's record not read; no order is taken"),
+            Err(error) => {
+                tracing::warn!(%error, "group's record not read; orders are refused until it is")
+            }
         }
-        sleep(RETRY).await;
+        sleep(RETRY_DELAY).await;
     }
 }
 
-/// The agent's own admission.
+/// Opens and closes the agent's admission of work.
 struct AgentIntake(AgentHandle);
 
 impl Intake for AgentIntake {
     fn set_open(&self, open: bool) {
         let commands = self.0.commands().clone();
-        // Whether it came about shows in the work; whoever asked for it looks and asks again.
+        // The result is ignored: the caller checks `state` and repeats the request.
         tokio::spawn(async move { commands.send(Command::SetOpen(open)).await });
     }
 
@@ -142,12 +145,12 @@
     }
 }
 
-impl OrderHandler for GateOrders {
+impl OrderHandler for GateOrderHandler {
     fn handle(&self, body: Bytes) -> BoxFuture<'_, Bytes> {
         Box::pin(async move {
             let answer = self.answer(&body).await;
             let mut bytes = Vec::new();
-            // Writing plain values into memory can't fail.
+            // Serialising plain values into memory can't fail.
             let _ = ciborium::into_writer(&answer, &mut bytes);
             bytes.into()
         })
@@ -178,22 +181,22 @@
         }
     }
 
-    // A coordinator that was replaced while it was paused still sends an order. Whoever looks into a
-    // group's time line must see that it had no effect, and which number was in charge.
+    // A coordinator that was replaced while it was paused still sends an order. The group's time line
+    // must show that the order was refused and which fencing number was in force.
     #[test]
-    fn event_old_number_recorded_as_refused() {
+    fn order_event_stale_fence_recorded_as_refused() {
         let answer = Err(RankError::Stale { given: Fence(7), lowest: Fence(9) });
         let refused =
             Event::OrderRefused { order: OrderKind::Resume, fencing_number: 7, lowest_accepted: 9 };
-        assert_eq!(event(&request(Some(OrderTarget::Resume)), &answer), Some(refused));
+        assert_eq!(order_event(&request(Some(OrderTarget::Resume)), &answer), Some(refused));
     }
 
     #[test]
-    fn event_applied_order_but_no_read() {
+    fn order_event_applied_order_but_no_read() {
         let hold = OrderTarget::Hold { after_step: 3 };
         let applied = Event::OrderApplied { order: OrderKind::Hold, fencing_number: 7 };
-        assert_eq!(event(&request(Some(hold.clone())), &Ok(state())), Some(applied));
-        assert_eq!(event(&request(None), &Ok(state())), None);
-        assert_eq!(event(&request(Some(hold)), &Err(RankError::EngineSilent)), None);
+        assert_eq!(order_event(&request(Some(hold.clone())), &Ok(state())), Some(applied));
+        assert_eq!(order_event(&request(None), &Ok(state())), None);
+        assert_eq!(order_event(&request(Some(hold)), &Err(RankError::EngineSilent)), None);
     }
 }
--- a/crates/flamingowheeld/src/placement.rs
+++ b/crates/flamingowheeld/src/placement.rs
@@ -1,4 +1,4 @@
-//! Turns what engines count into the expert map that a group should use.
+//! Plans a group's expert map from its engines' counters.
 
 use flamingowheel_backing::orders::{EXPERT_BUSY_COUNTER, ExpertMap, expert_counter};
 use flamingowheel_group::message::RankState;
@@ -6,16 +6,16 @@
 use flamingowheel_policy::rebalance::{DecayedLoads, Params, RankSpeeds, Work};
 use flamingowheel_protocol::message::ExpertShape;
 
-/// Part of the mean load that one observation weighs.
-const OBSERVATION_SHARE: f64 = 0.3;
+/// Weight of one observation in the decayed mean load.
+const OBSERVATION_WEIGHT: f64 = 0.3;
 
-/// What the names of the experts' counters begin with.
-const EXPERT_COUNTERS: &str = "expert_tokens/";
+/// Prefix of the names of the experts' token counters.
+const EXPERT_COUNTER_PREFIX: &str = "expert_tokens/";
 
-/// A rank whose engine was replaced has counted nothing yet; such an interval is left out.
+/// An interval with fewer tokens is ignored, for example right after engines were replaced.
 const MIN_TOKENS: f64 = 1.0;
 
-/// A map that spreads all experts evenly, for a group that has none yet.
+/// A map that spreads all experts evenly, for a group that has no map yet.
 ///
 /// ```
 /// use flamingowheel_daemon::placement::even_map;
@@ -30,7 +30,7 @@
     ExpertMap { layers: vec![layer; usize::from(shape.layers)] }
 }
 
-/// What one rank has counted since its process started.
+/// One rank's counters since its process started.
 #[derive(Clone, Copy, Debug)]
 struct RankCount {
     process_id: u64,
@@ -39,9 +39,10 @@
 }
 
 impl RankCount {
-    fn of(state: &RankState) -> Option<Self> {
+    fn from_state(state: &RankState) -> Option<Self> {
         let counters = &state.engine.counters;
-        let of_experts = counters.iter().filter(|(name, _)| name.starts_with(EXPERT_COUNTERS));
+        let of_experts =
+            counters.iter().filter(|(name, _)| name.starts_with(EXPERT_COUNTER_PREFIX));
         Some(Self {
             process_id: state.engine.process_id,
             tokens: of_experts.map(|(_, count)| count).sum(),
@@ -49,8 +50,8 @@
         })
     }
 
-    /// The work since an earlier report of the same process.
-    fn since(&self, before: &Self) -> Option<Work> {
+    /// The work since an earlier report; `None` if another process sent that one or a counter fell.
+    fn work_since(&self, before: &Self) -> Option<Work> {
         if self.process_id != before.process_id {
             return None;
         }
@@ -60,45 +61,46 @@
     }
 }
 
-/// Loads of a group's experts and speeds of its ranks over time.
+/// Derives the loads of a group's experts and the speeds of its ranks from successive counters.
 #[derive(Debug)]
-pub struct Observer {
+pub struct LoadObserver {
     shape: ExpertShape,
-    counted: Option<Vec<Vec<f64>>>,
+    last_expert_tokens: Option<Vec<Vec<f64>>>,
     loads: Vec<DecayedLoads>,
-    ranks: Vec<Option<RankCount>>,
+    last_counts: Vec<Option<RankCount>>,
     speeds: RankSpeeds,
 }
 
-impl Observer {
-    /// Nothing observed yet.
+impl LoadObserver {
+    /// An observer without observations; proposes no map.
     pub fn new(shape: ExpertShape) -> Self {
         let ranks = usize::from(shape.ranks);
         Self {
             shape,
-            counted: None,
+            last_expert_tokens: None,
             loads: Vec::new(),
-            ranks: vec![None; ranks],
+            last_counts: vec![None; ranks],
             speeds: RankSpeeds::new(ranks),
         }
     }
 
-    /// Takes in what all ranks have counted so far.
+    /// Adds the current counters of all ranks, in the order of ranks. The first call only sets the
+    /// base; an interval in which a counter fell is ignored for the loads.
     pub fn observe(&mut self, states: &[RankState]) {
         self.observe_speeds(states);
-        let counted = self.count(states);
-        let Some(before) = self.counted.replace(counted.clone()) else { return };
+        let counted = self.expert_tokens(states);
+        let Some(before) = self.last_expert_tokens.replace(counted.clone()) else { return };
         let since: Vec<Vec<f64>> = counted
             .iter()
             .zip(&before)
             .map(|(now, then)| now.iter().zip(then).map(|(n, t)| n - t).collect())
             .collect();
-        let is_whole = since.iter().flatten().all(|load| *load >= 0.0);
-        if !is_whole || since.iter().flatten().sum::<f64>() < MIN_TOKENS {
+        let is_monotonic = since.iter().flatten().all(|load| *load >= 0.0);
+        if !is_monotonic || since.iter().flatten().sum::<f64>() < MIN_TOKENS {
             return;
         }
         if self.loads.is_empty() {
-            self.loads = since.iter().map(|l| DecayedLoads::new(OBSERVATION_SHARE, l)).collect();
+            self.loads = since.iter().map(|l| DecayedLoads::new(OBSERVATION_WEIGHT, l)).collect();
             return;
         }
         for (loads, layer) in self.loads.iter_mut().zip(&since) {
@@ -107,29 +109,29 @@
     }
 
     fn observe_speeds(&mut self, states: &[RankState]) {
-        let mut work = vec![None; self.ranks.len()];
-        for ((before, state), work) in self.ranks.iter_mut().zip(states).zip(&mut work) {
-            let now = RankCount::of(state);
-            *work = now.zip(*before).and_then(|(now, before)| now.since(&before));
+        let mut work = vec![None; self.last_counts.len()];
+        for ((before, state), work) in self.last_counts.iter_mut().zip(states).zip(&mut work) {
+            let now = RankCount::from_state(state);
+            *work = now.zip(*before).and_then(|(now, before)| now.work_since(&before));
             *before = now;
         }
         self.speeds.observe(&work);
     }
 
-    /// The map to use instead of `current`, if one is worth its moves.
+    /// A map that is better than `current` by enough to be worth the moves of experts.
     pub fn better_map(&self, current: &ExpertMap, params: &Params) -> Option<ExpertMap> {
         propose(current, &self.loads, &self.speeds.speeds(), params).ok()?
     }
 
-    fn count(&self, states: &[RankState]) -> Vec<Vec<f64>> {
+    fn expert_tokens(&self, states: &[RankState]) -> Vec<Vec<f64>> {
         let experts = |layer: usize| {
-            (0..self.shape.experts).map(|expert| total(states, layer, expert)).collect()
+            (0..self.shape.experts).map(|expert| counter_sum(states, layer, expert)).collect()
         };
         (0..usize::from(self.shape.layers)).map(experts).collect()
     }
 }
 
-fn total(states: &[RankState], layer: usize, expert: u16) -> f64 {
+fn counter_sum(states: &[RankState], layer: usize, expert: u16) -> f64 {
     let name = expert_counter(layer, expert);
     let counters = states.iter().filter_map(|state| state.engine.counters.get(&name));
     counters.map(|count| *count as f64).sum()
@@ -153,7 +155,7 @@
 
     #[test]
     fn better_map_spreads_two_hot_experts() {
-        let mut observer = Observer::new(SHAPE);
+        let mut observer = LoadObserver::new(SHAPE);
         for step in 0..4 {
             observer.observe(&states([step * 400, step * 400, step * 100, step * 100]));
         }
@@ -162,10 +164,10 @@
         assert_eq!((hot(0), hot(1)), (1, 1));
     }
 
-    // An engine was replaced and counts from zero. Its fall must not be taken for a load.
+    // A replaced engine counts from zero, so its counters fall. The difference must not count as load.
     #[test]
-    fn observe_counter_falls_left_out() {
-        let mut observer = Observer::new(SHAPE);
+    fn observe_counter_falls_ignored() {
+        let mut observer = LoadObserver::new(SHAPE);
         observer.observe(&states([400, 400, 100, 100]));
         observer.observe(&states([0, 0, 0, 0]));
         assert!(observer.better_map(&even_map(SHAPE), &Params::skew_weighted()).is_none());
--- a/crates/flamingowheeld/src/run.rs
+++ b/crates/flamingowheeld/src/run.rs
@@ -1,4 +1,4 @@
-//! Runs what the command line asks for.
+//! Runs the commands of the command line.
 
 use crate::exit::Exit;
 use eyre::Result;
@@ -13,14 +13,15 @@
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio_util::sync::CancellationToken;
 
-/// Checks a settings file.
+/// Validates a settings file.
 pub fn check(file: &Path) -> Result<Exit> {
     Settings::load(file)?;
     println!("{}: accepted", file.display());
     Ok(Exit::Success)
 }
 
-/// Runs the role that a settings file names, until told to leave.
+/// Runs the entry or agent that a settings file describes until a termination signal arrives, then
+/// drains it.
 pub fn role(file: &Path) -> Result<Exit> {
     let settings = Settings::load(file)?;
     let recorder = recorder(&settings)?;
@@ -33,9 +34,9 @@
             Role::Entry(_) => {
                 let entry = EntryProcess::start(&settings, recorder).await?;
                 signals.next().await;
-                let hurry = CancellationToken::new();
-                let leaving = entry.leave(hurry.clone(), deadline);
-                signals.until_done(leaving, &hurry).await
+                let skip_ttl_wait = CancellationToken::new();
+                let leaving = entry.leave(skip_ttl_wait.clone(), deadline);
+                signals.until_done(leaving, &skip_ttl_wait).await
             }
             Role::Agent(_) => {
                 let mut agent = AgentProcess::start(&settings, recorder).await?;
@@ -47,10 +48,11 @@
     })
 }
 
-/// Runs on the platform: as entry where callers connect, as agent beside a backend server.
+/// Runs with the platform's settings: as entry if they have an address for callers, otherwise as
+/// agent beside a backend server.
 pub fn on_platform() -> Result<Exit> {
     let settings = flamingowheel_platform::settings::load()?;
-    // Without a handler the signal that announces changed settings would end the process.
+    // The platform announces changed settings by SIGHUP, which ends a process without a handler.
     let reload = {
         let settings = settings.clone();
         move || reload(&settings)
@@ -69,8 +71,8 @@
         tracing::info!("stopped");
         Ok(Exit::Success)
     });
-    // Dropped, the runtime would wait for the traffic threads, which end with their last request: the
-    // process would outlive its grace time, be killed, and leave no word of what it cut off.
+    // Dropping the runtime would wait for the traffic threads, which end with their last request. The
+    // process would exceed its grace time, be killed, and not log which requests it cut off.
     runtime.shutdown_background();
     exit
 }
@@ -84,25 +86,28 @@
     }
 }
 
-/// Reads the settings again and tells what became of it. Addresses and limits hold from a process's
-/// start to its end; the platform restarts a process whose addresses change.
-fn reload(in_force: &flamingowheel_fleet::ProcessSettings) {
+/// Reads the settings again and logs whether they changed. Changes apply at the next start only:
+/// addresses and limits are fixed for a process's lifetime, and the platform restarts a process
+/// whose addresses change.
+fn reload(current: &flamingowheel_fleet::ProcessSettings) {
     match flamingowheel_platform::settings::load() {
-        Ok(settings) if settings == *in_force => tracing::info!("settings read again: unchanged"),
-        Ok(_) => tracing::warn!("settings read again: changes take hold at the next start"),
-        Err(error) => tracing::error!(%error, "settings can't be read; the last ones stay"),
+        Ok(settings) if settings == *current => tracing::info!("settings read again: unchanged"),
+        Ok(_) => tracing::warn!("settings read again: changes apply at the next start"),
+        Err(error) => {
+            tracing::error!(%error, "settings can't be read; the current ones stay in force")
+        }
     }
 }
 
-/// Runs the demo.
+/// Runs the demo fleet, or with `once` only its checks.
 pub fn demo(once: bool, lose_agent: bool) -> Result<Exit> {
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
     runtime.block_on(async {
         let mut fleet = demo::Fleet::start().await?;
         if once {
-            let shown = demo::once::run(&fleet).await?;
+            let passed = demo::once::run(&fleet).await?;
             fleet.leave().await;
-            return Ok(if shown { Exit::Success } else { Exit::DemoFailed });
+            return Ok(if passed { Exit::Success } else { Exit::DemoFailed });
         }
         print!("{}", fleet.guide());
         let lost = async {
@@ -124,7 +129,7 @@
     })
 }
 
-/// The exit code that tells why a run failed.
+/// The exit code for an error that ended a run.
 pub fn exit_for(error: &eyre::Report) -> Exit {
     if error.downcast_ref::<SettingsError>().is_some()
         || error.downcast_ref::<flamingowheel_platform::SettingsError>().is_some()
@@ -137,12 +142,12 @@
     }
 }
 
-/// None waits for everything, however long.
+/// How long a leaving process may drain. A setting of 0 means no limit, `None`.
 fn drain_deadline(settings: &Settings) -> Option<Duration> {
     (settings.drain_deadline_ms > 0).then(|| Duration::from_millis(settings.drain_deadline_ms))
 }
 
-/// Termination signals.
+/// Receives SIGTERM and SIGINT.
 struct Signals {
     terminate: Signal,
     interrupt: Signal,
@@ -163,15 +168,16 @@
         }
     }
 
-    /// Waits for the leave. A second signal hurries it, a third ends the process.
-    async fn until_done<F>(&mut self, leaving: F, hurry: &CancellationToken) -> Result<Exit>
+    /// Waits until `leaving` is done. One more signal cancels `skip_ttl_wait`, the next one ends the
+    /// wait.
+    async fn until_done<F>(&mut self, leaving: F, skip_ttl_wait: &CancellationToken) -> Result<Exit>
     where
         F: Future<Output = ()>,
     {
         tokio::pin!(leaving);
         tokio::select! {
             () = &mut leaving => return Ok(Exit::Success),
-            () = self.next() => hurry.cancel(),
+            () = self.next() => skip_ttl_wait.cancel(),
         }
         tokio::select! {
             () = &mut leaving => Ok(Exit::Success),
--- a/crates/flamingowheeld/src/threads.rs
+++ b/crates/flamingowheeld/src/threads.rs
@@ -1,10 +1,10 @@
-//! One thread for control state, beside those of the traffic runtime.
+//! Runs control tasks on a thread apart from the traffic runtime.
 
 use std::future::Future;
 use std::io;
 
-/// Runs a future on a thread of its own, until it ends. Control decisions then don't wait behind
-/// traffic, and traffic does not wait behind them.
+/// Runs a future to its end on a new thread with its own runtime, so that control decisions and
+/// traffic don't delay each other.
 pub fn spawn_control<F, T>(name: &str, build: F) -> io::Result<()>
 where
     F: FnOnce() -> T + Send + 'static,
--- a/crates/flamingowheeld/tests/discovery.rs
+++ b/crates/flamingowheeld/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! Agents found through a VM list that is wrong.
+//! Discovery of agents with a faulty VM list, silent peers and leaving VMs.
 
 use flamingowheel_backing::BoxFuture;
 use flamingowheel_backing::fake::FakeVmList;
@@ -44,55 +44,56 @@
     }
 }
 
-/// Counts the tries to connect; none succeeds.
+/// Counts the attempts to connect; none succeeds.
 #[derive(Default)]
-struct Tries(AtomicUsize);
+struct FailingConnector(AtomicUsize);
 
-impl Connector for Tries {
+impl Connector for FailingConnector {
     fn connect(&self, _address: SocketAddr) -> BoxFuture<'_, Result<AgentLink, HandshakeError>> {
         self.0.fetch_add(1, Ordering::Relaxed);
         Box::pin(async { Err(HandshakeError::TimedOut) })
     }
 }
 
-// The list's service restarts and answers with an empty list for a while. An entry that believed it
-// would give up all agents at once, and refuse every request.
+// The VM list's service restarts and returns an empty list for a while. An entry that applied it would
+// drop all agents at once and refuse every request.
 #[tokio::test(start_paused = true)]
-async fn run_empty_list_not_taken() {
+async fn run_empty_list_ignored() {
     let vm = Vm {
         name: "vm-1".to_owned(),
         ip: Ipv4Addr::new(127, 0, 2, 1).into(),
         data_centre: "a".to_owned(),
         state: VmState::Live,
     };
-    let (list, tries) = (FakeVmList::new(vec![vm]), Arc::new(Tries::default()));
-    let connector: Arc<dyn Connector> = Arc::clone(&tries) as Arc<dyn Connector>;
+    let (list, attempts) = (FakeVmList::new(vec![vm]), Arc::new(FailingConnector::default()));
+    let connector: Arc<dyn Connector> = Arc::clone(&attempts) as Arc<dyn Connector>;
     let agents = Agents::new(connector, Arc::new(Router::default()), Recorder::for_tests("entry"));
     let book = Arc::new(AddressBook::new(&[], Vec::new()));
     let discovery = Discovery {
-        list: Arc::new(list.clone()),
+        vm_list: Arc::new(list.clone()),
         agents: Arc::new(agents),
         node: Node::new(record("entry"), Recorder::for_tests("entry")),
-        book: Arc::new(move || Arc::clone(&book)),
-        clock: Arc::new(|| 0),
+        address_book: Arc::new(move || Arc::clone(&book)),
+        fleet_clock_ms: Arc::new(|| 0),
         inner_port: 7_400,
-        own: Ipv4Addr::new(127, 0, 1, 1).into(),
-        interval: Duration::from_secs(1),
+        own_ip: Ipv4Addr::new(127, 0, 1, 1).into(),
+        read_interval: Duration::from_secs(1),
     };
     tokio::spawn(discovery.run());
     sleep(Duration::from_secs(5)).await;
     list.set(Vec::new());
     sleep(Duration::from_secs(5)).await;
-    let before = tries.0.load(Ordering::Relaxed);
+    let before = attempts.0.load(Ordering::Relaxed);
     sleep(Duration::from_secs(10)).await;
-    assert!(tries.0.load(Ordering::Relaxed) > before);
+    assert!(attempts.0.load(Ordering::Relaxed) > before);
 }
 
-/// Agents in memory: each answers every connection, and notes when it was told to leave.
+/// In-memory agents: each accepts every connection and records when it was first notified that its VM
+/// is leaving.
 #[derive(Clone, Default)]
-struct Plain {
-    told: Arc<Mutex<HashMap<SocketAddr, Instant>>>,
-    opened: Arc<AtomicUsize>,
+struct FakeAgents {
+    notified_at: Arc<Mutex<HashMap<SocketAddr, Instant>>>,
+    connection_count: Arc<AtomicUsize>,
 }
 
 fn agent_ip(number: usize) -> Ipv4Addr {
@@ -103,9 +104,9 @@
     format!("agent-{}", address.ip())
 }
 
-impl Connector for Plain {
+impl Connector for FakeAgents {
     fn connect(&self, address: SocketAddr) -> BoxFuture<'_, Result<AgentLink, HandshakeError>> {
-        self.opened.fetch_add(1, Ordering::Relaxed);
+        self.connection_count.fetch_add(1, Ordering::Relaxed);
         let serves = Serves::Service { service: "desk".to_owned() };
         let profile = BackendProfile { serves, places: 8, can_resume: false, experts: None };
         let peer = Hello {
@@ -118,7 +119,7 @@
         };
         let (sender, mut outgoing) = mpsc::channel(16);
         let (incoming, receiver) = mpsc::channel(16);
-        let told = Arc::clone(&self.told);
+        let notified_at = Arc::clone(&self.notified_at);
         tokio::spawn(async move {
             let (load, window) = (Load::default(), Window(0));
             let heartbeat =
@@ -126,7 +127,7 @@
             let _ = incoming.send(heartbeat).await;
             while let Some(message) = outgoing.recv().await {
                 if message == EntryMessage::VmLeaving {
-                    told.lock().unwrap().entry(address).or_insert_with(Instant::now);
+                    notified_at.lock().unwrap().entry(address).or_insert_with(Instant::now);
                 }
             }
         });
@@ -134,27 +135,27 @@
     }
 }
 
-const LARGE: usize = 30;
+const ENTRIES: usize = 30;
 const AGENTS: usize = 400;
 
 fn entry_name(number: usize) -> String {
     format!("entry-{number:02}")
 }
 
-/// A node that knows of all entries and agents but hears nobody.
-async fn node_of(number: usize) -> Node {
+/// A node that has a record of every entry but gets no further messages.
+async fn node_with_members(number: usize) -> Node {
     let node = Node::new(record(&entry_name(number)), Recorder::for_tests("entry"));
-    let others = (0..LARGE).filter(|other| *other != number);
-    let news = MembershipUpdate {
+    let others = (0..ENTRIES).filter(|other| *other != number);
+    let updates = MembershipUpdate {
         records: others.map(|o| record(&entry_name(o))).collect(),
         ..MembershipUpdate::default()
     };
     let heartbeat = Heartbeat {
-        from: Sender { name: entry_name(LARGE), incarnation: Incarnation(1) },
+        from: Sender { name: entry_name(ENTRIES), incarnation: Incarnation(1) },
         revision: 0,
         after: 0,
         hold_ms: 0,
-        updates: news,
+        updates,
         agent_digests: Vec::new(),
     };
     node.answer(PeerRequest::Heartbeat(Box::new(heartbeat))).await;
@@ -174,26 +175,26 @@
     Arc::new(AddressBook::new(&[scope], members.collect()))
 }
 
-fn start(node: &Node, list: &FakeVmList, plain: &Plain) -> Arc<Agents> {
-    let (connector, recorder) = (Arc::new(plain.clone()), Recorder::for_tests("entry"));
+fn start_discovery(node: &Node, list: &FakeVmList, fake_agents: &FakeAgents) -> Arc<Agents> {
+    let (connector, recorder) = (Arc::new(fake_agents.clone()), Recorder::for_tests("entry"));
     let agents = Arc::new(Agents::new(connector, Arc::new(Router::default()), recorder));
-    let (own, began) = (node.clone(), Instant::now());
-    let built = Mutex::new((0, book(node)));
+    let (book_node, began) = (node.clone(), Instant::now());
+    let cache = Mutex::new((0, book(node)));
     let discovery = Discovery {
-        list: Arc::new(list.clone()),
+        vm_list: Arc::new(list.clone()),
         agents: Arc::clone(&agents),
         node: node.clone(),
-        book: Arc::new(move || {
-            let mut built = built.lock().unwrap();
-            if built.0 != own.table_version() {
-                *built = (own.table_version(), book(&own));
+        address_book: Arc::new(move || {
+            let mut cache = cache.lock().unwrap();
+            if cache.0 != book_node.table_version() {
+                *cache = (book_node.table_version(), book(&book_node));
             }
-            Arc::clone(&built.1)
+            Arc::clone(&cache.1)
         }),
-        clock: Arc::new(move || began.elapsed().as_millis() as u64),
+        fleet_clock_ms: Arc::new(move || began.elapsed().as_millis() as u64),
         inner_port: 7_400,
-        own: Ipv4Addr::new(127, 0, 1, 1).into(),
-        interval: Duration::from_secs(1),
+        own_ip: Ipv4Addr::new(127, 0, 1, 1).into(),
+        read_interval: Duration::from_secs(1),
     };
     tokio::spawn(discovery.run());
     agents
@@ -204,62 +205,62 @@
     Vm { name, ip: agent_ip(number).into(), data_centre, state }
 }
 
-// The peers are silent from the start, and nobody tells this entry of any agent. It still finds
-// all in its own turns, and links to those of its cells only.
+// The peers are silent from the start, so this entry learns of no agent from them. It must still find
+// all agents in its own turns, and link only to those of its cells.
 #[tokio::test(start_paused = true)]
 async fn run_peers_silent_finds_agents() {
     let list = FakeVmList::new((0..AGENTS).map(|number| vm(number, VmState::Live)).collect());
-    let (node, plain) = (node_of(0).await, Plain::default());
-    let agents = start(&node, &list, &plain);
+    let (node, fake_agents) = (node_with_members(0).await, FakeAgents::default());
+    let agents = start_discovery(&node, &list, &fake_agents);
     sleep(Duration::from_secs(300)).await;
     assert_eq!(node.agents().len(), AGENTS);
     let linked = agents.connected().len();
-    let own = book(&node).servers_of(&entry_name(0)).unwrap().len();
-    assert_eq!(linked, own);
+    let in_cells = book(&node).servers_of(&entry_name(0)).unwrap().len();
+    assert_eq!(linked, in_cells);
     assert!((1..AGENTS).contains(&linked), "{linked}");
     let calls = list.calls();
     sleep(Duration::from_secs(300)).await;
     assert_eq!(list.calls() - calls, 10);
 }
 
-// A VM is taken away. Most entries have no link to its agent, and in most seconds none of those
-// that have reads the list; without a notice the agent would take new work until it is cut off.
+// A VM is leaving. Most entries have no link to its agent, and in most seconds the entry that reads the
+// list is one of these. Without a notice the agent would accept new work until it is cut off.
 #[tokio::test(start_paused = true)]
 async fn run_leaving_vm_told_in_time() {
     let list = FakeVmList::new((0..AGENTS).map(|number| vm(number, VmState::Live)).collect());
-    let plain = Plain::default();
+    let fake_agents = FakeAgents::default();
     let mut links = Vec::new();
-    for number in 0..LARGE {
-        let node = node_of(number).await;
+    for number in 0..ENTRIES {
+        let node = node_with_members(number).await;
         for agent in 0..AGENTS {
             let address = SocketAddr::new(agent_ip(agent).into(), 7_400);
-            let hello = plain.connect(address).await.unwrap().peer;
+            let hello = fake_agents.connect(address).await.unwrap().peer;
             node.record_agent(address, &hello);
         }
-        links.push(start(&node, &list, &plain));
+        links.push(start_discovery(&node, &list, &fake_agents));
     }
     sleep(Duration::from_secs(40)).await;
     for (turn, number) in [7, 190, 311].into_iter().enumerate() {
         sleep(Duration::from_millis(300 + 350 * turn as u64)).await;
         list.set((0..AGENTS).map(|n| vm(n, state(n == number))).collect());
-        let since = Instant::now();
+        let changed_at = Instant::now();
         sleep(Duration::from_secs(2)).await;
         let address = SocketAddr::new(agent_ip(number).into(), 7_400);
-        let told = plain.told.lock().unwrap().get(&address).copied();
-        assert!(told.is_some_and(|at| at >= since), "{number}");
+        let notified_at = fake_agents.notified_at.lock().unwrap().get(&address).copied();
+        assert!(notified_at.is_some_and(|at| at >= changed_at), "{number}");
     }
 }
 
-// The VM of another entry is taken away. All read the list in turn, so whoever does must say so:
-// callers would be sent to that entry until it is cut off.
+// The VM of another entry is leaving. The entry that reads the list in its turn must record this, or
+// callers would be sent to the leaving entry until it is cut off.
 #[tokio::test(start_paused = true)]
-async fn run_in_turn_leaving_entry_noted() {
+async fn run_in_rotation_leaving_entry_recorded() {
     let mut vms: Vec<Vm> = (0..10).map(|number| vm(number, VmState::Live)).collect();
     vms[3].name = entry_name(3);
     vms[3].state = VmState::Leaving;
-    let (node, plain) = (node_of(0).await, Plain::default());
-    let _agents = start(&node, &FakeVmList::new(vms), &plain);
-    sleep(Duration::from_secs(LARGE as u64 + 1)).await;
+    let (node, fake_agents) = (node_with_members(0).await, FakeAgents::default());
+    let _agents = start_discovery(&node, &FakeVmList::new(vms), &fake_agents);
+    sleep(Duration::from_secs(ENTRIES as u64 + 1)).await;
     let leaving = |view: &MemberView| view.state == MemberState::Leaving;
     let members = node.members();
     let names: Vec<_> = members.iter().filter(|view| leaving(view)).collect();
--- a/crates/flamingowheeld/tests/keys.rs
+++ b/crates/flamingowheeld/tests/keys.rs
@@ -1,10 +1,10 @@
-//! Callers' idempotency keys on their way to the entry that writes them, over real connections.
+//! Idempotency keys forwarded to the entry that writes them, over real connections.
 
 use flamingowheel_backing::BoxFuture;
 use flamingowheel_backing::fake::FakeKeyValue;
 use flamingowheel_control::node::{KeyBinder, Node};
 use flamingowheel_control::websocket::{WebSocketPeers, serve};
-use flamingowheel_daemon::keys::{KeyPeers, bind_for};
+use flamingowheel_daemon::keys::{KeyPeers, bind_for_peer};
 use flamingowheel_entry::claims::{BindReply, Claim, Claims, ForwardedClaim, Peers, writer_of};
 use flamingowheel_entry::config::EntryConfig;
 use flamingowheel_observe::recorder::Recorder;
@@ -53,14 +53,14 @@
 
 impl KeyBinder for Binder {
     fn bind(&self, claim: StoredValue) -> BoxFuture<'_, StoredValue> {
-        Box::pin(bind_for(&self.0, claim))
+        Box::pin(bind_for_peer(&self.0, claim))
     }
 }
 
-// An entry that does not write itself hands a key to the one that does, over the connections that
-// entries have. A writer that is still starting binds nothing, and must not pass for one that did.
+// An entry that is not the writer forwards a key to the writer. A writer that is still starting can't
+// bind keys; the forwarding entry must not take its answer for a bound key.
 #[tokio::test]
-async fn ask_binds_key_at_writer() {
+async fn forward_binds_key_at_writer() {
     let own = NAMES.into_iter().find(|own| writer_of(own, NAMES) != *own).unwrap();
     let listener = TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -81,18 +81,18 @@
     let (writer_node, writer_identity) = node(&writer);
     tokio::spawn(serve(listener, writer_identity, writer_node.clone(), CancellationToken::new()));
     let claim = Claim::new("ticket".to_owned(), "0".to_owned());
-    let handed = ForwardedClaim {
+    let forwarded = ForwardedClaim {
         key: "key".to_owned(),
         claim: claim.clone(),
         replaces: None,
         wait_ms: 60_000,
     };
-    assert_eq!(peers.forward(&writer, &handed).await, None);
+    assert_eq!(peers.forward(&writer, &forwarded).await, None);
 
     let kv = FakeKeyValue::new();
     let config = EntryConfig::new(&writer, "a", address, FleetKey::new([1; 32]));
     let claims = Claims::start(Arc::new(kv.clone()), &config);
     writer_node.set_key_binder(Arc::new(Binder(claims)));
-    assert_eq!(peers.forward(&writer, &handed).await, Some(BindReply::Bound(claim)));
+    assert_eq!(peers.forward(&writer, &forwarded).await, Some(BindReply::Bound(claim)));
     assert_eq!(kv.peek("key").entries.len(), 1);
 }
--- a/crates/flamingowheeld/tests/placement.rs
+++ b/crates/flamingowheeld/tests/placement.rs
@@ -1,10 +1,10 @@
-//! Maps planned from what a group of stand-in engines counts.
+//! Expert maps planned from the counters of a group of stand-in engines.
 
 use flamingowheel_backing::fake::{EngineSettings, FakeEngine, RankGroup};
 use flamingowheel_backing::orders::{
     EXPERT_BUSY_COUNTER, EngineOrders, ExpertMap, Fence, Order, OrderTarget,
 };
-use flamingowheel_daemon::placement::{Observer, even_map};
+use flamingowheel_daemon::placement::{LoadObserver, even_map};
 use flamingowheel_group::message::RankState;
 use flamingowheel_policy::rebalance::Params;
 use flamingowheel_protocol::message::ExpertShape;
@@ -13,23 +13,23 @@
 
 const SHAPE: ExpertShape = ExpertShape { ranks: 4, layers: 2, experts: 16, slots: 6 };
 const STEPS_PER_PLAN: usize = 50;
-const TOKENS: f64 = 400.0;
+const MAX_TOKENS: f64 = 400.0;
 
 fn tokens(expert: u16) -> f64 {
-    (TOKENS / f64::from(expert + 4)).floor() * 10.0
+    (MAX_TOKENS / f64::from(expert + 4)).floor() * 10.0
 }
 
-struct World {
+struct Simulation {
     group: RankGroup,
-    observer: Observer,
+    observer: LoadObserver,
     map: ExpertMap,
     version: u64,
-    moved: u32,
+    switch_count: u32,
     random: ChaCha8Rng,
     noise: f64,
 }
 
-impl World {
+impl Simulation {
     async fn start(noise: f64) -> Self {
         let engine = |rank| {
             FakeEngine::new(
@@ -37,17 +37,17 @@
                 EngineSettings { starts_held: true, ..EngineSettings::default() },
             )
         };
-        let mut world = Self {
+        let mut simulation = Self {
             group: RankGroup::new((0..SHAPE.ranks).map(engine).collect()),
-            observer: Observer::new(SHAPE),
+            observer: LoadObserver::new(SHAPE),
             map: ExpertMap::default(),
             version: 0,
-            moved: 0,
+            switch_count: 0,
             random: ChaCha8Rng::seed_from_u64(5),
             noise,
         };
-        world.switch(even_map(SHAPE)).await;
-        world
+        simulation.switch(even_map(SHAPE)).await;
+        simulation
     }
 
     async fn switch(&mut self, map: ExpertMap) {
@@ -68,8 +68,9 @@
         self.map = map;
     }
 
-    /// Runs some steps and carries out what is planned after them; returns the mean step time.
-    async fn plan(&mut self, speeds: &[f64]) -> f64 {
+    /// Runs [`STEPS_PER_PLAN`] steps, plans once and switches to the planned map, if any; returns the
+    /// mean step time in microseconds.
+    async fn run_plan(&mut self, speeds: &[f64]) -> f64 {
         let mut total_us = 0;
         for _ in 0..STEPS_PER_PLAN {
             let spread = self.noise * 3f64.sqrt();
@@ -90,13 +91,13 @@
         let states: Vec<RankState> = self.group.ranks().iter().map(state).collect();
         self.observer.observe(&states);
         if let Some(map) = self.observer.better_map(&self.map, &Params::skew_weighted()) {
-            self.moved += 1;
+            self.switch_count += 1;
             self.switch(map).await;
         }
         total_us as f64 / STEPS_PER_PLAN as f64
     }
 
-    /// Part of all tokens that a rank works on.
+    /// Share of all tokens that a rank processes, from 0 to 1.
     fn share_of_rank(&self, rank: usize) -> f64 {
         let mut own = 0.0;
         for ranks in &self.map.layers {
@@ -106,57 +107,57 @@
         own / (0..SHAPE.experts).map(tokens).sum::<f64>() / f64::from(SHAPE.layers)
     }
 
-    async fn plans(&mut self, count: usize, speeds: &[f64]) -> f64 {
+    async fn run_plans(&mut self, count: usize, speeds: &[f64]) -> f64 {
         let mut last = 0.0;
         for _ in 0..count {
-            last = self.plan(speeds).await;
+            last = self.run_plan(speeds).await;
         }
         last
     }
 }
 
 /// One accelerator throttles to less than half its speed. As all ranks step together, every token of the
-/// group takes more than twice as long, until that rank is given less; when it recovers, the others
-/// would go on doing its part.
+/// group takes more than twice as long until that rank gets less work. When it recovers, it must get
+/// its share back.
 #[tokio::test(start_paused = true)]
-async fn better_map_slow_rank_relieved_and_recovered() {
+async fn better_map_slow_rank_gets_less_until_recovered() {
     let even = [1.0; SHAPE.ranks as usize];
     let mut slow = even;
     slow[2] = 0.4;
-    let mut world = World::start(0.1).await;
-    let before = world.plans(6, &even).await;
-    let struck = world.plan(&slow).await;
-    assert!(struck > before * 1.6, "{struck} after {before}");
-    // Counted with the one above, the fourth plan is followed by the first relieved interval.
-    world.plans(3, &slow).await;
-    let relieved = world.plan(&slow).await;
+    let mut simulation = Simulation::start(0.1).await;
+    let before = simulation.run_plans(6, &even).await;
+    let throttled = simulation.run_plan(&slow).await;
+    assert!(throttled > before * 1.6, "{throttled} after {before}");
+    // The rank gets less work after the fourth plan, counting the one above.
+    simulation.run_plans(3, &slow).await;
+    let relieved = simulation.run_plan(&slow).await;
     assert!(relieved < before * 1.3, "{relieved} after {before}");
-    let share_when_slow = world.share_of_rank(2);
-    let recovered = world.plans(5, &even).await;
+    let share_when_slow = simulation.share_of_rank(2);
+    let recovered = simulation.run_plans(5, &even).await;
     assert!(recovered < before * 1.1, "{recovered} after {before}");
-    let share = world.share_of_rank(2);
+    let share = simulation.share_of_rank(2);
     assert!(share_when_slow < 0.17 && share > 0.22, "{share} after {share_when_slow}");
 }
 
-/// Step times flicker while nothing is wrong. Each switch stops the group for a moment.
+/// Step times vary without a fault. The map must not change, as each switch pauses the group.
 #[tokio::test(start_paused = true)]
-async fn better_map_noise_moves_nothing() {
+async fn better_map_noise_causes_no_switch() {
     let even = [1.0; SHAPE.ranks as usize];
-    let mut world = World::start(0.3).await;
-    world.plans(4, &even).await;
-    let settled = world.moved;
-    world.plans(60, &even).await;
-    assert_eq!(world.moved, settled);
+    let mut simulation = Simulation::start(0.3).await;
+    simulation.run_plans(4, &even).await;
+    let switches_before = simulation.switch_count;
+    simulation.run_plans(60, &even).await;
+    assert_eq!(simulation.switch_count, switches_before);
 }
 
-/// One rank's counters jump, as if a report had been counted twice.
+/// One rank's busy time jumps, as if a report had been counted twice. The map must not change.
 #[tokio::test(start_paused = true)]
-async fn better_map_one_bad_report() {
+async fn better_map_one_bad_report_ignored() {
     let even = [1.0; SHAPE.ranks as usize];
-    let mut world = World::start(0.05).await;
-    world.plans(6, &even).await;
-    let settled = world.moved;
-    world.group.ranks()[3].add_to_counter(EXPERT_BUSY_COUNTER, 1_000_000_000);
-    world.plans(6, &even).await;
-    assert_eq!(world.moved, settled);
+    let mut simulation = Simulation::start(0.05).await;
+    simulation.run_plans(6, &even).await;
+    let switches_before = simulation.switch_count;
+    simulation.group.ranks()[3].add_to_counter(EXPERT_BUSY_COUNTER, 1_000_000_000);
+    simulation.run_plans(6, &even).await;
+    assert_eq!(simulation.switch_count, switches_before);
 }
--- a/crates/flamingowheeld/tests/platform.rs
+++ b/crates/flamingowheeld/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The daemon on the platform, as a process of its own.
+//! The daemon with `--platform`, as a separate process.
 
 use flamingowheel_backing::client::http::{HttpClient, HttpLimits, Reuse};
 use http::{Method, StatusCode};
@@ -7,7 +7,7 @@
 use std::io::{BufRead, BufReader};
 use std::process::{Child, ChildStdout, Command, Stdio};
 
-/// Settings of an entry on an address of this test's own. Nothing listens where its store should be.
+/// Settings of an entry on the given IP. Nothing listens at the address of its store.
 fn settings(ip: &str) -> String {
     format!(
         "node=e-1\nip={ip}\nzone=z\nregion=r\nlisten.front={ip}:18227\nlisten.ready={ip}:18220\n\
@@ -27,7 +27,7 @@
 
 impl Drop for Folder {
     fn drop(&mut self) {
-        // A folder left behind does no harm.
+        // The error is ignored: a leftover directory in the temporary directory is harmless.
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
@@ -54,7 +54,7 @@
         entry
     }
 
-    /// Reads lines until one has this message.
+    /// Reads log lines until one whose message begins with `message`.
     fn wait_for(&mut self, message: &str) {
         let wanted = format!("\"message\":\"{message}");
         let mut line = String::new();
@@ -82,16 +82,16 @@
 
 impl Drop for Entry {
     fn drop(&mut self) {
-        // It has ended already where the test went well.
+        // If the test passed, the process has ended already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// The platform announces changed settings by SIGHUP. A process that does not expect the signal ends by
-/// it, and cuts off every stream it carries.
+/// The platform announces changed settings by SIGHUP. A process without a handler for it would be ended
+/// by the signal and cut off all its streams.
 #[tokio::test]
-async fn hangup_process_lives() {
+async fn hangup_process_keeps_running() {
     let mut entry = Entry::start(2);
     assert_eq!(entry.readiness().await, StatusCode::SERVICE_UNAVAILABLE, "no configuration yet");
     entry.signal(Signal::HUP);
@@ -99,9 +99,9 @@
     assert_eq!(entry.readiness().await, StatusCode::SERVICE_UNAVAILABLE);
 }
 
-/// The store is away while an entry is told to stop. It ends by itself all the same, in time.
+/// The store is unreachable when an entry gets SIGTERM. The entry must still exit by itself.
 #[tokio::test]
-async fn terminate_store_away() {
+async fn terminate_store_unreachable() {
     let mut entry = Entry::start(3);
     entry.readiness().await;
     entry.signal(Signal::TERM);
--- a/crates/flamingowheeld/tests/processes/fleet.rs
+++ b/crates/flamingowheeld/tests/processes/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of real daemon processes on loopback, before stand-ins in the test's own process.
+//! A fleet of real daemon processes on loopback, with stand-ins in the test's process.
 
 use flamingowheel_backing::fake::engine::EngineSettings;
 use flamingowheel_backing::fake::{FakeEngine, FakeKeyValue, FakeService, FakeVmList};
@@ -20,8 +20,8 @@
 use tokio::time::{sleep, timeout};
 use tokio_util::sync::{CancellationToken, DropGuard};
 
-/// Long enough for a busy machine. Nothing is expected to take as long.
-pub const PATIENCE: Duration = Duration::from_secs(60);
+/// Timeout of every wait; generous, for busy machines.
+pub const TIMEOUT: Duration = Duration::from_secs(60);
 
 pub const WORKSPACE: &str = "peachline";
 pub const MODEL: &str = "notes";
@@ -33,7 +33,7 @@
 const OPERATORS_TOKEN: &str = "operators-token-of-the-test";
 const TOKEN_DELAY: Duration = Duration::from_millis(20);
 
-// Below the ports that the kernel hands out by itself.
+// Below the kernel's range of ephemeral ports.
 const INNER_PORT: u16 = 17_400;
 const CALLERS_PORT: u16 = 17_401;
 const OPERATORS_PORT: u16 = 17_402;
@@ -50,7 +50,7 @@
         Self { child: command.spawn().unwrap() }
     }
 
-    /// Ends it at once, with all that it knows.
+    /// Kills the process, which loses all its state.
     pub fn kill(&mut self) {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
@@ -61,7 +61,7 @@
         kill_process(pid, signal).unwrap();
     }
 
-    pub async fn ended(&mut self) -> ExitStatus {
+    pub async fn wait_for_exit(&mut self) -> ExitStatus {
         let waiting = async {
             loop {
                 match self.child.try_wait().unwrap() {
@@ -70,7 +70,7 @@
                 }
             }
         };
-        timeout(PATIENCE, waiting).await.expect("the process ends")
+        timeout(TIMEOUT, waiting).await.expect("the process ends")
     }
 }
 
@@ -81,12 +81,12 @@
     }
 }
 
-/// The whole fleet: two entries, and agents before two engines and two plain services.
+/// Two entries, and agents beside two engines and two plain services.
 pub struct Fleet {
     pub entries: Vec<Process>,
-    /// Agents before the engines.
+    /// Agents beside the engines.
     pub engine_agents: Vec<Process>,
-    /// Agents before the services.
+    /// Agents beside the services.
     pub service_agents: Vec<Process>,
     pub engines: Vec<FakeEngine>,
     pub services: Vec<FakeService>,
@@ -100,8 +100,8 @@
 }
 
 impl Fleet {
-    /// Starts every process and waits until every entry can serve. `network` tells fleets of
-    /// one test program apart.
+    /// Starts every process and waits until every entry can serve. `network` must be unique for each
+    /// fleet of a test program, as it selects the fleet's IPs.
     pub async fn start(network: u8) -> Self {
         let stop = CancellationToken::new();
         let (key_value, vm_list) = (listener().await, listener().await);
@@ -132,7 +132,7 @@
             fleet.entries.push(entry);
         }
         for number in 0..ENTRIES {
-            fleet.ready(number).await;
+            fleet.wait_ready(number).await;
         }
         fleet
     }
@@ -168,7 +168,7 @@
         }
     }
 
-    fn start_process(&self, number: u8, role: &str, own: &str) -> Process {
+    fn start_process(&self, number: u8, role: &str, role_settings: &str) -> Process {
         let ip = self.ip(number);
         let callers = match role {
             "entry" => format!("callers: \"{ip}:{CALLERS_PORT}\", "),
@@ -181,7 +181,7 @@
              listen: {{{callers}inner: \"{ip}:{INNER_PORT}\", operators: \"{ip}:{OPERATORS_PORT}\"}}\n\
              key_value: {{addresses: [\"{}\"]}}\nvm_list: {{address: \"{}\"}}\n\
              fleet_key: {{inline: a-fleet-key-of-32-characters-long}}\n\
-             operators_token: {{inline: {OPERATORS_TOKEN}}}\n{own}\n",
+             operators_token: {{inline: {OPERATORS_TOKEN}}}\n{role_settings}\n",
             self.key_value_address,
             self.vm_list,
             peers = peers.collect::<Vec<_>>().join(", "),
@@ -191,7 +191,8 @@
         Process::start(&file)
     }
 
-    /// Test programs that run at the same time must not meet, so the process id is in the address.
+    /// The IP is derived from the process id, so that test programs that run at the same time don't use
+    /// the same addresses.
     fn ip(&self, number: u8) -> IpAddr {
         let id = std::process::id();
         let (high, low) = ((id >> 8) % 100, id % 256);
@@ -212,16 +213,16 @@
         self.start_process(number, "entry", "entry: {address_ttl_s: 1}")
     }
 
-    /// Starts a fresh process in place of one that is gone.
+    /// Kills an entry and starts a new process in its place.
     pub fn replace_entry(&mut self, number: u8) {
         self.entries[usize::from(number)].kill();
         self.entries[usize::from(number)] = self.start_entry(number);
     }
 
-    /// Waits until an entry has a configuration in force and reaches everybody.
-    pub async fn ready(&self, number: u8) -> StatusAnswer {
+    /// Waits until an entry has a configuration in force and sees every process live.
+    pub async fn wait_ready(&self, number: u8) -> StatusAnswer {
         let mut found = None;
-        until("the entry serves", async || {
+        wait_until("the entry serves", async || {
             found = self.status(number).await.filter(|status| {
                 let live = status.processes.iter().filter(|p| p.state == ProcessState::Live);
                 status.revision.0 > 0 && live.count() == usize::from(ENTRIES + 2 * SERVERS)
@@ -250,20 +251,20 @@
         let path = format!("/v1/services/{SERVICE}/orders");
         let body = order.to_owned().into();
         let sent = self.caller.call(Method::POST, self.entry(entry), &path, headers, body);
-        timeout(PATIENCE, sent).await.expect("an answer in time").unwrap()
+        timeout(TIMEOUT, sent).await.expect("an answer in time").unwrap()
     }
 
-    /// Takes a ticket for one work order.
-    pub async fn take_ticket(&self, entry: u8) -> String {
+    /// Requests a ticket for one work order.
+    pub async fn request_ticket(&self, entry: u8) -> String {
         let path = format!("/v1/tickets?service={SERVICE}");
         let address = self.entry(entry);
         let asked = self.caller.call(Method::POST, address, &path, &[], Default::default());
-        let reply = timeout(PATIENCE, asked).await.expect("an answer in time").unwrap();
+        let reply = timeout(TIMEOUT, asked).await.expect("an answer in time").unwrap();
         let issued: IssuedTicket = serde_json::from_slice(&reply.body).unwrap();
         issued.ticket
     }
 
-    /// How often a work order was carried out.
+    /// How often a work order was executed.
     pub fn executions(&self, order: &str) -> u32 {
         self.services.iter().map(|service| service.executions(order.as_bytes())).sum()
     }
@@ -275,8 +276,8 @@
     }
 }
 
-/// Waits until something holds that the processes bring about in their own time.
-pub async fn until<Holds>(what: &str, mut holds: Holds)
+/// Polls a condition until it holds; fails with `what` after [`TIMEOUT`].
+pub async fn wait_until<Holds>(what: &str, mut holds: Holds)
 where
     Holds: AsyncFnMut() -> bool,
 {
@@ -285,7 +286,7 @@
             sleep(Duration::from_millis(10)).await;
         }
     };
-    assert!(timeout(PATIENCE, waiting).await.is_ok(), "{what}");
+    assert!(timeout(TIMEOUT, waiting).await.is_ok(), "{what}");
 }
 
 async fn listener() -> TcpListener {
--- a/crates/flamingowheeld/tests/processes/main.rs
+++ b/crates/flamingowheeld/tests/processes/main.rs
@@ -1,4 +1,4 @@
-//! Daemons as separate processes that are killed, stopped for a while and told to leave.
+//! Daemons as separate processes that are killed, suspended and terminated.
 
 mod fleet;
 
@@ -8,7 +8,7 @@
 use flamingowheel_entry::http::{
     LAST_EVENT_HEADER, RESUMABLE_HEADER, STREAM_HEADER, TICKET_HEADER, TIMEOUT_HEADER,
 };
-use fleet::{Fleet, MODEL, PATIENCE, SERVERS, until};
+use fleet::{Fleet, MODEL, SERVERS, TIMEOUT, wait_until};
 use http::{Method, Response};
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
@@ -31,27 +31,31 @@
     let headers = [(RESUMABLE_HEADER, "yes")];
     let address = fleet.entry(entry);
     let opened = fleet.caller.open(Method::POST, address, CHAT_PATH, &headers, body.clone());
-    timeout(PATIENCE, opened).await.expect("a head in time").unwrap()
+    timeout(TIMEOUT, opened).await.expect("a head in time").unwrap()
 }
 
-/// Reads until `enough` bytes came or the body ended; `Err` tells that it broke off.
-async fn read(body: &mut Incoming, read: &mut BytesMut, enough: usize) -> Result<(), hyper::Error> {
-    while read.len() < enough {
-        match timeout(PATIENCE, body.frame()).await.expect("a byte in time") {
-            Some(frame) => read.extend_from_slice(frame?.data_ref().unwrap_or(&Bytes::new())),
+/// Reads until `buffer` has `enough` bytes or the body has ended; `Err` if the connection failed.
+async fn read(
+    body: &mut Incoming,
+    buffer: &mut BytesMut,
+    enough: usize,
+) -> Result<(), hyper::Error> {
+    while buffer.len() < enough {
+        match timeout(TIMEOUT, body.frame()).await.expect("a byte in time") {
+            Some(frame) => buffer.extend_from_slice(frame?.data_ref().unwrap_or(&Bytes::new())),
             None => return Ok(()),
         }
     }
     Ok(())
 }
 
-/// The engine's own events, without what the entry adds, and the last id that is followed by a
-/// whole event.
+/// The `data:` lines of all complete events, without the events that the entry adds, and the id of the
+/// last complete event.
 fn events(bytes: &[u8]) -> (String, Option<u64>) {
     let (mut data, mut last) = (String::new(), None);
     let text = String::from_utf8_lossy(bytes);
-    let Some((whole, _)) = text.rsplit_once("\n\n") else { return (data, last) };
-    for event in whole.split("\n\n") {
+    let Some((complete_events, _)) = text.rsplit_once("\n\n") else { return (data, last) };
+    for event in complete_events.split("\n\n") {
         for line in event.lines() {
             if let Some(id) = line.strip_prefix("id:") {
                 last = id.trim().parse().ok();
@@ -63,13 +67,13 @@
     (data, last)
 }
 
-fn whole_answer(body: &[u8]) -> String {
+fn complete_answer(body: &[u8]) -> String {
     String::from_utf8(text::whole_stream(body, 0).concat()).unwrap()
 }
 
-// A dispatcher files a payout under a key. The entry's process is killed while the service works on
-// it, so the dispatcher sees a broken connection and files it again through another entry. A second
-// run would pay twice.
+// A caller files a payout with an idempotency key. The entry is killed while the service works on it,
+// so the caller sees a broken connection and files it again through another entry. A second run would
+// pay twice.
 #[tokio::test(flavor = "multi_thread")]
 async fn payout_entry_killed_runs_once() {
     let mut fleet = Fleet::start(1).await;
@@ -82,7 +86,7 @@
         let path = "/v1/services/orders/orders";
         caller.call(Method::POST, address, path, &key, Bytes::from_static(ORDER.as_bytes())).await
     });
-    until("it is carried out", async || fleet.executions(ORDER) == 1).await;
+    wait_until("it is carried out", async || fleet.executions(ORDER) == 1).await;
     fleet.entries[0].kill();
     assert!(first.await.unwrap().is_err(), "the connection breaks");
 
@@ -91,10 +95,10 @@
     assert_eq!(fleet.executions(ORDER), 1);
 }
 
-// An editor's stream runs through an entry whose process is killed. The desk tool asks the other
-// entry for the rest. A missing or repeated word would go to print.
+// The entry of a stream is killed, and the caller resumes the stream through the other entry. The two
+// parts must form the complete answer without missing or repeated events.
 #[tokio::test(flavor = "multi_thread")]
-async fn stream_entry_killed_goes_on_through_another() {
+async fn stream_entry_killed_resumes_through_another() {
     let mut fleet = Fleet::start(2).await;
     let body = prompt(100);
     let response = open(&fleet, 0, &body).await;
@@ -111,15 +115,15 @@
     let headers = [(LAST_EVENT_HEADER, last.as_str())];
     let entry = fleet.entry(1);
     let asked = fleet.caller.call(Method::GET, entry, &path, &headers, Bytes::new());
-    let resumed = timeout(PATIENCE, asked).await.unwrap().unwrap();
+    let resumed = timeout(TIMEOUT, asked).await.unwrap().unwrap();
     data += &events(&resumed.body).0;
-    assert_eq!(data, whole_answer(&body));
+    assert_eq!(data, complete_answer(&body));
 }
 
-// An agent and an entry are told to leave while a summary streams through both. The technician
-// gets all of it, both processes end well, and the next request goes elsewhere.
+// An agent and an entry get SIGTERM while a stream runs through both. The stream must complete, both
+// processes must exit with success, and the next request must be served by other processes.
 #[tokio::test(flavor = "multi_thread")]
-async fn stream_processes_leave_ends_whole() {
+async fn stream_processes_leave_completes() {
     let mut fleet = Fleet::start(3).await;
     let body = prompt(150);
     let response = open(&fleet, 0, &body).await;
@@ -133,28 +137,28 @@
     let next = prompt(3);
     let address = fleet.entry(1);
     let other = fleet.caller.call(Method::POST, address, CHAT_PATH, &[], next.clone());
-    let other = timeout(PATIENCE, other).await.unwrap().unwrap();
-    assert_eq!(other.text(), whole_answer(&next));
+    let other = timeout(TIMEOUT, other).await.unwrap().unwrap();
+    assert_eq!(other.text(), complete_answer(&next));
     read(&mut stream, &mut answer, usize::MAX).await.unwrap();
-    assert_eq!(events(&answer).0, whole_answer(&body));
-    assert!(fleet.engine_agents[busy].ended().await.success());
-    assert!(fleet.entries[0].ended().await.success());
+    assert_eq!(events(&answer).0, complete_answer(&body));
+    assert!(fleet.engine_agents[busy].wait_for_exit().await.success());
+    assert!(fleet.entries[0].wait_for_exit().await.success());
 }
 
-// An agent's process stands still while its service carries a work order out. The dispatcher is
-// told that nobody can know yet, not that it did not run. When the process goes on, the same ticket
-// gets the answer of that one run.
+// An agent is suspended while its service executes a work order. The caller must get the outcome
+// unknown, not "not run". When the agent continues, the same ticket must get the answer of that one
+// run.
 #[tokio::test(flavor = "multi_thread")]
-async fn work_order_agent_stopped_told_unknown_then_answered() {
+async fn work_order_agent_suspended_unknown_then_answered() {
     let fleet = Fleet::start(4).await;
     for service in &fleet.services {
         service.set_delay(Duration::from_millis(1_000));
     }
-    let ticket = fleet.take_ticket(0).await;
+    let ticket = fleet.request_ticket(0).await;
     let headers = [(TICKET_HEADER, ticket.as_str()), (TIMEOUT_HEADER, "5000")];
     let filed = fleet.file(0, ORDER, &headers);
     let stopped = async {
-        until("it is carried out", async || fleet.executions(ORDER) == 1).await;
+        wait_until("it is carried out", async || fleet.executions(ORDER) == 1).await;
         fleet.service_agents.iter().for_each(|agent| agent.signal(Signal::STOP));
     };
     let (reply, ()) = tokio::join!(filed, stopped);
@@ -162,7 +166,7 @@
 
     fleet.service_agents.iter().for_each(|agent| agent.signal(Signal::CONT));
     let headers = [(TICKET_HEADER, ticket.as_str())];
-    until("the stored answer comes", async || {
+    wait_until("the stored answer comes", async || {
         let again = fleet.file(1, ORDER, &headers).await;
         again.outcome() == "complete"
     })
@@ -170,19 +174,19 @@
     assert_eq!(fleet.executions(ORDER), 1);
 }
 
-// The key-value service is down when an entry's VM is replaced. The fresh process has nothing but
-// its settings. Dispatchers that have its address must be served all the same, and operators must
-// see that what it has in force came from another entry only.
+// The key-value service is down when an entry is replaced, so the new process has nothing but its
+// settings. It must get its configuration from the other entry and serve callers, and its status must
+// show that the configuration came from peers only.
 #[tokio::test(flavor = "multi_thread")]
 async fn entry_replaced_key_value_down_serves_from_peers() {
     let mut fleet = Fleet::start(5).await;
     fleet.key_value.set_down(true);
     fleet.replace_entry(1);
-    let status = fleet.ready(1).await;
+    let status = fleet.wait_ready(1).await;
     assert_eq!(status.source, ConfigSource::PeersOnly);
-    assert_eq!(status.revision, fleet.ready(0).await.revision);
+    assert_eq!(status.revision, fleet.wait_ready(0).await.revision);
 
-    let ticket = fleet.take_ticket(1).await;
+    let ticket = fleet.request_ticket(1).await;
     let headers = [(TICKET_HEADER, ticket.as_str())];
     let first = fleet.file(1, ORDER, &headers).await;
     let again = fleet.file(0, ORDER, &headers).await;
--- a/crates/flamingowheeld/tests/settings.rs
+++ b/crates/flamingowheeld/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Starts that must fail with a clear word.
+//! Starts that must fail with a clear error.
 
 use flamingowheel_config::settings::{Settings, SettingsError};
 use flamingowheel_daemon::agent::{AgentProcess, recorder};
@@ -17,12 +17,12 @@
     )
 }
 
-// Another process holds the port, for example an older one that is still draining. The daemon must
-// say which address, and for what.
+// Another process uses the port, for example an older one that is still draining. The error must name
+// the address.
 #[tokio::test]
 async fn start_address_in_use() {
-    let taken = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let address = taken.local_addr().unwrap();
+    let occupied = TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let address = occupied.local_addr().unwrap();
     let text = settings(&address.to_string());
     let settings = Settings::parse(&text, Path::new("agent.yaml")).unwrap();
     let started = AgentProcess::start(&settings, recorder(&settings).unwrap()).await;
@@ -30,7 +30,7 @@
     assert!(matches!(error, StartError::Bind { address: named, .. } if named == address));
 }
 
-// A misspelt key would otherwise leave its default in force without a word.
+// A misspelt key would otherwise be ignored silently and its default used.
 #[test]
 fn parse_unknown_key_names_its_line() {
     let text = settings("127.0.0.1:0") + "drain_deadline: 5\n";
--- a/crates/flamingowheeld/tests/soak.rs
+++ b/crates/flamingowheeld/tests/soak.rs
@@ -1,11 +1,11 @@
-//! A short run of the fault soak with the daemon that was just built.
+//! A short run of the fault-injection soak test with the daemon from this build.
 
 use flamingowheel_soak::cli::Options;
 use flamingowheel_soak::run;
 
-/// Entries are killed, stopped, paused and restarted, the store fails in every way and connections go
-/// silent, all at once. Whatever callers are told must be true: no work order runs twice, no
-/// refused one ran, no part of an answer passes for the whole.
+/// Entries are killed, stopped, paused and restarted while the store fails in every way and connections
+/// go silent. Reported outcomes must be true: no work order runs twice, no refused one has run, and
+/// no partial answer counts as complete.
 #[tokio::test(flavor = "multi_thread")]
 async fn seed_short_run() {
     let options = Options {
@@ -22,6 +22,6 @@
     let tally = run::seed(&options, options.seed, &folder).await.unwrap();
     assert!(tally.violations.is_empty(), "{tally}\nlogs: {}", folder.display());
     assert!(tally.served > 0, "{tally}");
-    // A folder left behind does no harm.
+    // The error is ignored: a leftover directory in the temporary directory is harmless.
     let _ = std::fs::remove_dir_all(&folder);
 }
--- a/crates/flamingowheeld/tests/stop.rs
+++ b/crates/flamingowheeld/tests/stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop of an entry on the platform, with a request that outlasts it.
+//! A planned stop of an entry on the platform while a request takes longer than the grace time.
 
 use flamingowheel_backing::client::http::{HttpClient, HttpLimits, Reuse};
 use flamingowheel_backing::fake::FakeKeyValue;
@@ -18,8 +18,8 @@
 
 const API_KEY: &str = "k";
 const GRACE_S: u64 = 4;
-/// Longer than the grace time by far.
-const WORK: Duration = Duration::from_secs(60);
+/// Far longer than the grace time.
+const WORK_DURATION: Duration = Duration::from_secs(60);
 const WORK_LIMIT_MS: u64 = 60_000;
 
 async fn write(kv: &FakeKeyValue, key: &str, value: String) {
@@ -28,9 +28,9 @@
     kv.transact(transaction).await.unwrap();
 }
 
-/// A backend server still works on a request when the time to stop is over. The process has to end by
-/// itself all the same: killed by the platform, it loses its last log lines, and whoever looks
-/// for the reason of the cut finds none.
+/// A backend server still works on a request when the grace time is over. The process must exit by
+/// itself before: if the platform kills it, its last log lines are lost, and with them the reason
+/// why the request was cut off.
 #[tokio::test(flavor = "multi_thread")]
 async fn stop_ends_within_grace() {
     let kv = FakeKeyValue::new();
@@ -40,7 +40,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let server_address = listener.local_addr().unwrap();
     let ledger = Ledger::default();
-    tokio::spawn(PlatformServer::new("s-1", ledger.clone(), WORK, 4).serve(listener));
+    tokio::spawn(PlatformServer::new("s-1", ledger.clone(), WORK_DURATION, 4).serve(listener));
     write(&kv, &server_key("s-1"), server_entry(server_address, 4, false)).await;
     write(&kv, CONFIGURATION_KEY, configuration(1, API_KEY, WORK_LIMIT_MS)).await;
 
@@ -71,13 +71,13 @@
         tokio::task::yield_now().await;
     }
     daemon.signal(Signal::TERM);
-    let told = Instant::now();
-    while daemon.is_running() && told.elapsed() < Duration::from_secs(GRACE_S + 2) {
+    let signalled_at = Instant::now();
+    while daemon.is_running() && signalled_at.elapsed() < Duration::from_secs(GRACE_S + 2) {
         tokio::task::yield_now().await;
     }
-    let took = told.elapsed();
+    let took = signalled_at.elapsed();
     caller.abort();
     assert!(took < Duration::from_secs(GRACE_S), "the process ended after {took:?}");
-    // A folder left behind does no harm.
+    // The error is ignored: a leftover directory in the temporary directory is harmless.
     let _ = std::fs::remove_dir_all(&folder);
 }
