--- a/crates/control/tests/operators.rs
+++ b/crates/control/tests/operators.rs
@@ -85,7 +85,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn apply_names_processes_without_the_change() {
-    // Guards against reporting "everywhere" while one entry is partitioned and has not answered.
+    // One entry is partitioned. The operator must not be told "everywhere" without that entry being
+    // listed as silent.
     let fleet = Fleet::start(6, 1).await;
     fleet.network.cut(fleet.entry(4).address);
     let answer = apply(fleet.entry(2), "wait_ms=3000", TEMPLATE).await;
