--- a/crates/flamingowheel/src/cli.rs
+++ b/crates/flamingowheel/src/cli.rs
@@ -29,7 +29,7 @@
     Option(#[from] pico_args::Error),
     /// Something was left over.
     #[error("`{0}` is not understood here; see --help")]
-    Leftover(String),
+    UnexpectedArgument(String),
 }
 
 /// What the program is asked to do.
@@ -40,12 +40,12 @@
     /// Print the version.
     Version,
     /// Run a command.
-    Run(Box<Typed>),
+    Run(Box<Args>),
 }
 
 /// A command with the options that all commands have.
 #[derive(Debug)]
-pub struct Typed {
+pub struct Args {
     /// `--entry`, each time it was given.
     pub entries: Vec<String>,
     /// `--token-file`.
@@ -55,14 +55,14 @@
     /// `--json`.
     pub json: bool,
     /// The subcommand.
-    pub command: TypedCommand,
+    pub command: Subcommand,
 }
 
 /// A subcommand as typed.
 #[derive(Debug)]
-pub enum TypedCommand {
+pub enum Subcommand {
     /// `apply`.
-    Apply(TypedApply),
+    Apply(ApplyArgs),
     /// `get`.
     Get {
         /// `templates` or `workspaces`.
@@ -85,7 +85,7 @@
     /// `status`.
     Status,
     /// `timeline`.
-    Timeline(TypedTimeline),
+    Timeline(TimelineArgs),
     /// `entries`.
     Entries {
         /// `--workspace`.
@@ -95,7 +95,7 @@
 
 /// Options of `apply`.
 #[derive(Debug)]
-pub struct TypedApply {
+pub struct ApplyArgs {
     /// `-f`.
     pub file: PathBuf,
     /// `--dry-run`.
@@ -114,7 +114,7 @@
 
 /// Options of `timeline`.
 #[derive(Debug)]
-pub struct TypedTimeline {
+pub struct TimelineArgs {
     /// `--request`.
     pub request: Option<String>,
     /// `--group`.
@@ -149,34 +149,34 @@
     }
     let command = command(topic.ok_or(UsageError::NoCommand)?, &mut arguments)?;
     if let Some(leftover) = arguments.finish().first() {
-        return Err(UsageError::Leftover(leftover.to_string_lossy().into_owned()));
+        return Err(UsageError::UnexpectedArgument(leftover.to_string_lossy().into_owned()));
     }
-    Ok(Invocation::Run(Box::new(Typed { entries, token_file, timeout, json, command })))
+    Ok(Invocation::Run(Box::new(Args { entries, token_file, timeout, json, command })))
 }
 
 fn topic(arguments: &mut Arguments) -> Result<Option<Topic>, UsageError> {
     let Some(name) = arguments.subcommand()? else { return Ok(None) };
-    Topic::named(&name).map(Some).ok_or(UsageError::UnknownCommand(name))
+    Topic::from_name(&name).map(Some).ok_or(UsageError::UnknownCommand(name))
 }
 
-fn command(topic: Topic, arguments: &mut Arguments) -> Result<TypedCommand, UsageError> {
+fn command(topic: Topic, arguments: &mut Arguments) -> Result<Subcommand, UsageError> {
     Ok(match topic {
-        Topic::Apply => TypedCommand::Apply(apply(arguments)?),
+        Topic::Apply => Subcommand::Apply(apply(arguments)?),
         Topic::Get => {
             let kind = needed("get", "templates or workspaces", arguments.opt_free_from_str()?)?;
-            TypedCommand::Get { kind, name: arguments.opt_free_from_str()? }
+            Subcommand::Get { kind, name: arguments.opt_free_from_str()? }
         }
-        Topic::Diff => TypedCommand::Diff { file: file("diff", arguments)? },
-        Topic::History => TypedCommand::History,
+        Topic::Diff => Subcommand::Diff { file: file("diff", arguments)? },
+        Topic::History => Subcommand::History,
         Topic::Change => {
             let id = needed("change", "the id of a change", arguments.opt_free_from_str()?)?;
-            TypedCommand::Change { id }
+            Subcommand::Change { id }
         }
-        Topic::Status => TypedCommand::Status,
-        Topic::Timeline => TypedCommand::Timeline(timeline(arguments)?),
+        Topic::Status => Subcommand::Status,
+        Topic::Timeline => Subcommand::Timeline(timeline(arguments)?),
         Topic::Entries => {
             let workspace = arguments.opt_value_from_str("--workspace")?;
-            TypedCommand::Entries { workspace: needed("entries", "--workspace NAME", workspace)? }
+            Subcommand::Entries { workspace: needed("entries", "--workspace NAME", workspace)? }
         }
     })
 }
@@ -193,8 +193,8 @@
     needed(command, "-f FILE with documents", arguments.opt_value_from_str("-f")?)
 }
 
-fn apply(arguments: &mut Arguments) -> Result<TypedApply, UsageError> {
-    Ok(TypedApply {
+fn apply(arguments: &mut Arguments) -> Result<ApplyArgs, UsageError> {
+    Ok(ApplyArgs {
         file: file("apply", arguments)?,
         dry_run: arguments.contains("--dry-run"),
         wait: arguments.opt_value_from_str("--wait")?,
@@ -205,8 +205,8 @@
     })
 }
 
-fn timeline(arguments: &mut Arguments) -> Result<TypedTimeline, UsageError> {
-    Ok(TypedTimeline {
+fn timeline(arguments: &mut Arguments) -> Result<TimelineArgs, UsageError> {
+    Ok(TimelineArgs {
         request: arguments.opt_value_from_str("--request")?,
         group: arguments.opt_value_from_str("--group")?,
         workspace: arguments.opt_value_from_str("--workspace")?,
--- a/crates/flamingowheel/src/client.rs
+++ b/crates/flamingowheel/src/client.rs
@@ -84,7 +84,7 @@
     },
     /// A path or query that can't be sent.
     #[error("can't form the request: {0}")]
-    Path(#[from] http::Error),
+    InvalidRequest(#[from] http::Error),
 }
 
 /// No answer within the time given.
@@ -97,7 +97,7 @@
     ///
     /// Only a refusal in the operators' interface's own form is proof that nothing was changed. An
     /// answer that can't be read, or a bare error of something on the way, is none.
-    pub fn leaves_outcome_open(&self) -> bool {
+    pub fn leaves_outcome_unknown(&self) -> bool {
         match self {
             Self::NoAnswer { .. } | Self::Malformed { .. } => true,
             Self::Status { status, .. } => status.is_server_error(),
@@ -106,7 +106,7 @@
             | Self::Refused(_)
             | Self::WrongToken { .. }
             | Self::WrongWorkspace { .. }
-            | Self::Path(_) => false,
+            | Self::InvalidRequest(_) => false,
         }
     }
 
--- a/crates/flamingowheel/src/commands/apply.rs
+++ b/crates/flamingowheel/src/commands/apply.rs
@@ -60,7 +60,7 @@
     let extra = change.wait.unwrap_or(Duration::ZERO);
     let path = format!("{}?{query}", routes::APPLY);
     match client.post_documents(&path, &change.documents, extra).await {
-        Err(source) if source.leaves_outcome_open() && !change.dry_run => {
+        Err(source) if source.leaves_outcome_unknown() && !change.dry_run => {
             Err(Error::OutcomeUnknown { uuid: change.uuid, seen, source })
         }
         answer => Ok(answer?),
--- a/crates/flamingowheel/src/commands/change.rs
+++ b/crates/flamingowheel/src/commands/change.rs
@@ -4,13 +4,13 @@
 
 use super::render;
 use crate::client::Client;
-use crate::config::WhichChange;
+use crate::config::ChangeRef;
 use crate::error::Error;
 use crate::exit::ExitCode;
 use crate::{Output, routes};
 
 /// Asks for one change.
-pub async fn run(client: &Client, change: WhichChange, json: bool) -> Result<Output, Error> {
+pub async fn run(client: &Client, change: ChangeRef, json: bool) -> Result<Output, Error> {
     let answer: ChangeAnswer = client.get(&format!("{}/{change}", routes::CHANGES)).await?;
     let exit = match answer.state {
         ChangeState::Unknown => ExitCode::UnknownOutcome,
--- a/crates/flamingowheel/src/config.rs
+++ b/crates/flamingowheel/src/config.rs
@@ -16,7 +16,7 @@
 use http::HeaderValue;
 use uuid::Uuid;
 
-use crate::cli::{Typed, TypedApply, TypedCommand, TypedTimeline};
+use crate::cli::{ApplyArgs, Args, Subcommand, TimelineArgs};
 
 /// Variable with the entries' operators' addresses, separated by commas.
 pub const ENTRIES_VARIABLE: &str = "FLAMINGOWHEEL_ENTRIES";
@@ -122,7 +122,7 @@
 
 impl Environment {
     /// The process's environment; variables that aren't UTF-8 are left out.
-    pub fn of_process() -> Self {
+    pub fn from_process() -> Self {
         let pairs = std::env::vars_os();
         Self(
             pairs
@@ -202,7 +202,7 @@
     /// Show the last changes.
     History,
     /// Ask what became of a change.
-    Change(WhichChange),
+    Change(ChangeRef),
     /// Show the fleet.
     Status,
     /// Show what happened.
@@ -225,14 +225,14 @@
 
 /// A change to ask for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum WhichChange {
+pub enum ChangeRef {
     /// By its whole id: whether it was accepted can always be found out.
     ById(ChangeId),
     /// By its random part, as `--again` takes it: only an acceptance can be found out.
     ByUuid(Uuid),
 }
 
-impl fmt::Display for WhichChange {
+impl fmt::Display for ChangeRef {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::ById(id) => id.fmt(f),
@@ -273,7 +273,7 @@
     /// let config = Config::new(*typed, &environment).expect("complete");
     /// assert_eq!(config.entries.len(), 1);
     /// ```
-    pub fn new(typed: Typed, environment: &Environment) -> Result<Self, ConfigError> {
+    pub fn new(typed: Args, environment: &Environment) -> Result<Self, ConfigError> {
         Ok(Self {
             command: command(typed.command, environment)?,
             entries: entries(&typed.entries, environment)?,
@@ -308,20 +308,20 @@
     }
 }
 
-fn command(typed: TypedCommand, environment: &Environment) -> Result<Command, ConfigError> {
+fn command(typed: Subcommand, environment: &Environment) -> Result<Command, ConfigError> {
     Ok(match typed {
-        TypedCommand::Apply(typed) => Command::Apply(apply(typed, environment)?),
-        TypedCommand::Get { kind, name } => get(&kind, name)?,
-        TypedCommand::Diff { file } => Command::Diff { documents: documents(&file)? },
-        TypedCommand::History => Command::History,
-        TypedCommand::Change { id } => Command::Change(change(id)?),
-        TypedCommand::Status => Command::Status,
-        TypedCommand::Timeline(typed) => Command::Timeline(timeline(typed)?),
-        TypedCommand::Entries { workspace } => Command::Entries { workspace: name(workspace)? },
+        Subcommand::Apply(typed) => Command::Apply(apply(typed, environment)?),
+        Subcommand::Get { kind, name } => get(&kind, name)?,
+        Subcommand::Diff { file } => Command::Diff { documents: documents(&file)? },
+        Subcommand::History => Command::History,
+        Subcommand::Change { id } => Command::Change(change(id)?),
+        Subcommand::Status => Command::Status,
+        Subcommand::Timeline(typed) => Command::Timeline(timeline(typed)?),
+        Subcommand::Entries { workspace } => Command::Entries { workspace: name(workspace)? },
     })
 }
 
-fn apply(typed: TypedApply, environment: &Environment) -> Result<Apply, ConfigError> {
+fn apply(typed: ApplyArgs, environment: &Environment) -> Result<Apply, ConfigError> {
     let operator = typed
         .operator
         .as_deref()
@@ -352,7 +352,7 @@
     })
 }
 
-fn timeline(typed: TypedTimeline) -> Result<EventQuery, ConfigError> {
+fn timeline(typed: TimelineArgs) -> Result<EventQuery, ConfigError> {
     let query = EventQuery {
         request: id("--request", typed.request)?,
         group: typed.group.map(Into::into),
@@ -390,12 +390,12 @@
     }
 }
 
-fn change(text: String) -> Result<WhichChange, ConfigError> {
+fn change(text: String) -> Result<ChangeRef, ConfigError> {
     if let Ok(uuid) = text.parse() {
-        return Ok(WhichChange::ByUuid(uuid));
+        return Ok(ChangeRef::ByUuid(uuid));
     }
     match text.parse() {
-        Ok(id) => Ok(WhichChange::ById(id)),
+        Ok(id) => Ok(ChangeRef::ById(id)),
         Err(source) => Err(ConfigError::Change { text, source }),
     }
 }
--- a/crates/flamingowheel/src/error.rs
+++ b/crates/flamingowheel/src/error.rs
@@ -78,7 +78,7 @@
         ClientError::WrongToken { .. } | ClientError::WrongWorkspace { .. } => ExitCode::Refused,
         ClientError::Status { status, .. } if status.is_client_error() => ExitCode::Refused,
         ClientError::Status { .. } | ClientError::Malformed { .. } => ExitCode::Failed,
-        ClientError::Path(_) | ClientError::NoEntries => ExitCode::Usage,
+        ClientError::InvalidRequest(_) | ClientError::NoEntries => ExitCode::Usage,
     }
 }
 
--- a/crates/flamingowheel/src/help.rs
+++ b/crates/flamingowheel/src/help.rs
@@ -53,9 +53,9 @@
     /// ```
     /// use flamingowheel::help::Topic;
     ///
-    /// assert_eq!(Topic::named("status"), Some(Topic::Status));
+    /// assert_eq!(Topic::from_name("status"), Some(Topic::Status));
     /// ```
-    pub fn named(name: &str) -> Option<Self> {
+    pub fn from_name(name: &str) -> Option<Self> {
         Self::ALL.iter().copied().find(|topic| topic.name() == name)
     }
 
--- a/crates/flamingowheel/src/main.rs
+++ b/crates/flamingowheel/src/main.rs
@@ -38,7 +38,7 @@
         Invocation::Version => return Ok(Output::success(help::version())),
         Invocation::Run(typed) => typed,
     };
-    let config = Config::new(*typed, &Environment::of_process()).map_err(Error::from)?;
+    let config = Config::new(*typed, &Environment::from_process()).map_err(Error::from)?;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
