--- a/crates/flamingowheeld/benches/relay.rs
+++ b/crates/flamingowheeld/benches/relay.rs
@@ -1,4 +1,5 @@
-//! Cost of relaying requests through an entry and an agent, compared with direct calls of the engine.
+//! Cost of relaying requests through an entry and an agent, compared with direct calls of the
+//! engine.
 //!
 //! One thread runs an entry and two agents; the engines, the platform's stand-ins and the callers
 //! run on others. Prints `name=value` lines. CPU time is that of the relaying threads alone.
--- a/crates/flamingowheeld/src/agent.rs
+++ b/crates/flamingowheeld/src/agent.rs
@@ -100,8 +100,8 @@
         Ok(Self { handle, recorder, archive, kv, stop, operators: operators_address })
     }
 
-    /// Refuses new work, waits until work in progress is done and its answers are read, archives the
-    /// answers of tickets, and stops. `deadline` limits the wait; `None` waits without limit.
+    /// Refuses new work, waits until work in progress is done and its answers are read, archives
+    /// the answers of tickets, and stops. `deadline` limits the wait; `None` waits without limit.
     pub async fn leave(&mut self, deadline: Option<Duration>) {
         let began = Instant::now();
         let drained = self.handle.drain();
--- a/crates/flamingowheeld/src/demo/mod.rs
+++ b/crates/flamingowheeld/src/demo/mod.rs
@@ -131,7 +131,8 @@
     pub entries: Vec<EntryProcess>,
     /// The agents: first those of the engines, then those of the services.
     pub agents: Vec<AgentProcess>,
-    /// One runtime per agent, in the order of `agents`: ending it kills the agent with all its tasks.
+    /// One runtime per agent, in the order of `agents`: ending it kills the agent with all its
+    /// tasks.
     runtimes: Vec<AgentRuntime>,
     inner_port: u16,
     /// The inner listeners of processes that have not started yet.
@@ -161,7 +162,8 @@
 }
 
 impl Fleet {
-    /// Starts all stand-ins and processes, applies the configuration, and waits until it is in force.
+    /// Starts all stand-ins and processes, applies the configuration, and waits until it is in
+    /// force.
     pub async fn start() -> Result<Self, DemoError> {
         let (inner_port, inner_listeners) = ports::bind_same_port(&process_ips()).await?;
         let standins = start_standins().await?;
@@ -284,8 +286,8 @@
         tokio::time::timeout(READY_TIMEOUT, waiting).await.map_err(|_| DemoError::NotReady)
     }
 
-    /// Waits for the first work order, kills its agent while the order runs, and returns the agent's
-    /// name.
+    /// Waits for the first work order, kills its agent while the order runs, and returns the
+    /// agent's name.
     pub async fn lose_agent(&mut self) -> String {
         let set_delay =
             |time| self.standins.services.iter().for_each(|service| service.set_delay(time));
--- a/crates/flamingowheeld/src/demo/once.rs
+++ b/crates/flamingowheeld/src/demo/once.rs
@@ -54,7 +54,8 @@
     Ok(reply.status.is_success() && reply.body == expected)
 }
 
-/// Files the same order with the same key through two entries; checks for one run and equal answers.
+/// Files the same order with the same key through two entries; checks for one run and equal
+/// answers.
 async fn file_twice(
     fleet: &Fleet,
     caller: &Caller,
--- a/crates/flamingowheeld/src/demo/ports.rs
+++ b/crates/flamingowheeld/src/demo/ports.rs
@@ -44,8 +44,8 @@
     use std::net::{IpAddr, Ipv4Addr};
     use tokio::net::TcpListener;
 
-    // If the fleet chose a port without binding it, its first process could be assigned that port when
-    // it binds port 0 on the same IP. The start would fail with "address already in use".
+    // If the fleet chose a port without binding it, its first process could be assigned that port
+    // when it binds port 0 on the same IP. The start would fail with "address already in use".
     #[tokio::test]
     async fn bind_same_port_is_not_assigned_again() {
         let ips: Vec<IpAddr> = (1..=3).map(|n| Ipv4Addr::new(127, 0, 3, n).into()).collect();
--- a/crates/flamingowheeld/src/discovery.rs
+++ b/crates/flamingowheeld/src/discovery.rs
@@ -47,7 +47,8 @@
     pub inner_port: u16,
     /// This entry's IP, which is left out as it is not an agent's.
     pub own_ip: IpAddr,
-    /// Time between two reads of the VM list, over all entries that read in rotation.
+    /// Time between two reads of the VM list: by each entry in a small fleet, by all entries
+    /// together in a larger one.
     pub read_interval: Duration,
 }
 
@@ -141,8 +142,8 @@
         is_turn(&names, &self.node.own_record().name, (self.fleet_clock_ms)() / interval_ms)
     }
 
-    /// Probes VMs that are in the list but not in the directory, and the reverse, and notifies agents
-    /// whose VM is leaving.
+    /// Probes VMs that are in the list but not in the directory, and the reverse, and notifies
+    /// agents whose VM is leaving.
     async fn probe_changed(&self, vms: &[Vm], is_small: bool) {
         let directory = self.node.agents();
         let by_address: HashMap<SocketAddr, &AgentRecord> =
@@ -163,7 +164,8 @@
                     || address.ip() == self.own_ip
             };
             let mut unknown: Vec<_> = listed.into_iter().filter(|a| !is_known(a)).collect();
-            // In random order, so that VMs that don't answer can't keep the others from being probed.
+            // In random order, so that VMs that don't answer can't keep the others from being
+            // probed.
             unknown.sort_by_cached_key(|_| rand::random::<u32>());
             probes.extend(unknown.into_iter().take(MAX_PROBES - probes.len()));
         }
@@ -187,8 +189,8 @@
         }
     }
 
-    /// Notifies an agent that its VM is leaving. Entries with a link to it repeat the notice when the
-    /// directory shows that it is leaving.
+    /// Notifies an agent that its VM is leaving. Entries with a link to it repeat the notice when
+    /// the directory shows that it is leaving.
     async fn notify(&self, agent: &AgentRecord) {
         if agent.state == MemberState::Leaving {
             return;
@@ -232,7 +234,8 @@
     computed_from: Option<(u64, Arc<AddressBook>, BTreeSet<String>)>,
 }
 
-/// The agents of the servers in this entry's cells, and all ranks of the groups that it coordinates.
+/// The agents of the servers in this entry's cells, and all ranks of the groups that it
+/// coordinates.
 fn agents_of_cells(
     directory: &[Arc<AgentRecord>],
     servers: &BTreeSet<ServerKey>,
@@ -256,11 +259,14 @@
     }
 }
 
-/// Whether it is an entry's turn to read the list. Where the entries' views of the members differ, a
-/// turn may be skipped or taken twice.
-fn is_turn(live: &[&str], own: &str, turn: u64) -> bool {
+/// Whether it is an entry's turn to read the list. Where the entries' views of the members differ,
+/// a turn may be skipped or taken twice.
+fn is_turn(live: &[&str], own_name: &str, turn: u64) -> bool {
     let mut order = live.to_vec();
     order.sort_unstable();
     let count = order.len().max(1) as u64;
-    order.iter().position(|name| *name == own).is_some_and(|place| place as u64 == turn % count)
+    order
+        .iter()
+        .position(|name| *name == own_name)
+        .is_some_and(|place| place as u64 == turn % count)
 }
--- a/crates/flamingowheeld/src/entry.rs
+++ b/crates/flamingowheeld/src/entry.rs
@@ -118,7 +118,7 @@
             seeds: settings.peers.clone(),
             timing: SynchronizerTiming::default(),
         };
-        register_gauges(&recorder, &state, &agents);
+        register_samplers(&recorder, &state, &agents);
         node.set_lender(Arc::new(EntryLender(Arc::clone(&state))));
         node.set_key_binder(Arc::new(EntryBinder(Arc::clone(&state))));
         state.claims.set_peers(Arc::new(KeyPeers::new(node.clone(), Arc::clone(&peers))));
@@ -170,8 +170,8 @@
 
     /// Withdraws the entry from address answers, accepts connections until callers' answers have
     /// expired, then waits until every request and stream has ended. `skip_ttl_wait` ends the wait
-    /// for callers' answers to expire. `deadline` limits the wait for requests; `None` waits without
-    /// limit.
+    /// for callers' answers to expire. `deadline` limits the wait for requests; `None` waits
+    /// without limit.
     pub async fn leave(self, skip_ttl_wait: CancellationToken, deadline: Option<Duration>) {
         let began = Instant::now();
         let requests = u32::try_from(self.state.in_progress.get()).unwrap_or(u32::MAX);
@@ -204,9 +204,9 @@
     }
 }
 
-/// Registers the gauges of the entry's occupancy. They hold weak references, as the metrics outlive
+/// Registers samplers of the entry's occupancy. They hold weak references, as the metrics outlive
 /// the entry.
-fn register_gauges(recorder: &Recorder, state: &Arc<EntryState>, agents: &Arc<Agents>) {
+fn register_samplers(recorder: &Recorder, state: &Arc<EntryState>, agents: &Arc<Agents>) {
     let metrics = recorder.metrics();
     let weak = Arc::downgrade(state);
     metrics.register_sampler(OccupancyKind::InFlight, move || {
--- a/crates/flamingowheeld/src/groups.rs
+++ b/crates/flamingowheeld/src/groups.rs
@@ -73,7 +73,7 @@
 }
 
 impl Groups {
-    /// Creates a coordinator of groups that coordinates none until [`Groups::run`] is called.
+    /// Coordinates no groups until [`Groups::run`] is called.
     pub fn new(kv: Arc<dyn KeyValue>, agents: Arc<Agents>, node: Node) -> Self {
         let leases = Leases::new(Arc::clone(&kv), Timing::default().lease_ttl);
         let (stop_tokens, statuses) = Default::default();
@@ -85,7 +85,8 @@
         Self { load_limiter, ..self }
     }
 
-    /// The route [`GROUPS_PATH`], which returns the status of the groups that this entry coordinates.
+    /// The route [`GROUPS_PATH`], which returns the status of the groups that this entry
+    /// coordinates.
     pub fn router(&self) -> Router {
         Router::new().route(GROUPS_PATH, get(get_status)).with_state(Arc::clone(&self.statuses))
     }
@@ -110,7 +111,7 @@
         let live = members.iter().filter(|member| member.state == MemberState::Live);
         let entries: Vec<EntryKey> =
             live.map(|member| EntryKey::from_name(&member.record.name)).collect();
-        let own = EntryKey::from_name(&self.node.own_record().name);
+        let own_key = EntryKey::from_name(&self.node.own_record().name);
         let listed = self.node.agents();
         let connected = self.agents.connected();
         let linked = connected.iter().map(|(_, c)| (&c.profile.serves, c.profile.experts));
@@ -124,7 +125,7 @@
             first_of_group.filter_map(|(serves, experts)| group_of(serves, experts)).collect();
         groups.sort_by(|a, b| a.name.cmp(&b.name));
         groups.dedup_by(|a, b| a.name == b.name);
-        groups.retain(|group| assigned_entry(&group.name, &entries) == Some(own));
+        groups.retain(|group| assigned_entry(&group.name, &entries) == Some(own_key));
         groups
     }
 
@@ -188,8 +189,8 @@
     }
 }
 
-/// The desired map to begin with: the group's map in force, or an even map for a new group. An entry
-/// that takes over a group and began with the even map would undo earlier rebalancing.
+/// The desired map to begin with: the group's map in force, or an even map for a new group. An
+/// entry that takes over a group and began with the even map would undo earlier rebalancing.
 async fn initial_map(records: &RecordStore, shape: ExpertShape) -> ExpertMap {
     loop {
         match records.read().await {
@@ -386,8 +387,8 @@
 
     const SHAPE: ExpertShape = ExpertShape { ranks: 2, layers: 1, experts: 4, slots: 2 };
 
-    // Another entry takes over a group. Going back to the even map would cost the group two switches
-    // and make it slow until it is rebalanced again.
+    // Another entry takes over a group. Going back to the even map would cost the group two
+    // switches and make it slow until it is rebalanced again.
     #[tokio::test(start_paused = true)]
     async fn initial_map_is_the_one_in_force() {
         let records = RecordStore::new(Arc::new(FakeKeyValue::new()), "notes-a");
--- a/crates/flamingowheeld/src/loans.rs
+++ b/crates/flamingowheeld/src/loans.rs
@@ -57,8 +57,8 @@
         request: outgoing.request,
     };
     let answer = timeout(ANSWER_TIMEOUT, peers.ask(lender.record.inner, request)).await;
-    // Without an answer this entry must assume that nothing was lent. If the lender did lend, the loan
-    // expires by itself.
+    // Without an answer this entry must assume that nothing was lent. If the lender did lend, the
+    // loan expires by itself.
     if let Ok(Ok(PeerAnswer::Loan(loan))) = answer {
         state.limiter.apply_loan(outgoing, &loan);
     }
--- a/crates/flamingowheeld/src/membership.rs
+++ b/crates/flamingowheeld/src/membership.rs
@@ -46,8 +46,8 @@
             }
             () = tokio::time::sleep(REFRESH_INTERVAL) => {}
         }
-        // When many processes start, each one is a change; a rebuild of the cells for each would take
-        // a whole core.
+        // When many processes start, each one is a change; a rebuild of the cells for each would
+        // take a whole core.
         tokio::time::sleep(MIN_REBUILD_INTERVAL).await;
     }
 }
@@ -81,9 +81,9 @@
     scopes.into_iter().map(to_region_scope).collect()
 }
 
-/// Members of the address book. An entry that is not live is marked as leaving: a silent one may only
-/// be unreachable from here, but callers sent to it could lose time. It is offered again as soon as
-/// it is live.
+/// Members of the address book. An entry that is not live is marked as leaving: a silent one may be
+/// unreachable only from here, but callers sent to it could lose time. It is offered again as soon
+/// as it is live.
 fn members(node: &Node) -> Vec<EntryMember> {
     node.members()
         .into_iter()
--- a/crates/flamingowheeld/src/models.rs
+++ b/crates/flamingowheeld/src/models.rs
@@ -1,4 +1,5 @@
-//! The configured version and adapters of a group's model, and the rate limit for loading its weights.
+//! The configured version and adapters of a group's model, and the rate limit for loading its
+//! weights.
 
 use flamingowheel_backing::kv::KeyValue;
 use flamingowheel_config::desired::desired_model;
--- a/crates/flamingowheeld/src/orders.rs
+++ b/crates/flamingowheeld/src/orders.rs
@@ -27,8 +27,8 @@
 /// Longest time without a byte within an engine's answer; then the engine counts as silent.
 const SILENCE_TIMEOUT_MS: u64 = 1_000;
 
-/// Longest time until an engine's answer begins. Staging an expert map loads weights and takes longer
-/// than other orders.
+/// Longest time until an engine's answer begins. Staging an expert map loads weights and takes
+/// longer than other orders.
 const HEAD_TIMEOUT_MS: u64 = 60_000;
 
 /// Carries out orders through the gate; refuses them until the gate is open.
@@ -181,8 +181,8 @@
         }
     }
 
-    // A coordinator that was replaced while it was paused still sends an order. The group's time line
-    // must show that the order was refused and which fencing number was in force.
+    // A coordinator that was replaced while it was paused still sends an order. The group's time
+    // line must show that the order was refused and which fencing number was in force.
     #[test]
     fn order_event_stale_fence_recorded_as_refused() {
         let answer = Err(RankError::Stale { given: Fence(7), lowest: Fence(9) });
--- a/crates/flamingowheeld/src/placement.rs
+++ b/crates/flamingowheeld/src/placement.rs
@@ -164,7 +164,8 @@
         assert_eq!((hot(0), hot(1)), (1, 1));
     }
 
-    // A replaced engine counts from zero, so its counters fall. The difference must not count as load.
+    // A replaced engine counts from zero, so its counters fall. The difference must not count as
+    // load.
     #[test]
     fn observe_counter_falls_ignored() {
         let mut observer = LoadObserver::new(SHAPE);
--- a/crates/flamingowheeld/src/run.rs
+++ b/crates/flamingowheeld/src/run.rs
@@ -71,8 +71,8 @@
         tracing::info!("stopped");
         Ok(Exit::Success)
     });
-    // Dropping the runtime would wait for the traffic threads, which end with their last request. The
-    // process would exceed its grace time, be killed, and not log which requests it cut off.
+    // Dropping the runtime would wait for the traffic threads, which end with their last request.
+    // The process would exceed its grace time, be killed, and not log which requests it cut off.
     runtime.shutdown_background();
     exit
 }
@@ -168,8 +168,8 @@
         }
     }
 
-    /// Waits until `leaving` is done. One more signal cancels `skip_ttl_wait`, the next one ends the
-    /// wait.
+    /// Waits until `leaving` is done. One more signal cancels `skip_ttl_wait`, the next one ends
+    /// the wait.
     async fn until_done<F>(&mut self, leaving: F, skip_ttl_wait: &CancellationToken) -> Result<Exit>
     where
         F: Future<Output = ()>,
--- a/crates/flamingowheeld/src/threads.rs
+++ b/crates/flamingowheeld/src/threads.rs
@@ -3,7 +3,7 @@
 use std::future::Future;
 use std::io;
 
-/// Runs a future to its end on a new thread with its own runtime, so that control decisions and
+/// Spawns a thread that runs a future to its end on its own runtime, so that control decisions and
 /// traffic don't delay each other.
 pub fn spawn_control<F, T>(name: &str, build: F) -> io::Result<()>
 where
--- a/crates/flamingowheeld/tests/discovery.rs
+++ b/crates/flamingowheeld/tests/discovery.rs
@@ -55,8 +55,8 @@
     }
 }
 
-// The VM list's service restarts and returns an empty list for a while. An entry that applied it would
-// drop all agents at once and refuse every request.
+// The VM list's service restarts and returns an empty list for a while. An entry that applied it
+// would drop all agents at once and refuse every request.
 #[tokio::test(start_paused = true)]
 async fn run_empty_list_ignored() {
     let vm = Vm {
@@ -88,8 +88,8 @@
     assert!(attempts.0.load(Ordering::Relaxed) > before);
 }
 
-/// In-memory agents: each accepts every connection and records when it was first notified that its VM
-/// is leaving.
+/// In-memory agents: each accepts every connection and records when it was first notified that its
+/// VM is leaving.
 #[derive(Clone, Default)]
 struct FakeAgents {
     notified_at: Arc<Mutex<HashMap<SocketAddr, Instant>>>,
@@ -205,8 +205,8 @@
     Vm { name, ip: agent_ip(number).into(), data_centre, state }
 }
 
-// The peers are silent from the start, so this entry learns of no agent from them. It must still find
-// all agents in its own turns, and link only to those of its cells.
+// The peers are silent from the start, so this entry learns of no agent from them. It must still
+// find all agents in its own turns, and link only to those of its cells.
 #[tokio::test(start_paused = true)]
 async fn run_peers_silent_finds_agents() {
     let list = FakeVmList::new((0..AGENTS).map(|number| vm(number, VmState::Live)).collect());
@@ -223,8 +223,8 @@
     assert_eq!(list.calls() - calls, 10);
 }
 
-// A VM is leaving. Most entries have no link to its agent, and in most seconds the entry that reads the
-// list is one of these. Without a notice the agent would accept new work until it is cut off.
+// A VM is leaving. Most entries have no link to its agent, and in most seconds the entry that reads
+// the list is one of these. Without a notice the agent would accept new work until it is cut off.
 #[tokio::test(start_paused = true)]
 async fn run_leaving_vm_told_in_time() {
     let list = FakeVmList::new((0..AGENTS).map(|number| vm(number, VmState::Live)).collect());
@@ -251,8 +251,8 @@
     }
 }
 
-// The VM of another entry is leaving. The entry that reads the list in its turn must record this, or
-// callers would be sent to the leaving entry until it is cut off.
+// The VM of another entry is leaving. The entry that reads the list in its turn must record this,
+// or callers would be sent to the leaving entry until it is cut off.
 #[tokio::test(start_paused = true)]
 async fn run_in_rotation_leaving_entry_recorded() {
     let mut vms: Vec<Vm> = (0..10).map(|number| vm(number, VmState::Live)).collect();
--- a/crates/flamingowheeld/tests/keys.rs
+++ b/crates/flamingowheeld/tests/keys.rs
@@ -57,8 +57,8 @@
     }
 }
 
-// An entry that is not the writer forwards a key to the writer. A writer that is still starting can't
-// bind keys; the forwarding entry must not take its answer for a bound key.
+// An entry that is not the writer forwards a key to the writer. A writer that is still starting
+// can't bind keys; the forwarding entry must not take its answer for a bound key.
 #[tokio::test]
 async fn forward_binds_key_at_writer() {
     let own = NAMES.into_iter().find(|own| writer_of(own, NAMES) != *own).unwrap();
--- a/crates/flamingowheeld/tests/placement.rs
+++ b/crates/flamingowheeld/tests/placement.rs
@@ -13,10 +13,10 @@
 
 const SHAPE: ExpertShape = ExpertShape { ranks: 4, layers: 2, experts: 16, slots: 6 };
 const STEPS_PER_PLAN: usize = 50;
-const MAX_TOKENS: f64 = 400.0;
+const TOKEN_SCALE: f64 = 400.0;
 
 fn tokens(expert: u16) -> f64 {
-    (MAX_TOKENS / f64::from(expert + 4)).floor() * 10.0
+    (TOKEN_SCALE / f64::from(expert + 4)).floor() * 10.0
 }
 
 struct Simulation {
@@ -68,8 +68,8 @@
         self.map = map;
     }
 
-    /// Runs [`STEPS_PER_PLAN`] steps, plans once and switches to the planned map, if any; returns the
-    /// mean step time in microseconds.
+    /// Runs [`STEPS_PER_PLAN`] steps, plans once and switches to the planned map, if any; returns
+    /// the mean step time in microseconds.
     async fn run_plan(&mut self, speeds: &[f64]) -> f64 {
         let mut total_us = 0;
         for _ in 0..STEPS_PER_PLAN {
@@ -116,9 +116,9 @@
     }
 }
 
-/// One accelerator throttles to less than half its speed. As all ranks step together, every token of the
-/// group takes more than twice as long until that rank gets less work. When it recovers, it must get
-/// its share back.
+/// One accelerator throttles to less than half its speed. As all ranks step together, every token
+/// of the group takes more than twice as long until that rank gets less work. When it recovers, it
+/// must get its share back.
 #[tokio::test(start_paused = true)]
 async fn better_map_slow_rank_gets_less_until_recovered() {
     let even = [1.0; SHAPE.ranks as usize];
--- a/crates/flamingowheeld/tests/platform.rs
+++ b/crates/flamingowheeld/tests/platform.rs
@@ -88,8 +88,8 @@
     }
 }
 
-/// The platform announces changed settings by SIGHUP. A process without a handler for it would be ended
-/// by the signal and cut off all its streams.
+/// The platform announces changed settings by SIGHUP. A process without a handler for it would be
+/// ended by the signal and cut off all its streams.
 #[tokio::test]
 async fn hangup_process_keeps_running() {
     let mut entry = Entry::start(2);
@@ -99,7 +99,8 @@
     assert_eq!(entry.readiness().await, StatusCode::SERVICE_UNAVAILABLE);
 }
 
-/// The store is unreachable when an entry gets SIGTERM. The entry must still exit by itself.
+/// The store is unreachable when an entry gets SIGTERM. The entry must still exit by itself in
+/// time.
 #[tokio::test]
 async fn terminate_store_unreachable() {
     let mut entry = Entry::start(3);
--- a/crates/flamingowheeld/tests/processes/fleet.rs
+++ b/crates/flamingowheeld/tests/processes/fleet.rs
@@ -100,8 +100,8 @@
 }
 
 impl Fleet {
-    /// Starts every process and waits until every entry can serve. `network` must be unique for each
-    /// fleet of a test program, as it selects the fleet's IPs.
+    /// Starts every process and waits until every entry can serve. `network` must be unique for
+    /// each fleet of a test program, as it selects the fleet's IPs.
     pub async fn start(network: u8) -> Self {
         let stop = CancellationToken::new();
         let (key_value, vm_list) = (listener().await, listener().await);
@@ -191,8 +191,8 @@
         Process::start(&file)
     }
 
-    /// The IP is derived from the process id, so that test programs that run at the same time don't use
-    /// the same addresses.
+    /// The IP is derived from the process id, so that test programs that run at the same time don't
+    /// use the same addresses.
     fn ip(&self, number: u8) -> IpAddr {
         let id = std::process::id();
         let (high, low) = ((id >> 8) % 100, id % 256);
--- a/crates/flamingowheeld/tests/processes/main.rs
+++ b/crates/flamingowheeld/tests/processes/main.rs
@@ -49,8 +49,8 @@
     Ok(())
 }
 
-/// The `data:` lines of all complete events, without the events that the entry adds, and the id of the
-/// last complete event.
+/// The `data:` lines of all complete events, without the events that the entry adds, and the id of
+/// the last complete event.
 fn events(bytes: &[u8]) -> (String, Option<u64>) {
     let (mut data, mut last) = (String::new(), None);
     let text = String::from_utf8_lossy(bytes);
@@ -71,9 +71,9 @@
     String::from_utf8(text::whole_stream(body, 0).concat()).unwrap()
 }
 
-// A caller files a payout with an idempotency key. The entry is killed while the service works on it,
-// so the caller sees a broken connection and files it again through another entry. A second run would
-// pay twice.
+// A caller files a payout with an idempotency key. The entry is killed while the service works on
+// it, so the caller sees a broken connection and files it again through another entry. A second run
+// would pay twice.
 #[tokio::test(flavor = "multi_thread")]
 async fn payout_entry_killed_runs_once() {
     let mut fleet = Fleet::start(1).await;
@@ -95,8 +95,8 @@
     assert_eq!(fleet.executions(ORDER), 1);
 }
 
-// The entry of a stream is killed, and the caller resumes the stream through the other entry. The two
-// parts must form the complete answer without missing or repeated events.
+// The entry of a stream is killed, and the caller resumes the stream through the other entry. The
+// two parts must form the complete answer without missing or repeated events.
 #[tokio::test(flavor = "multi_thread")]
 async fn stream_entry_killed_resumes_through_another() {
     let mut fleet = Fleet::start(2).await;
@@ -120,8 +120,8 @@
     assert_eq!(data, complete_answer(&body));
 }
 
-// An agent and an entry get SIGTERM while a stream runs through both. The stream must complete, both
-// processes must exit with success, and the next request must be served by other processes.
+// An agent and an entry get SIGTERM while a stream runs through both. The stream must complete,
+// both processes must exit with success, and the next request must be served by other processes.
 #[tokio::test(flavor = "multi_thread")]
 async fn stream_processes_leave_completes() {
     let mut fleet = Fleet::start(3).await;
@@ -175,8 +175,8 @@
 }
 
 // The key-value service is down when an entry is replaced, so the new process has nothing but its
-// settings. It must get its configuration from the other entry and serve callers, and its status must
-// show that the configuration came from peers only.
+// settings. It must get its configuration from the other entry and serve callers, and its status
+// must show that the configuration came from peers only.
 #[tokio::test(flavor = "multi_thread")]
 async fn entry_replaced_key_value_down_serves_from_peers() {
     let mut fleet = Fleet::start(5).await;
--- a/crates/flamingowheeld/tests/settings.rs
+++ b/crates/flamingowheeld/tests/settings.rs
@@ -17,8 +17,8 @@
     )
 }
 
-// Another process uses the port, for example an older one that is still draining. The error must name
-// the address.
+// Another process uses the port, for example an older one that is still draining. The error must
+// name the address and its purpose.
 #[tokio::test]
 async fn start_address_in_use() {
     let occupied = TcpListener::bind("127.0.0.1:0").await.unwrap();
--- a/crates/flamingowheeld/tests/soak.rs
+++ b/crates/flamingowheeld/tests/soak.rs
@@ -3,9 +3,9 @@
 use flamingowheel_soak::cli::Options;
 use flamingowheel_soak::run;
 
-/// Entries are killed, stopped, paused and restarted while the store fails in every way and connections
-/// go silent. Reported outcomes must be true: no work order runs twice, no refused one has run, and
-/// no partial answer counts as complete.
+/// Entries are killed, stopped, paused and restarted while the store fails in every way and
+/// connections go silent. Reported outcomes must be true: no work order runs twice, no refused one
+/// has run, and no partial answer counts as complete.
 #[tokio::test(flavor = "multi_thread")]
 async fn seed_short_run() {
     let options = Options {
--- a/crates/flamingowheeld/tests/stop.rs
+++ b/crates/flamingowheeld/tests/stop.rs
@@ -29,8 +29,8 @@
 }
 
 /// A backend server still works on a request when the grace time is over. The process must exit by
-/// itself before: if the platform kills it, its last log lines are lost, and with them the reason
-/// why the request was cut off.
+/// itself within the grace time: if the platform kills it, its last log lines are lost, and with
+/// them the reason why the request was cut off.
 #[tokio::test(flavor = "multi_thread")]
 async fn stop_ends_within_grace() {
     let kv = FakeKeyValue::new();
