--- a/crates/backing/src/client/backend.rs
+++ b/crates/backing/src/client/backend.rs
@@ -1,6 +1,6 @@
 //! Client of a backend server: a model engine with event streams, or a plain service.
 
-use super::http::{HttpClient, HttpError, HttpLimits, Reuse, has_proven_end};
+use super::http::{HttpClient, HttpError, HttpLimits, Reuse, has_delimited_body};
 use super::segment;
 use super::split::{Splitter, is_done};
 use crate::BoxFuture;
@@ -61,9 +61,9 @@
     /// ```
     pub fn new(authority: Authority, kind: BackendKind, limits: HttpLimits) -> Self {
         let control = HttpLimits {
-            head_ms: limits.head_ms.min(CONTROL_LIMIT_MS),
-            silence_ms: limits.silence_ms.min(CONTROL_LIMIT_MS),
-            idle_ms: limits.idle_ms.min(CONTROL_LIMIT_MS),
+            head_timeout_ms: limits.head_timeout_ms.min(CONTROL_LIMIT_MS),
+            read_timeout_ms: limits.read_timeout_ms.min(CONTROL_LIMIT_MS),
+            idle_timeout_ms: limits.idle_timeout_ms.min(CONTROL_LIMIT_MS),
             ..limits.clone()
         };
         Self {
@@ -143,7 +143,7 @@
     async fn run(self, response: Response<Incoming>, events: bool) {
         let ending = if events {
             self.relay_events(response.into_body()).await
-        } else if has_proven_end(&response) {
+        } else if has_delimited_body(&response) {
             self.relay_bytes(response.into_body()).await
         } else {
             Err(BackendError::Malformed)
--- a/crates/backing/src/client/etcd.rs
+++ b/crates/backing/src/client/etcd.rs
@@ -3,9 +3,9 @@
 use super::http::{HttpClient, HttpError, HttpLimits, Reuse, read_chunk};
 use super::split::Splitter;
 use super::wire::{
-    Base64, CODE_NOT_FOUND, CODE_RESOURCE_EXHAUSTED, ChangeKind, CompareResult, CompareTarget,
-    ErrorBody, Int64, LeaseMessage, PutRequest, RangeRequest, RangeResponse, RequestOp, Streamed,
-    TxnRequest, TxnResponse, WatchCreate, WatchRequest, WatchResponse, WireChange, WireCompare,
+    Base64, CODE_NOT_FOUND, CODE_RESOURCE_EXHAUSTED, CompareResult, CompareTarget, ErrorBody,
+    EventKind, Int64, LeaseMessage, PutRequest, RangeRequest, RangeResponse, RequestOp, Streamed,
+    TxnRequest, TxnResponse, WatchCreate, WatchRequest, WatchResponse, WireCompare, WireEvent,
     key_text,
 };
 use crate::BoxFuture;
@@ -31,9 +31,9 @@
 /// Bounds that suit the service: it answers in milliseconds and may hold tens of large values.
 pub fn default_limits() -> HttpLimits {
     HttpLimits {
-        head_ms: 1_000,
-        silence_ms: 1_000,
-        idle_ms: 1_000,
+        head_timeout_ms: 1_000,
+        read_timeout_ms: 1_000,
+        idle_timeout_ms: 1_000,
         max_body_bytes: 128 * 1024 * 1024,
         ..HttpLimits::default()
     }
@@ -182,10 +182,10 @@
     true
 }
 
-fn watch_event(change: WireChange) -> Result<WatchEvent, KeyValueError> {
+fn watch_event(change: WireEvent) -> Result<WatchEvent, KeyValueError> {
     match change.kind {
-        ChangeKind::Put => change.kv.try_into().map(WatchEvent::Put),
-        ChangeKind::Delete => Ok(WatchEvent::Delete {
+        EventKind::Put => change.kv.try_into().map(WatchEvent::Put),
+        EventKind::Delete => Ok(WatchEvent::Delete {
             key: key_text(&change.kv.key)?,
             revision: change.kv.mod_revision.revision(),
         }),
--- a/crates/backing/src/client/http.rs
+++ b/crates/backing/src/client/http.rs
@@ -19,13 +19,13 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HttpLimits {
     /// Longest time to open a connection, in milliseconds.
-    pub connect_ms: u64,
+    pub connect_timeout_ms: u64,
     /// Longest time from sending a request to the head of its answer, in milliseconds.
-    pub head_ms: u64,
+    pub head_timeout_ms: u64,
     /// Longest time without a byte within a body, in milliseconds.
-    pub silence_ms: u64,
+    pub read_timeout_ms: u64,
     /// Longest time for which an unused connection is kept, in milliseconds.
-    pub idle_ms: u64,
+    pub idle_timeout_ms: u64,
     /// Most headers in an answer.
     pub max_headers: usize,
     /// Largest head, and largest piece read at once, in bytes.
@@ -37,10 +37,10 @@
 impl Default for HttpLimits {
     fn default() -> Self {
         Self {
-            connect_ms: 1_000,
-            head_ms: 10_000,
-            silence_ms: 10_000,
-            idle_ms: 10_000,
+            connect_timeout_ms: 1_000,
+            head_timeout_ms: 10_000,
+            read_timeout_ms: 10_000,
+            idle_timeout_ms: 10_000,
             max_headers: 64,
             max_head_bytes: 64 * 1024,
             max_body_bytes: 4 * 1024 * 1024,
@@ -86,7 +86,7 @@
 
 /// A whole answer.
 #[derive(Clone, Debug)]
-pub struct WholeAnswer {
+pub struct BufferedResponse {
     /// The status.
     pub status: StatusCode,
     /// The headers.
@@ -152,7 +152,7 @@
             Reuse::Allowed => &self.pooled,
             Reuse::Never => &self.fresh,
         };
-        let limit_ms = self.limits.head_ms;
+        let limit_ms = self.limits.head_timeout_ms;
         // Giving up drops the exchange, which closes its connection: a silent one is not reused.
         let answer = tokio::time::timeout(Duration::from_millis(limit_ms), client.request(request));
         match answer.await {
@@ -168,7 +168,7 @@
         &self,
         request: Request<Full<Bytes>>,
         reuse: Reuse,
-    ) -> Result<WholeAnswer, HttpError> {
+    ) -> Result<BufferedResponse, HttpError> {
         let (parts, mut body) = self.send(request, reuse).await?.into_parts();
         let limit_bytes = self.limits.max_body_bytes;
         let mut whole = BytesMut::new();
@@ -178,12 +178,12 @@
             }
             whole.extend_from_slice(&chunk);
         }
-        Ok(WholeAnswer { status: parts.status, headers: parts.headers, body: whole.freeze() })
+        Ok(BufferedResponse { status: parts.status, headers: parts.headers, body: whole.freeze() })
     }
 
     /// Reads the next bytes of a body; `None` is its end.
     pub async fn next_chunk(&self, body: &mut Incoming) -> Result<Option<Bytes>, HttpError> {
-        let limit_ms = self.limits.silence_ms;
+        let limit_ms = self.limits.read_timeout_ms;
         let next = read_chunk(body);
         match tokio::time::timeout(Duration::from_millis(limit_ms), next).await {
             Ok(result) => result,
@@ -207,7 +207,7 @@
 ///
 /// A body without a length that is not chunked ends when the connection closes, so that a server
 /// which dies in the middle looks like one that finished.
-pub fn has_proven_end(response: &Response<Incoming>) -> bool {
+pub fn has_delimited_body(response: &Response<Incoming>) -> bool {
     if response.body().size_hint().exact().is_some() {
         return true;
     }
@@ -224,7 +224,7 @@
 
 fn build(limits: &HttpLimits, pool: bool) -> RawClient {
     let mut connector = HttpConnector::new();
-    connector.set_connect_timeout(Some(Duration::from_millis(limits.connect_ms)));
+    connector.set_connect_timeout(Some(Duration::from_millis(limits.connect_timeout_ms)));
     connector.set_nodelay(true);
     // Something between the two ends can lose track of a connection: it stays open and nothing
     // arrives any more. While an answer is being prepared nothing is sent either, so only the
@@ -238,7 +238,7 @@
         .http1_max_headers(limits.max_headers)
         .http1_max_buf_size(limits.max_head_bytes)
         .pool_timer(TokioTimer::new())
-        .pool_idle_timeout(Duration::from_millis(limits.idle_ms));
+        .pool_idle_timeout(Duration::from_millis(limits.idle_timeout_ms));
     if !pool {
         builder.pool_max_idle_per_host(0);
     }
--- a/crates/backing/src/client/orders.rs
+++ b/crates/backing/src/client/orders.rs
@@ -51,7 +51,7 @@
 }
 
 impl HttpOrders {
-    /// A client of the engine at `authority`; loading weights takes long, so give `head_ms` room.
+    /// A client of the engine at `authority`; loading weights takes long, so give `head_timeout_ms` room.
     ///
     /// ```
     /// use flamingowheel_backing::client::{HttpLimits, HttpOrders};
@@ -60,7 +60,10 @@
     /// # });
     /// ```
     pub fn new(authority: Authority, limits: HttpLimits) -> Self {
-        let prompt = HttpLimits { head_ms: limits.head_ms.min(PROMPT_LIMIT_MS), ..limits.clone() };
+        let prompt = HttpLimits {
+            head_timeout_ms: limits.head_timeout_ms.min(PROMPT_LIMIT_MS),
+            ..limits.clone()
+        };
         Self {
             http: HttpClient::new(authority.clone(), prompt),
             loading: HttpClient::new(authority, limits),
@@ -111,7 +114,7 @@
 }
 
 impl EngineOrders for HttpOrders {
-    fn order<'a>(&'a self, order: &'a Order) -> BoxFuture<'a, Result<(), OrderError>> {
+    fn send_order<'a>(&'a self, order: &'a Order) -> BoxFuture<'a, Result<(), OrderError>> {
         Box::pin(self.send(order))
     }
 
--- a/crates/backing/src/client/weights.rs
+++ b/crates/backing/src/client/weights.rs
@@ -1,6 +1,6 @@
 //! Client of the weight store.
 
-use super::http::{HttpClient, HttpLimits, Reuse, WholeAnswer};
+use super::http::{BufferedResponse, HttpClient, HttpLimits, Reuse};
 use super::segment;
 use crate::BoxFuture;
 use crate::weights::{WeightStore, WeightStoreError};
@@ -32,7 +32,7 @@
     }
 }
 
-fn retry_after_ms(answer: &WholeAnswer) -> u64 {
+fn retry_after_ms(answer: &BufferedResponse) -> u64 {
     let header = answer.headers.get(http::header::RETRY_AFTER);
     let seconds = header.and_then(|value| value.to_str().ok()).and_then(|text| text.parse().ok());
     seconds.unwrap_or(DEFAULT_RETRY_AFTER_S).saturating_mul(MS_PER_S)
--- a/crates/backing/src/client/wire.rs
+++ b/crates/backing/src/client/wire.rs
@@ -344,7 +344,7 @@
 /// The kind of a change.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "UPPERCASE")]
-pub enum ChangeKind {
+pub enum EventKind {
     /// Written; left out on the wire.
     #[default]
     Put,
@@ -355,10 +355,10 @@
 /// A change.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
-pub struct WireChange {
+pub struct WireEvent {
     /// Written or deleted.
     #[serde(rename = "type")]
-    pub kind: ChangeKind,
+    pub kind: EventKind,
     /// The key with its new value; of a deleted one the key and revision.
     pub kv: WireEntry,
 }
@@ -380,7 +380,7 @@
     pub compact_revision: Int64,
     /// The changes.
     #[serde(skip_serializing_if = "Vec::is_empty")]
-    pub events: Vec<WireChange>,
+    pub events: Vec<WireEvent>,
 }
 
 /// Body of an answer that reports an error.
--- a/crates/backing/src/fake/engine/control.rs
+++ b/crates/backing/src/fake/engine/control.rs
@@ -1,7 +1,7 @@
 //! What a test does to the engine and reads from it.
 
 use super::cache::PrefixCache;
-use super::{FakeEngine, LostOrder, Process, RunCount, State};
+use super::{FakeEngine, OrderFault, Process, RunCount, State};
 use crate::backend::{BackendError, LoadReport};
 use crate::fake::lock;
 use crate::orders::{EngineState, ExpertMap};
@@ -79,18 +79,18 @@
     }
 
     /// Tells whether the process is up, now and later.
-    pub fn up(&self) -> watch::Receiver<bool> {
+    pub fn subscribe_up(&self) -> watch::Receiver<bool> {
         self.shared.up.subscribe()
     }
 
     /// Loses the next order in the given way; calls add up in order.
-    pub fn lose_order(&self, lost: LostOrder) {
-        lock(&self.shared.state).lost_orders.push_back(lost);
+    pub fn inject_order_fault(&self, lost: OrderFault) {
+        lock(&self.shared.state).order_faults.push_back(lost);
     }
 
     /// Forgets ways of losing orders that have not struck yet.
-    pub fn clear_lost_orders(&self) {
-        lock(&self.shared.state).lost_orders.clear();
+    pub fn clear_order_faults(&self) {
+        lock(&self.shared.state).order_faults.clear();
     }
 
     /// Numbers the next `count` cache events but never shows them.
@@ -146,7 +146,7 @@
     /// The newest report that is older than the lag.
     pub(super) fn lagging_report(&self) -> LoadReport {
         let mut state = lock(&self.shared.state);
-        let lag = self.shared.settings.load_lag;
+        let lag = self.shared.settings.load_report_lag;
         let now = Instant::now();
         while state.reports.get(1).is_some_and(|(at, _)| *at + lag <= now) {
             state.reports.pop_front();
--- a/crates/backing/src/fake/engine/mod.rs
+++ b/crates/backing/src/fake/engine/mod.rs
@@ -35,11 +35,11 @@
 
 /// Where the next order is lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LostOrder {
+pub enum OrderFault {
     /// Carried out; the answer is lost.
-    AfterEffect,
+    AnswerLost,
     /// Never carried out.
-    BeforeEffect,
+    RequestLost,
     /// Carried out this much later, long after its sender gave up, unless the process dies first.
     Delayed(Duration),
 }
@@ -58,15 +58,15 @@
     /// What becomes of orders with an old number.
     pub fence_policy: FencePolicy,
     /// Time the load report lags behind.
-    pub load_lag: Duration,
+    pub load_report_lag: Duration,
     /// Time a cache event takes to show.
-    pub cache_lag: Duration,
+    pub cache_event_lag: Duration,
     /// Blocks the prefix cache holds.
     pub cache_blocks: usize,
     /// Time to load a model or to stage a map.
-    pub load_time: Duration,
+    pub weight_load_time: Duration,
     /// How long a caller of the fake waits for a sign of life.
-    pub silence_limit: Duration,
+    pub silence_timeout: Duration,
     /// Time after a crash until the process is back; `None` waits for a restart by hand.
     pub restart_after: Option<Duration>,
     /// Tokens sent before a crash that a body brings about.
@@ -85,11 +85,11 @@
             places: 32,
             can_resume: true,
             fence_policy: FencePolicy::Refuses,
-            load_lag: Duration::ZERO,
-            cache_lag: Duration::ZERO,
+            load_report_lag: Duration::ZERO,
+            cache_event_lag: Duration::ZERO,
             cache_blocks: 1024,
-            load_time: Duration::ZERO,
-            silence_limit: Duration::from_secs(3),
+            weight_load_time: Duration::ZERO,
+            silence_timeout: Duration::from_secs(3),
             restart_after: None,
             crash_after_tokens: 0,
             needs_staging: true,
@@ -143,7 +143,7 @@
     cache: PrefixCache,
     reported: EngineState,
     map: ExpertMap,
-    lost_orders: VecDeque<LostOrder>,
+    order_faults: VecDeque<OrderFault>,
 }
 
 #[derive(Debug)]
@@ -191,7 +191,7 @@
             cache: PrefixCache::new(settings.cache_blocks),
             reported: EngineState::default(),
             map: ExpertMap::default(),
-            lost_orders: VecDeque::new(),
+            order_faults: VecDeque::new(),
         };
         let shared = Shared {
             settings,
@@ -214,7 +214,7 @@
     /// Waits until the engine is not frozen; a caller gives up after the silence limit.
     async fn responsive(&self) -> Result<(), BackendError> {
         self.process()?;
-        let limit = self.shared.settings.silence_limit;
+        let limit = self.shared.settings.silence_timeout;
         let mut frozen = self.shared.frozen.subscribe();
         let thawed = tokio::time::timeout(limit, frozen.wait_for(|frozen| !frozen)).await;
         match thawed {
@@ -237,7 +237,7 @@
         Box::pin(async move {
             // A frozen engine's kernel still takes the request, which then runs after the thaw.
             let process = self.process()?;
-            let limit = self.shared.settings.silence_limit;
+            let limit = self.shared.settings.silence_timeout;
             let head = run::start(self, process, call);
             match tokio::time::timeout(limit, head).await {
                 Ok(Ok(answer)) => Ok(answer),
@@ -267,14 +267,14 @@
     fn cache_events(&self, after: u64) -> BoxFuture<'_, Result<Vec<CacheEvent>, BackendError>> {
         Box::pin(async move {
             self.responsive().await?;
-            let lag = self.shared.settings.cache_lag;
+            let lag = self.shared.settings.cache_event_lag;
             Ok(lock(&self.shared.state).cache.events(after, lag))
         })
     }
 }
 
 impl EngineOrders for FakeEngine {
-    fn order<'a>(&'a self, order: &'a Order) -> BoxFuture<'a, Result<(), OrderError>> {
+    fn send_order<'a>(&'a self, order: &'a Order) -> BoxFuture<'a, Result<(), OrderError>> {
         Box::pin(orders::take(self, order))
     }
 
--- a/crates/backing/src/fake/engine/orders.rs
+++ b/crates/backing/src/fake/engine/orders.rs
@@ -1,6 +1,6 @@
 //! How the engine takes orders.
 
-use super::{FakeEngine, FencePolicy, LostOrder, State, silent};
+use super::{FakeEngine, FencePolicy, OrderFault, State, silent};
 use crate::backend::BackendError;
 use crate::fake::lock;
 use crate::orders::{ExpertMap, Fence, Order, OrderError, OrderTarget};
@@ -15,18 +15,18 @@
 
 pub(super) async fn take(engine: &FakeEngine, order: &Order) -> Result<(), OrderError> {
     engine.responsive().await?;
-    let lost = lock(&engine.shared.state).lost_orders.pop_front();
+    let lost = lock(&engine.shared.state).order_faults.pop_front();
     match lost {
         None => carry_out(engine, order).await,
-        Some(LostOrder::BeforeEffect) => Err(BackendError::Lost.into()),
-        Some(LostOrder::AfterEffect) => {
+        Some(OrderFault::RequestLost) => Err(BackendError::Lost.into()),
+        Some(OrderFault::AnswerLost) => {
             let _ = carry_out(engine, order).await;
             Err(BackendError::Lost.into())
         }
-        Some(LostOrder::Delayed(delay)) => {
+        Some(OrderFault::Delayed(delay)) => {
             let process = engine.process()?;
             let (engine, order) = (engine.clone(), order.clone());
-            let limit = engine.settings().silence_limit;
+            let limit = engine.settings().silence_timeout;
             tokio::spawn(async move {
                 // The order came over a connection to this process, so it dies with it.
                 tokio::select! {
@@ -49,7 +49,7 @@
         tokio::select! {
             biased;
             () = process.ended.cancelled() => return Err(BackendError::Lost.into()),
-            () = tokio::time::sleep(engine.settings().load_time) => {}
+            () = tokio::time::sleep(engine.settings().weight_load_time) => {}
         }
     }
     let mut state = lock(&engine.shared.state);
--- a/crates/backing/src/fake/engine/run.rs
+++ b/crates/backing/src/fake/engine/run.rs
@@ -3,7 +3,7 @@
 use super::{FakeEngine, Process, RunCount, Ticket, silent};
 use crate::backend::{BackendAnswer, BackendCall, BackendError, BodyPiece};
 use crate::fake::lock;
-use crate::fake::text::{DONE_EVENT, Generation, block_hashes, token_event, whole_json};
+use crate::fake::text::{DONE_EVENT, GenerationRequest, block_hashes, token_event, whole_json};
 use bytes::Bytes;
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
@@ -29,7 +29,7 @@
 struct Run {
     engine: FakeEngine,
     call: BackendCall,
-    generation: Generation,
+    generation: GenerationRequest,
     head: Option<oneshot::Sender<BackendAnswer>>,
     pieces: mpsc::Sender<Piece>,
     receiver: Option<mpsc::Receiver<Piece>>,
@@ -43,7 +43,7 @@
 ) -> oneshot::Receiver<BackendAnswer> {
     let (head, answer) = oneshot::channel();
     let (pieces, receiver) = mpsc::channel(BODY_CAPACITY);
-    let generation = Generation::of(&call.body, engine.settings().default_tokens);
+    let generation = GenerationRequest::from_body(&call.body, engine.settings().default_tokens);
     let cancelled = CancellationToken::new();
     lock(&engine.shared.state).calls.insert(call.id.clone(), cancelled.clone());
     let run = Run {
@@ -178,7 +178,7 @@
         if !self.engine.is_frozen() {
             return Ok(());
         }
-        let limit = self.engine.settings().silence_limit;
+        let limit = self.engine.settings().silence_timeout;
         if tokio::time::timeout(limit, self.engine.thawed()).await.is_ok() {
             return Ok(());
         }
--- a/crates/backing/src/fake/group.rs
+++ b/crates/backing/src/fake/group.rs
@@ -13,7 +13,7 @@
 
 /// A step in which two ranks used different maps.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct SplitStep {
+pub struct MapMismatch {
     /// The step's number.
     pub step: u64,
     /// For each rank the version it used and the digest of the map's contents.
@@ -23,9 +23,9 @@
 #[derive(Debug, Default)]
 struct State {
     step: u64,
-    splits: Vec<SplitStep>,
-    mixed: Vec<u64>,
-    stalled: u64,
+    map_mismatches: Vec<MapMismatch>,
+    version_mismatches: Vec<u64>,
+    stalled_steps: u64,
 }
 
 /// A group of engines in lock-step: a step is run by all ranks or by none.
@@ -63,7 +63,7 @@
         let ready =
             self.ranks.iter().all(|rank| rank.step_limit().is_some_and(|last| next <= last));
         if !ready {
-            state.stalled += 1;
+            state.stalled_steps += 1;
             return false;
         }
         let maps: Vec<_> = self
@@ -72,11 +72,11 @@
             .map(|rank| (rank.peek_state().map_version, map_digest(&rank.peek_map())))
             .collect();
         if maps.windows(2).any(|pair| pair[0] != pair[1]) {
-            state.splits.push(SplitStep { step: next, maps });
+            state.map_mismatches.push(MapMismatch { step: next, maps });
         }
         let versions = self.ranks.iter().map(|rank| rank.peek_state().version);
         if versions.collect::<HashSet<_>>().len() > 1 {
-            state.mixed.push(next);
+            state.version_mismatches.push(next);
         }
         self.ranks.iter().for_each(|rank| rank.set_step(next));
         state.step = next;
@@ -85,7 +85,7 @@
 
     /// Counts one step's work in each rank: `tokens` of each expert, shared evenly by its
     /// replicas, and the time a rank of that speed is busy with them. Returns the longest time.
-    pub fn count_work<Tokens>(&self, tokens: Tokens, speeds: &[f64]) -> u64
+    pub fn record_step_work<Tokens>(&self, tokens: Tokens, speeds: &[f64]) -> u64
     where
         Tokens: Fn(usize, u16) -> u64,
     {
@@ -122,17 +122,17 @@
     }
 
     /// Steps that could not be run because a rank was not ready.
-    pub fn stalled(&self) -> u64 {
-        lock(&self.state).stalled
+    pub fn stalled_steps(&self) -> u64 {
+        lock(&self.state).stalled_steps
     }
 
     /// All steps that were run with two versions of the model.
-    pub fn mixed(&self) -> Vec<u64> {
-        lock(&self.state).mixed.clone()
+    pub fn version_mismatches(&self) -> Vec<u64> {
+        lock(&self.state).version_mismatches.clone()
     }
 
     /// All steps that were run with two maps; a sound switch leaves none.
-    pub fn splits(&self) -> Vec<SplitStep> {
-        lock(&self.state).splits.clone()
+    pub fn map_mismatches(&self) -> Vec<MapMismatch> {
+        lock(&self.state).map_mismatches.clone()
     }
 }
--- a/crates/backing/src/fake/kv.rs
+++ b/crates/backing/src/fake/kv.rs
@@ -15,7 +15,7 @@
 /// Events a watch may lag behind before the service ends it.
 const WATCH_CAPACITY: usize = 4096;
 /// How long a client of the fake waits for an answer.
-const DEFAULT_ANSWER_LIMIT: Duration = Duration::from_millis(500);
+const DEFAULT_ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
 /// How often a watch hears that the service is still there.
 const DEFAULT_PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
 
@@ -70,21 +70,21 @@
     watchers: Vec<Watcher>,
     calls: KeyValueCalls,
     delay: Duration,
-    answer_limit: Duration,
+    answer_timeout: Duration,
     progress_interval: Duration,
     lost_answers: Vec<LostAnswer>,
     lost_write_answers: Vec<LostAnswer>,
     late_writes: Vec<Duration>,
     next_delay: Option<Duration>,
-    swallow_events: usize,
+    drop_watch_events: usize,
     rate_exceeded: bool,
 }
 
 impl State {
     fn publish(&mut self, events: &[WatchEvent]) {
         for event in events {
-            if self.swallow_events > 0 {
-                self.swallow_events -= 1;
+            if self.drop_watch_events > 0 {
+                self.drop_watch_events -= 1;
                 continue;
             }
             self.watchers.retain(|watcher| {
@@ -141,13 +141,13 @@
             watchers: Vec::new(),
             calls: KeyValueCalls::default(),
             delay: Duration::ZERO,
-            answer_limit: DEFAULT_ANSWER_LIMIT,
+            answer_timeout: DEFAULT_ANSWER_TIMEOUT,
             progress_interval: DEFAULT_PROGRESS_INTERVAL,
             lost_answers: Vec::new(),
             lost_write_answers: Vec::new(),
             late_writes: Vec::new(),
             next_delay: None,
-            swallow_events: 0,
+            drop_watch_events: 0,
             rate_exceeded: false,
         };
         Self { state: Arc::new(Mutex::new(state)), up: watch::Sender::new(true) }
@@ -162,7 +162,7 @@
     }
 
     /// Tells whether the service is up, now and later.
-    pub fn up(&self) -> watch::Receiver<bool> {
+    pub fn subscribe_up(&self) -> watch::Receiver<bool> {
         self.up.subscribe()
     }
 
@@ -172,8 +172,8 @@
     }
 
     /// Sets how long a caller waits before it is told [`KeyValueError::NoAnswer`].
-    pub fn set_answer_limit(&self, limit: Duration) {
-        lock(&self.state).answer_limit = limit;
+    pub fn set_answer_timeout(&self, limit: Duration) {
+        lock(&self.state).answer_timeout = limit;
     }
 
     /// Sets how often watches hear [`WatchEvent::Progress`].
@@ -199,8 +199,8 @@
     }
 
     /// Brings no watch the next `count` events.
-    pub fn swallow_events(&self, count: usize) {
-        lock(&self.state).swallow_events = count;
+    pub fn drop_watch_events(&self, count: usize) {
+        lock(&self.state).drop_watch_events = count;
     }
 
     /// Makes all open watches silent for good; new ones work.
@@ -292,7 +292,7 @@
             return Err(KeyValueError::RateExceeded);
         }
         let delay = state.next_delay.take().unwrap_or(state.delay);
-        Ok((delay, state.answer_limit, state.lost_answers.pop()))
+        Ok((delay, state.answer_timeout, state.lost_answers.pop()))
     }
 
     fn apply<T, F>(&self, effect: F) -> Result<T, KeyValueError>
--- a/crates/backing/src/fake/mod.rs
+++ b/crates/backing/src/fake/mod.rs
@@ -10,8 +10,8 @@
 pub mod vm;
 pub mod weights;
 
-pub use engine::{EngineSettings, FakeEngine, FencePolicy, LostOrder, RunCount};
-pub use group::{RankGroup, SplitStep};
+pub use engine::{EngineSettings, FakeEngine, FencePolicy, OrderFault, RunCount};
+pub use group::{MapMismatch, RankGroup};
 pub use kv::{FakeKeyValue, KeyValueCalls, LostAnswer};
 pub use service::FakeService;
 pub use vm::FakeVmList;
--- a/crates/backing/src/fake/service.rs
+++ b/crates/backing/src/fake/service.rs
@@ -18,7 +18,7 @@
 struct State {
     executions: HashMap<Bytes, u32>,
     delay: Duration,
-    silence_limit: Duration,
+    silence_timeout: Duration,
     crash_after_effect: usize,
     running: u32,
     lives: u64,
@@ -48,7 +48,7 @@
         let state = State {
             executions: HashMap::new(),
             delay: Duration::ZERO,
-            silence_limit: Duration::from_secs(3),
+            silence_timeout: Duration::from_secs(3),
             crash_after_effect: 0,
             running: 0,
             lives: 1,
@@ -68,8 +68,8 @@
     }
 
     /// How long a caller of the fake waits for an answer.
-    pub fn set_silence_limit(&self, limit: Duration) {
-        lock(&self.state).silence_limit = limit;
+    pub fn set_silence_timeout(&self, limit: Duration) {
+        lock(&self.state).silence_timeout = limit;
     }
 
     /// Refuses connections, or takes them again as a new process.
@@ -83,7 +83,7 @@
     }
 
     /// Tells whether the service is up, now and later.
-    pub fn up(&self) -> watch::Receiver<bool> {
+    pub fn subscribe_up(&self) -> watch::Receiver<bool> {
         self.up.subscribe()
     }
 
@@ -147,7 +147,7 @@
     }
 
     fn silent(&self) -> BackendError {
-        let limit = lock(&self.state).silence_limit;
+        let limit = lock(&self.state).silence_timeout;
         BackendError::Silent { limit_ms: u64::try_from(limit.as_millis()).unwrap_or(u64::MAX) }
     }
 
@@ -155,7 +155,7 @@
         if !*self.up.borrow() {
             return Err(BackendError::Refused);
         }
-        let limit = lock(&self.state).silence_limit;
+        let limit = lock(&self.state).silence_timeout;
         let mut frozen = self.frozen.subscribe();
         match tokio::time::timeout(limit, frozen.wait_for(|frozen| !frozen)).await {
             Ok(_) => Ok(()),
@@ -170,7 +170,7 @@
             if !*self.up.borrow() {
                 return Err(BackendError::Refused);
             }
-            let limit = lock(&self.state).silence_limit;
+            let limit = lock(&self.state).silence_timeout;
             let this = self.clone();
             let task = tokio::spawn(async move {
                 lock(&this.state).running += 1;
--- a/crates/backing/src/fake/text.rs
+++ b/crates/backing/src/fake/text.rs
@@ -18,23 +18,23 @@
 
 /// What a request's body asks of the engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Generation {
+pub struct GenerationRequest {
     /// Number of tokens to generate.
     pub tokens: u64,
     /// Whether the answer is an event stream.
     pub stream: bool,
 }
 
-impl Generation {
+impl GenerationRequest {
     /// Reads `max_tokens` and `stream` of a JSON body; any other body is streamed.
     ///
     /// ```
-    /// use flamingowheel_backing::fake::text::Generation;
+    /// use flamingowheel_backing::fake::text::GenerationRequest;
     /// let body = br#"{"max_tokens": 7, "stream": true}"#;
-    /// assert_eq!(Generation::of(body, 3), Generation { tokens: 7, stream: true });
-    /// assert_eq!(Generation::of(b"plain", 3), Generation { tokens: 3, stream: true });
+    /// assert_eq!(GenerationRequest::from_body(body, 3), GenerationRequest { tokens: 7, stream: true });
+    /// assert_eq!(GenerationRequest::from_body(b"plain", 3), GenerationRequest { tokens: 3, stream: true });
     /// ```
-    pub fn of(body: &[u8], default_tokens: u64) -> Self {
+    pub fn from_body(body: &[u8], default_tokens: u64) -> Self {
         let Ok(Value::Object(fields)) = serde_json::from_slice(body) else {
             return Self { tokens: default_tokens, stream: true };
         };
@@ -61,7 +61,7 @@
 
 /// All events of a whole streamed answer, the end marker included.
 pub fn whole_stream(body: &[u8], default_tokens: u64) -> Vec<Bytes> {
-    let tokens = Generation::of(body, default_tokens).tokens;
+    let tokens = GenerationRequest::from_body(body, default_tokens).tokens;
     let mut events: Vec<Bytes> = (0..tokens).map(|index| token_event(body, index)).collect();
     events.push(Bytes::from_static(DONE_EVENT));
     events
--- a/crates/backing/src/fake/weights.rs
+++ b/crates/backing/src/fake/weights.rs
@@ -14,8 +14,8 @@
     burst_bytes: u64,
     available_bytes: u64,
     refilled_at: Instant,
-    read_bytes: u64,
-    refused: u64,
+    bytes_read: u64,
+    refused_reads: u64,
     down: bool,
 }
 
@@ -36,14 +36,14 @@
         }
         self.refill();
         if bytes > self.available_bytes {
-            self.refused += 1;
+            self.refused_reads += 1;
             let missing = bytes - self.available_bytes;
             let retry_after_ms =
                 missing.saturating_mul(MS_PER_S).div_ceil(self.rate_bytes_per_s.max(1));
             return Err(WeightStoreError::Busy { retry_after_ms });
         }
         self.available_bytes -= bytes;
-        self.read_bytes += bytes;
+        self.bytes_read += bytes;
         Ok(())
     }
 }
@@ -72,8 +72,8 @@
             burst_bytes,
             available_bytes: burst_bytes,
             refilled_at: Instant::now(),
-            read_bytes: 0,
-            refused: 0,
+            bytes_read: 0,
+            refused_reads: 0,
             down: false,
         };
         Self { state: Arc::new(Mutex::new(state)) }
@@ -85,13 +85,13 @@
     }
 
     /// Bytes read so far.
-    pub fn read_bytes(&self) -> u64 {
-        lock(&self.state).read_bytes
+    pub fn bytes_read(&self) -> u64 {
+        lock(&self.state).bytes_read
     }
 
     /// Reads refused so far.
-    pub fn refused(&self) -> u64 {
-        lock(&self.state).refused
+    pub fn refused_reads(&self) -> u64 {
+        lock(&self.state).refused_reads
     }
 }
 
--- a/crates/backing/src/orders.rs
+++ b/crates/backing/src/orders.rs
@@ -132,7 +132,7 @@
 /// Orders to one engine.
 pub trait EngineOrders: Send + Sync + 'static {
     /// Sends an order. A lost answer leaves the effect unknown until [`EngineOrders::state`].
-    fn order<'a>(&'a self, order: &'a Order) -> BoxFuture<'a, Result<(), OrderError>>;
+    fn send_order<'a>(&'a self, order: &'a Order) -> BoxFuture<'a, Result<(), OrderError>>;
 
     /// Reads the engine's state back.
     fn state(&self) -> BoxFuture<'_, Result<EngineState, BackendError>>;
--- a/crates/backing/tests/fake_engine.rs
+++ b/crates/backing/tests/fake_engine.rs
@@ -7,7 +7,7 @@
 use flamingowheel_backing::fake::engine::map_digest;
 use flamingowheel_backing::fake::text::whole_stream;
 use flamingowheel_backing::fake::{
-    EngineSettings, FakeEngine, FakeService, FakeVmList, FencePolicy, LostOrder, RankGroup,
+    EngineSettings, FakeEngine, FakeService, FakeVmList, FencePolicy, OrderFault, RankGroup,
 };
 use flamingowheel_backing::orders::{
     EngineOrders, ExpertMap, Fence, Order, OrderError, OrderTarget,
@@ -132,7 +132,7 @@
 #[tokio::test(start_paused = true)]
 async fn cache_events_late_and_with_gaps() {
     let settings =
-        EngineSettings { cache_lag: Duration::from_secs(2), ..EngineSettings::default() };
+        EngineSettings { cache_event_lag: Duration::from_secs(2), ..EngineSettings::default() };
     let engine = FakeEngine::new(1, settings);
     engine.lose_cache_events(1);
     read(engine.call(call("a", &"x".repeat(600))).await.unwrap()).await;
@@ -148,8 +148,8 @@
     for (policy, refused) in [(FencePolicy::Refuses, true), (FencePolicy::Ignores, false)] {
         let settings = EngineSettings { fence_policy: policy, ..EngineSettings::default() };
         let engine = FakeEngine::new(1, settings);
-        engine.order(&order(5, OrderTarget::Resume)).await.unwrap();
-        let late = engine.order(&order(4, OrderTarget::Hold { after_step: 9 })).await;
+        engine.send_order(&order(5, OrderTarget::Resume)).await.unwrap();
+        let late = engine.send_order(&order(4, OrderTarget::Hold { after_step: 9 })).await;
         assert_eq!(matches!(late, Err(OrderError::Stale { .. })), refused);
         let highest = engine.state().await.unwrap().highest_fence;
         assert_eq!(highest, refused.then_some(Fence(5)));
@@ -160,15 +160,15 @@
 #[tokio::test(start_paused = true)]
 async fn order_lost_or_late() {
     let engine = FakeEngine::new(1, EngineSettings::default());
-    engine.lose_order(LostOrder::BeforeEffect);
-    engine.lose_order(LostOrder::AfterEffect);
-    engine.lose_order(LostOrder::Delayed(Duration::from_secs(60)));
+    engine.inject_order_fault(OrderFault::RequestLost);
+    engine.inject_order_fault(OrderFault::AnswerLost);
+    engine.inject_order_fault(OrderFault::Delayed(Duration::from_secs(60)));
     let held = |step| order(1, OrderTarget::Hold { after_step: step });
-    assert!(engine.order(&held(1)).await.is_err());
+    assert!(engine.send_order(&held(1)).await.is_err());
     assert_eq!(engine.peek_state().held_after_step, None);
-    assert!(engine.order(&held(2)).await.is_err());
+    assert!(engine.send_order(&held(2)).await.is_err());
     assert_eq!(engine.peek_state().held_after_step, Some(2));
-    assert!(engine.order(&held(3)).await.is_err());
+    assert!(engine.send_order(&held(3)).await.is_err());
     assert_eq!(engine.peek_state().held_after_step, Some(2));
     tokio::time::sleep(Duration::from_secs(60)).await;
     assert_eq!(engine.peek_state().held_after_step, Some(3));
@@ -178,8 +178,8 @@
 #[tokio::test(start_paused = true)]
 async fn order_late_dies_with_process() {
     let engine = FakeEngine::new(1, EngineSettings::default());
-    engine.lose_order(LostOrder::Delayed(Duration::from_secs(60)));
-    assert!(engine.order(&order(1, OrderTarget::Hold { after_step: 3 })).await.is_err());
+    engine.inject_order_fault(OrderFault::Delayed(Duration::from_secs(60)));
+    assert!(engine.send_order(&order(1, OrderTarget::Hold { after_step: 3 })).await.is_err());
     engine.crash();
     engine.restart();
     tokio::time::sleep(Duration::from_secs(60)).await;
@@ -187,9 +187,9 @@
 }
 
 async fn switch(engine: &FakeEngine, version: u64, map: ExpertMap) {
-    engine.order(&order(version, OrderTarget::StageMap { map: map.clone() })).await.unwrap();
+    engine.send_order(&order(version, OrderTarget::StageMap { map: map.clone() })).await.unwrap();
     let target = OrderTarget::SwitchMap { map_version: version, map };
-    engine.order(&order(version, target)).await.unwrap();
+    engine.send_order(&order(version, target)).await.unwrap();
 }
 
 fn group(count: u64) -> RankGroup {
@@ -203,17 +203,17 @@
     let group = group(4);
     assert!(group.try_step());
     for rank in group.ranks() {
-        rank.order(&order(1, OrderTarget::Hold { after_step: 1 })).await.unwrap();
+        rank.send_order(&order(1, OrderTarget::Hold { after_step: 1 })).await.unwrap();
     }
     assert!(!group.try_step());
     for rank in group.ranks() {
         switch(rank, 1, map(1)).await;
     }
     for rank in group.ranks() {
-        rank.order(&order(1, OrderTarget::Resume)).await.unwrap();
+        rank.send_order(&order(1, OrderTarget::Resume)).await.unwrap();
     }
     assert!(group.try_step());
-    assert_eq!((group.splits().len(), group.stalled()), (0, 1));
+    assert_eq!((group.map_mismatches().len(), group.stalled_steps()), (0, 1));
 }
 
 // One rank resumes with the old map; the check must tell, or no other test of switches means much.
@@ -221,15 +221,15 @@
 async fn group_deliberate_split_is_found() {
     let group = group(2);
     for rank in group.ranks() {
-        rank.order(&order(1, OrderTarget::Hold { after_step: 0 })).await.unwrap();
+        rank.send_order(&order(1, OrderTarget::Hold { after_step: 0 })).await.unwrap();
     }
     switch(&group.ranks()[0], 1, map(1)).await;
     for rank in group.ranks() {
-        rank.order(&order(1, OrderTarget::Resume)).await.unwrap();
+        rank.send_order(&order(1, OrderTarget::Resume)).await.unwrap();
     }
     assert!(group.try_step());
-    assert_eq!(group.splits()[0].step, 1);
-    assert_eq!(group.splits()[0].maps[0], (1, map_digest(&map(1))));
+    assert_eq!(group.map_mismatches()[0].step, 1);
+    assert_eq!(group.map_mismatches()[0].maps[0], (1, map_digest(&map(1))));
 }
 
 // Both ranks name the same version but hold different contents under it.
@@ -237,12 +237,12 @@
 async fn group_same_version_other_contents_is_found() {
     let group = group(2);
     for (expert, rank) in (0..).zip(group.ranks()) {
-        rank.order(&order(1, OrderTarget::Hold { after_step: 0 })).await.unwrap();
+        rank.send_order(&order(1, OrderTarget::Hold { after_step: 0 })).await.unwrap();
         switch(rank, 1, map(expert)).await;
-        rank.order(&order(1, OrderTarget::Resume)).await.unwrap();
+        rank.send_order(&order(1, OrderTarget::Resume)).await.unwrap();
     }
     assert!(group.try_step());
-    assert_eq!(group.splits().len(), 1);
+    assert_eq!(group.map_mismatches().len(), 1);
 }
 
 #[tokio::test(start_paused = true)]
--- a/crates/backing/tests/fake_kv.rs
+++ b/crates/backing/tests/fake_kv.rs
@@ -95,7 +95,7 @@
 async fn watch_gap_and_silence() {
     let kv = FakeKeyValue::new();
     let mut watch = kv.watch("a", Revision(0)).await.unwrap();
-    kv.swallow_events(1);
+    kv.drop_watch_events(1);
     kv.transact(put("a", "1", None)).await.unwrap();
     kv.transact(put("a", "2", None)).await.unwrap();
     let WatchEvent::Put(entry) = watch.recv().await.unwrap() else { panic!("not a put") };
--- a/crates/control/tests/synchronizer.rs
+++ b/crates/control/tests/synchronizer.rs
@@ -52,7 +52,7 @@
     // A watch delivers the second of two changes but not the first. Applying it alone would put a
     // configuration in force that no operator wrote.
     let fleet = Fleet::start(9, 3).await;
-    fleet.kv.swallow_events(2);
+    fleet.kv.drop_watch_events(2);
     fleet.apply_and_crash(TEMPLATE).await;
     fleet.apply_and_crash(&workspace("bibb")).await;
     fleet.until_revision(2, Duration::from_secs(1)).await;
--- a/crates/flamingowheeld/src/agent.rs
+++ b/crates/flamingowheeld/src/agent.rs
@@ -203,9 +203,9 @@
         BackendServerKind::Service { .. } => BackendKind::Service,
     };
     let limits = HttpLimits {
-        head_ms: HEAD_TIMEOUT_MS,
-        silence_ms: SILENCE_TIMEOUT_MS,
-        idle_ms: SILENCE_TIMEOUT_MS,
+        head_timeout_ms: HEAD_TIMEOUT_MS,
+        read_timeout_ms: SILENCE_TIMEOUT_MS,
+        idle_timeout_ms: SILENCE_TIMEOUT_MS,
         ..HttpLimits::default()
     };
     HttpBackend::new(authority(agent_settings.backend_server), kind, limits)
--- a/crates/flamingowheeld/src/demo/mod.rs
+++ b/crates/flamingowheeld/src/demo/mod.rs
@@ -360,7 +360,7 @@
     while !stop.is_cancelled() {
         tokio::time::sleep(STEP_INTERVAL).await;
         if group.try_step() {
-            group.count_work(|_, expert| MAX_EXPERT_TOKENS >> expert, &[1.0; RANKS as usize]);
+            group.record_step_work(|_, expert| MAX_EXPERT_TOKENS >> expert, &[1.0; RANKS as usize]);
         }
     }
 }
--- a/crates/flamingowheeld/src/entry.rs
+++ b/crates/flamingowheeld/src/entry.rs
@@ -342,7 +342,7 @@
 /// Creates a client of the key-value service that fails over between its addresses.
 pub fn key_value(settings: &Settings) -> Failover<EtcdClient> {
     let limits = HttpLimits {
-        head_ms: settings.key_value.timeout_ms,
+        head_timeout_ms: settings.key_value.timeout_ms,
         ..flamingowheel_backing::client::etcd::default_limits()
     };
     let client = |address: &SocketAddr| EtcdClient::new(authority(*address), limits.clone());
--- a/crates/flamingowheeld/src/orders.rs
+++ b/crates/flamingowheeld/src/orders.rs
@@ -55,9 +55,9 @@
             false => EngineKind::IgnoresFence,
         };
         let limits = HttpLimits {
-            head_ms: HEAD_TIMEOUT_MS,
-            silence_ms: SILENCE_TIMEOUT_MS,
-            idle_ms: SILENCE_TIMEOUT_MS,
+            head_timeout_ms: HEAD_TIMEOUT_MS,
+            read_timeout_ms: SILENCE_TIMEOUT_MS,
+            idle_timeout_ms: SILENCE_TIMEOUT_MS,
             ..HttpLimits::default()
         };
         let engine = HttpOrders::new(authority(agent_settings.backend_server), limits);
--- a/crates/flamingowheeld/tests/demo.rs
+++ b/crates/flamingowheeld/tests/demo.rs
@@ -9,7 +9,7 @@
 async fn once_run_passes_all_checks() {
     let fleet = Fleet::start().await.unwrap();
     assert!(once::run(&fleet).await.unwrap());
-    assert_eq!(fleet.standins.group.splits(), []);
-    assert!(fleet.standins.group.mixed().is_empty());
+    assert_eq!(fleet.standins.group.map_mismatches(), []);
+    assert!(fleet.standins.group.version_mismatches().is_empty());
     fleet.leave().await;
 }
--- a/crates/flamingowheeld/tests/placement.rs
+++ b/crates/flamingowheeld/tests/placement.rs
@@ -62,7 +62,7 @@
                 OrderTarget::Resume,
             ];
             for target in targets {
-                engine.order(&Order { fence, target }).await.expect("carried out");
+                engine.send_order(&Order { fence, target }).await.expect("carried out");
             }
         }
         self.map = map;
@@ -80,7 +80,7 @@
                 .collect();
             assert!(self.group.try_step(), "the group steps");
             let tokens = |_, expert| tokens(expert) as u64;
-            total_us += self.group.count_work(tokens, &noisy);
+            total_us += self.group.record_step_work(tokens, &noisy);
         }
         let state = |engine: &FakeEngine| RankState {
             incarnation: 1,
--- a/crates/flamingowheeld/tests/stop.rs
+++ b/crates/flamingowheeld/tests/stop.rs
@@ -54,7 +54,7 @@
     daemon.start().unwrap();
 
     let address = format!("127.0.0.1:{}", ports.callers);
-    let limits = HttpLimits { head_ms: WORK_LIMIT_MS, ..HttpLimits::default() };
+    let limits = HttpLimits { head_timeout_ms: WORK_LIMIT_MS, ..HttpLimits::default() };
     let client = HttpClient::new(address.parse().unwrap(), limits);
     let caller = tokio::spawn(async move {
         loop {
--- a/crates/group/benches/rollout.rs
+++ b/crates/group/benches/rollout.rs
@@ -22,7 +22,7 @@
 async fn measure_rollout(world: &World, name: &str, version: &str, adapters: &[&str]) {
     let began = Instant::now();
     let (calls, messages) = (world.kv.calls(), world.messages());
-    let (stalled, orders) = (world.group.stalled(), world.orders());
+    let (stalled, orders) = (world.group.stalled_steps(), world.orders());
     world.set_desired_serving(version, adapters);
     let done = || {
         let holds = |rank| adapters.len() <= world.engine(rank).peek_state().adapters.len();
@@ -37,12 +37,12 @@
     let writes = world.kv.calls().transact - calls.transact;
     let leases = world.kv.calls().grant_lease - calls.grant_lease;
     println!("{name}.took_ms={took_ms}");
-    println!("{name}.still_ms={}", (world.group.stalled() - stalled) * 25);
+    println!("{name}.still_ms={}", (world.group.stalled_steps() - stalled) * 25);
     println!("{name}.messages={}", world.messages() - messages);
     println!("{name}.orders_to_engines={}", world.orders() - orders);
     println!("{name}.kv_writes={writes}");
     println!("{name}.kv_leases={leases}");
-    println!("{name}.mixed_steps={}", world.group.mixed().len());
+    println!("{name}.mixed_steps={}", world.group.version_mismatches().len());
     println!("{name}.mixed_answers={}", world.mixed_answers());
 }
 
--- a/crates/group/benches/switch.rs
+++ b/crates/group/benches/switch.rs
@@ -5,7 +5,7 @@
 #[path = "../tests/support/mod.rs"]
 mod support;
 
-use flamingowheel_backing::fake::{LostAnswer, LostOrder};
+use flamingowheel_backing::fake::{LostAnswer, OrderFault};
 use flamingowheel_group::gate::EngineKind;
 use std::time::Duration;
 use support::{Fault, OUTAGE, World};
@@ -25,8 +25,8 @@
     ("agent_paused", Fault::PauseAgent, OUTAGE),
     ("engine_crashed", Fault::CrashEngine, Duration::from_secs(2)),
     ("engine_frozen", Fault::FreezeEngine, OUTAGE),
-    ("order_lost_after_effect", Fault::LoseOrder(LostOrder::AfterEffect), Duration::ZERO),
-    ("order_lost_before_effect", Fault::LoseOrder(LostOrder::BeforeEffect), Duration::ZERO),
+    ("order_lost_after_effect", Fault::LoseOrder(OrderFault::AnswerLost), Duration::ZERO),
+    ("order_lost_before_effect", Fault::LoseOrder(OrderFault::RequestLost), Duration::ZERO),
     ("service_down", Fault::ServiceDown, OUTAGE),
     ("service_slow", Fault::ServiceSlow, OUTAGE),
     ("write_lost_after", Fault::LoseServiceAnswers(LostAnswer::AfterEffect), Duration::ZERO),
@@ -68,7 +68,7 @@
             observed.recovery = since_start.saturating_sub(ended_at);
         }
     }
-    observed.splits = world.group.splits().len();
+    observed.splits = world.group.map_mismatches().len();
     world.shutdown();
     // Lets the stopped tasks end before the next world begins.
     sleep(POLL_INTERVAL).await;
--- a/crates/group/src/gate.rs
+++ b/crates/group/src/gate.rs
@@ -237,7 +237,7 @@
             *unanswered = Some(PendingLoad { target: target.clone(), process_id });
         }
         let order = Order { fence, target: target.clone() };
-        let result = self.engine.order(&order).await;
+        let result = self.engine.send_order(&order).await;
         let error = match result {
             Ok(()) => {
                 *unanswered = None;
--- a/crates/group/tests/budget.rs
+++ b/crates/group/tests/budget.rs
@@ -242,7 +242,7 @@
     let store = FakeWeightStore::new(RATE_BYTES_PER_S as u64, 3 * LOAD_BYTES);
     let members: Vec<_> = (0..3).map(|member| start(&kv, member)).collect();
     sleep(SECOND * 300).await;
-    let (began, before) = (Instant::now(), store.read_bytes());
+    let (began, before) = (Instant::now(), store.bytes_read());
     for (budget, _) in &members {
         for load in 0..LOADS {
             let (budget, store) = (Arc::clone(budget), store.clone());
@@ -253,19 +253,19 @@
         }
     }
     let used = |store: &FakeWeightStore| {
-        (store.read_bytes() - before) as f64 / began.elapsed().as_secs_f64() / RATE_BYTES_PER_S
+        (store.bytes_read() - before) as f64 / began.elapsed().as_secs_f64() / RATE_BYTES_PER_S
     };
     sleep(SECOND * 600).await;
     let in_service = used(&store);
     kv.set_down(true);
     sleep(SECOND * 600).await;
-    assert_eq!(store.refused(), 0);
-    let read_bytes = store.read_bytes();
+    assert_eq!(store.refused_reads(), 0);
+    let read_bytes = store.bytes_read();
     sleep(SECOND * 600).await;
-    let while_down = (store.read_bytes() - read_bytes) as f64 / 600.0 / RATE_BYTES_PER_S;
+    let while_down = (store.bytes_read() - read_bytes) as f64 / 600.0 / RATE_BYTES_PER_S;
     kv.set_down(false);
     sleep(SECOND * 2400).await;
-    assert_eq!((store.refused(), store.read_bytes()), (0, 3 * LOADS * LOAD_BYTES));
+    assert_eq!((store.refused_reads(), store.bytes_read()), (0, 3 * LOADS * LOAD_BYTES));
     // Nine tenths of the rate are allocated; the minimum of each member is 1/200.
     assert_eq!(format!("{in_service:.3} {while_down:.4}"), "0.900 0.0150");
 }
--- a/crates/group/tests/gate.rs
+++ b/crates/group/tests/gate.rs
@@ -3,7 +3,7 @@
 use flamingowheel_backing::BoxFuture;
 use flamingowheel_backing::backend::BackendError;
 use flamingowheel_backing::fake::{
-    EngineSettings, FakeEngine, FakeKeyValue, FencePolicy, LostOrder,
+    EngineSettings, FakeEngine, FakeKeyValue, FencePolicy, OrderFault,
 };
 use flamingowheel_backing::orders::{
     EngineOrders, EngineState, ExpertMap, Fence, Order, OrderError, OrderTarget,
@@ -22,8 +22,8 @@
         EngineKind::ChecksFence => FencePolicy::Refuses,
         EngineKind::IgnoresFence => FencePolicy::Ignores,
     };
-    let load_time = Duration::from_millis(500);
-    let settings = EngineSettings { fence_policy, load_time, ..EngineSettings::default() };
+    let weight_load_time = Duration::from_millis(500);
+    let settings = EngineSettings { fence_policy, weight_load_time, ..EngineSettings::default() };
     FakeEngine::new(1, settings)
 }
 
@@ -150,7 +150,7 @@
     let kind = EngineKind::IgnoresFence;
     let (engine, kv) = (engine(kind), FakeKeyValue::new());
     let gate = open(&engine, kind, &kv).await;
-    engine.lose_order(LostOrder::Delayed(Duration::from_secs(60)));
+    engine.inject_order_fault(OrderFault::Delayed(Duration::from_secs(60)));
     assert_eq!(gate.handle(&order(5, serve("1"))).await, Err(RankError::EngineSilent));
     assert_eq!(gate.handle(&order(6, serve("2"))).await, Err(RankError::Unresolved));
     sleep(Duration::from_secs(60)).await;
@@ -196,7 +196,7 @@
 async fn handle_load_of_dead_agent_pending() {
     let kind = EngineKind::IgnoresFence;
     let (engine, kv) = (engine(kind), FakeKeyValue::new());
-    engine.lose_order(LostOrder::Delayed(Duration::from_secs(20)));
+    engine.inject_order_fault(OrderFault::Delayed(Duration::from_secs(20)));
     let dying = open(&engine, kind, &kv).await;
     let request = order(5, serve("1"));
     let limit = Duration::from_millis(100);
@@ -225,7 +225,7 @@
 struct Refusing(FakeEngine);
 
 impl EngineOrders for Refusing {
-    fn order<'a>(&'a self, _order: &'a Order) -> BoxFuture<'a, Result<(), OrderError>> {
+    fn send_order<'a>(&'a self, _order: &'a Order) -> BoxFuture<'a, Result<(), OrderError>> {
         let reason = "no room for the weights".to_owned();
         Box::pin(std::future::ready(Err(OrderError::NotPossible { reason })))
     }
@@ -260,7 +260,7 @@
         gate.handle(&order(fence, serve("1"))).await.unwrap();
         engine.restart();
     }
-    engine.lose_order(LostOrder::AfterEffect);
+    engine.inject_order_fault(OrderFault::AnswerLost);
     assert!(gate.handle(&order(6, serve("2"))).await.is_err());
     assert_eq!(kv.peek("groups/g1/loads/").entries.len(), 1, "it may still take effect");
     gate.handle(&RankRequest { target: None, ..order(6, serve("2")) }).await.unwrap();
--- a/crates/group/tests/rollout.rs
+++ b/crates/group/tests/rollout.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use bytes::Bytes;
-use flamingowheel_backing::fake::{LostAnswer, LostOrder};
+use flamingowheel_backing::fake::{LostAnswer, OrderFault};
 use flamingowheel_backing::kv::{KeyValue, Operation, Transaction};
 use flamingowheel_backing::orders::ExpertMap;
 use flamingowheel_group::gate::EngineKind;
@@ -201,10 +201,10 @@
 async fn rollout_adapter_added_without_a_stop() {
     for kind in KINDS {
         let world = serving_group(kind).await;
-        let stalled = world.group.stalled();
+        let stalled = world.group.stalled_steps();
         world.set_desired_serving("1", &["bibb"]);
         sleep(SECOND * 2).await;
-        assert_eq!(world.group.stalled(), stalled, "{kind:?}");
+        assert_eq!(world.group.stalled_steps(), stalled, "{kind:?}");
         assert_eq!(world.engine(2).peek_state().adapters, ["bibb"]);
         world.set_desired_serving("1", &["houston"]);
         sleep(SECOND * 2).await;
@@ -292,14 +292,14 @@
 async fn rollout_answer_lost_after_effect() {
     inject_at_every_message(Fault::LoseRequest, Duration::ZERO).await;
     inject_at_every_message(Fault::LoseAnswer, Duration::ZERO).await;
-    inject_at_every_message(Fault::LoseOrder(LostOrder::AfterEffect), Duration::ZERO).await;
+    inject_at_every_message(Fault::LoseOrder(OrderFault::AnswerLost), Duration::ZERO).await;
 }
 
 /// An order is delayed by a minute, on the network or in the engine, while operators accept further
 /// versions. If it took effect then, one rank would answer with an old version.
 #[tokio::test(start_paused = true)]
 async fn rollout_order_late_by_a_minute() {
-    for fault in [Fault::Delay(MINUTE), Fault::LoseOrder(LostOrder::Delayed(MINUTE))] {
+    for fault in [Fault::Delay(MINUTE), Fault::LoseOrder(OrderFault::Delayed(MINUTE))] {
         for kind in KINDS {
             for message in 0..MESSAGES {
                 let case = format!("{fault:?} at message {message}, {kind:?}");
--- a/crates/group/tests/support/mod.rs
+++ b/crates/group/tests/support/mod.rs
@@ -6,7 +6,7 @@
 
 use flamingowheel_backing::BoxFuture;
 use flamingowheel_backing::fake::{
-    EngineSettings, FakeEngine, FakeKeyValue, FencePolicy, LostAnswer, LostOrder, RankGroup,
+    EngineSettings, FakeEngine, FakeKeyValue, FencePolicy, LostAnswer, OrderFault, RankGroup,
 };
 use flamingowheel_backing::kv::{KeyValue, LeaseId};
 use flamingowheel_backing::orders::{ExpertMap, OrderTarget};
@@ -54,7 +54,7 @@
     PauseAgent,
     CrashEngine,
     FreezeEngine,
-    LoseOrder(LostOrder),
+    LoseOrder(OrderFault),
     ServiceDown,
     ServiceSlow,
     LoseServiceAnswers(LostAnswer),
@@ -157,13 +157,13 @@
             fence_policy,
             restart_after: Some(RESTART),
             starts_held: true,
-            load_time: Duration::from_millis(100),
+            weight_load_time: Duration::from_millis(100),
             ..EngineSettings::default()
         };
         // Ranks load at different speeds, so that some finish before others.
         let engine = |rank: u32| {
-            let load_time = settings.load_time + rank * LOAD_SPREAD;
-            FakeEngine::new(rank.into(), EngineSettings { load_time, ..settings.clone() })
+            let weight_load_time = settings.weight_load_time + rank * LOAD_SPREAD;
+            FakeEngine::new(rank.into(), EngineSettings { weight_load_time, ..settings.clone() })
         };
         let engines: Vec<_> = (0..ranks as u32).map(engine).collect();
         let slot = |engine: &FakeEngine| Slot {
@@ -301,8 +301,8 @@
 
     /// Asserts that no step was run with two maps or two model versions.
     pub fn check_steps(&self, case: &str) {
-        assert_eq!(self.group.splits(), [], "{case}");
-        assert!(self.group.mixed().is_empty(), "{case}: steps with two versions");
+        assert_eq!(self.group.map_mismatches(), [], "{case}");
+        assert!(self.group.version_mismatches().is_empty(), "{case}: steps with two versions");
     }
 
     fn inject(self: &Arc<Self>, rank: usize, fault: Fault) {
@@ -319,7 +319,7 @@
                 self.engine(rank).set_frozen(true);
                 self.after_outage(move |world| world.engine(rank).set_frozen(false));
             }
-            Fault::LoseOrder(lost) => self.engine(rank).lose_order(lost),
+            Fault::LoseOrder(lost) => self.engine(rank).inject_order_fault(lost),
             Fault::ServiceDown => {
                 self.kv.set_down(true);
                 self.after_outage(|world| world.kv.set_down(false));
--- a/crates/group/tests/support/traffic.rs
+++ b/crates/group/tests/support/traffic.rs
@@ -54,7 +54,7 @@
     pub async fn run(&self, engine: FakeEngine, length: Duration, stop: CancellationToken) {
         while !stop.is_cancelled() {
             // An engine that was started held and has no map begins no request.
-            let is_ready = *engine.up().borrow() && engine.peek_state().map_version > 0;
+            let is_ready = *engine.subscribe_up().borrow() && engine.peek_state().map_version > 0;
             if self.open.load(Ordering::SeqCst) && is_ready {
                 self.run_one(&engine, length).await;
             }
--- a/crates/group/tests/switch.rs
+++ b/crates/group/tests/switch.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use flamingowheel_backing::fake::{LostAnswer, LostOrder};
+use flamingowheel_backing::fake::{LostAnswer, OrderFault};
 use flamingowheel_group::gate::EngineKind;
 use flamingowheel_group::status::Activity;
 use std::time::Duration;
@@ -156,15 +156,15 @@
 /// service.
 #[tokio::test(start_paused = true)]
 async fn switch_engine_order_lost() {
-    inject_at_every_message(Fault::LoseOrder(LostOrder::AfterEffect), Duration::ZERO).await;
-    inject_at_every_message(Fault::LoseOrder(LostOrder::BeforeEffect), Duration::ZERO).await;
+    inject_at_every_message(Fault::LoseOrder(OrderFault::AnswerLost), Duration::ZERO).await;
+    inject_at_every_message(Fault::LoseOrder(OrderFault::RequestLost), Duration::ZERO).await;
 }
 
 /// An order is delayed by a minute, on the network or in the engine, and arrives after the group
 /// has changed its map twice more and while it changes it again.
 #[tokio::test(start_paused = true)]
 async fn switch_order_late_by_a_minute() {
-    for fault in [Fault::Delay(MINUTE), Fault::LoseOrder(LostOrder::Delayed(MINUTE))] {
+    for fault in [Fault::Delay(MINUTE), Fault::LoseOrder(OrderFault::Delayed(MINUTE))] {
         for kind in KINDS {
             for message in 0..MESSAGES {
                 let case = format!("{fault:?} at message {message}, {kind:?}");
@@ -234,8 +234,8 @@
     Fault::PauseAgent,
     Fault::CrashEngine,
     Fault::FreezeEngine,
-    Fault::LoseOrder(LostOrder::AfterEffect),
-    Fault::LoseOrder(LostOrder::BeforeEffect),
+    Fault::LoseOrder(OrderFault::AnswerLost),
+    Fault::LoseOrder(OrderFault::RequestLost),
     Fault::ServiceDown,
     Fault::ServiceSlow,
     Fault::LoseServiceAnswers(LostAnswer::AfterEffect),
--- a/crates/proof/src/configuration/machine.rs
+++ b/crates/proof/src/configuration/machine.rs
@@ -128,7 +128,7 @@
         ConfigStep::AnswersLost(count, false) => {
             fleet.kv.lose_answers(count, LostAnswer::BeforeEffect);
         }
-        ConfigStep::EventsSwallowed(count) => fleet.kv.swallow_events(count),
+        ConfigStep::EventsSwallowed(count) => fleet.kv.drop_watch_events(count),
         ConfigStep::WatchesSilent => fleet.kv.silence_watches(),
         ConfigStep::Pass(_) => {}
     }
--- a/crates/proof/src/group/fleet.rs
+++ b/crates/proof/src/group/fleet.rs
@@ -5,7 +5,7 @@
 use crate::plant::Plant;
 use flamingowheel_backing::BoxFuture;
 use flamingowheel_backing::fake::{
-    EngineSettings, FakeEngine, FakeKeyValue, FencePolicy, RankGroup, SplitStep,
+    EngineSettings, FakeEngine, FakeKeyValue, FencePolicy, MapMismatch, RankGroup,
 };
 use flamingowheel_backing::kv::{KeyValue, LeaseId};
 use flamingowheel_backing::orders::{ExpertMap, OrderTarget};
@@ -53,7 +53,7 @@
 pub enum GroupViolation {
     /// A step was run with two maps.
     #[error("step {} was run with different maps: {:?}", .0.step, .0.maps)]
-    Split(SplitStep),
+    Split(MapMismatch),
     /// The group stands still and nobody is told why.
     #[error("the group stands still and no rank is named: {status:?}")]
     StandsStill {
@@ -195,8 +195,11 @@
         plant: Option<Plant>,
         message_time: Duration,
     ) -> Self {
-        let settings =
-            EngineSettings { starts_held: true, load_time: LOAD_TIME, ..EngineSettings::default() };
+        let settings = EngineSettings {
+            starts_held: true,
+            weight_load_time: LOAD_TIME,
+            ..EngineSettings::default()
+        };
         let mut fleet = Self::without_coordinators(kind, plant, message_time, settings);
         let group = fleet.group.clone();
         (0..COORDINATORS).for_each(|_| fleet.start_coordinator());
@@ -291,7 +294,7 @@
 
     /// Checks that no step was run with two maps.
     pub fn check(&self) -> Result<(), GroupViolation> {
-        match self.group.splits().into_iter().next() {
+        match self.group.map_mismatches().into_iter().next() {
             Some(split) => Err(GroupViolation::Split(split)),
             None => Ok(()),
         }
@@ -305,7 +308,7 @@
         for rank in 0..RANKS {
             self.pause_agent(rank, false);
             self.engine(rank).set_frozen(false);
-            self.engine(rank).clear_lost_orders();
+            self.engine(rank).clear_order_faults();
         }
         self.processes.iter().for_each(|process| process.fate.set_paused(false));
     }
--- a/crates/proof/src/group/gate.rs
+++ b/crates/proof/src/group/gate.rs
@@ -92,7 +92,7 @@
         let _turn = self.queue.lock().await;
         if let Some(target) = &request.target {
             let order = Order { fence: request.fence, target: target.clone() };
-            self.engine.order(&order).await.map_err(rank_error)?;
+            self.engine.send_order(&order).await.map_err(rank_error)?;
         }
         let engine = self.engine.state().await.map_err(|_| RankError::EngineSilent)?;
         Ok(RankState {
--- a/crates/proof/src/group/machine.rs
+++ b/crates/proof/src/group/machine.rs
@@ -3,7 +3,7 @@
 use super::fleet::{COORDINATORS, CallFault, Fleet, GroupViolation, RANKS};
 use crate::fuzz::{Driver, paused_runtime};
 use crate::plant::Plant;
-use flamingowheel_backing::fake::{LostAnswer, LostOrder};
+use flamingowheel_backing::fake::{LostAnswer, OrderFault};
 use flamingowheel_group::gate::EngineKind;
 use proptest::prelude::*;
 use proptest_state_machine::ReferenceStateMachine;
@@ -26,7 +26,7 @@
     /// The next orders to ranks meet these faults.
     Calls(Vec<CallFault>),
     /// An engine loses its next order.
-    Order(usize, LostOrder),
+    Order(usize, OrderFault),
     /// An agent's process is replaced.
     ReplaceAgent(usize),
     /// An agent's process stands still, or goes on.
@@ -111,11 +111,11 @@
     ]
 }
 
-fn lost_order() -> impl Strategy<Value = LostOrder> {
+fn lost_order() -> impl Strategy<Value = OrderFault> {
     prop_oneof![
-        Just(LostOrder::AfterEffect),
-        Just(LostOrder::BeforeEffect),
-        delay().prop_map(LostOrder::Delayed),
+        Just(OrderFault::AnswerLost),
+        Just(OrderFault::RequestLost),
+        delay().prop_map(OrderFault::Delayed),
     ]
 }
 
@@ -164,7 +164,7 @@
             faults.iter().for_each(|fault| fleet.fault(*fault));
         }
         GroupStep::Calls(ref faults) => faults.iter().for_each(|fault| fleet.fault(*fault)),
-        GroupStep::Order(rank, lost) => fleet.engine(rank).lose_order(lost),
+        GroupStep::Order(rank, lost) => fleet.engine(rank).inject_order_fault(lost),
         GroupStep::ReplaceAgent(rank) => fleet.replace_agent(rank),
         GroupStep::PauseAgent(rank, paused) => fleet.pause_agent(rank, paused),
         GroupStep::CrashEngine(rank) => fleet.engine(rank).crash(),
--- a/crates/proof/src/matrix/control.rs
+++ b/crates/proof/src/matrix/control.rs
@@ -90,7 +90,7 @@
         Fault::EntryPaused => fleet.pause(1, true),
         Fault::ConnectionSilent => silence(fleet),
         Fault::MessageLost => {
-            fleet.kv.swallow_events(1);
+            fleet.kv.drop_watch_events(1);
             fleet.fault(MessageFault::Lost);
         }
         Fault::MessageLate => fleet.fault(MessageFault::Late(LATE)),
--- a/crates/proof/src/matrix/load.rs
+++ b/crates/proof/src/matrix/load.rs
@@ -10,7 +10,7 @@
 use crate::backend::Fate;
 use crate::group::GroupViolation;
 use crate::group::fleet::{Fleet, Link};
-use flamingowheel_backing::fake::{EngineSettings, LostOrder};
+use flamingowheel_backing::fake::{EngineSettings, OrderFault};
 use flamingowheel_backing::orders::OrderTarget;
 use flamingowheel_group::gate::EngineKind;
 use flamingowheel_group::message::{RankError, RankRequest, RankState};
@@ -79,7 +79,7 @@
 
 impl Scene {
     async fn start(kind: EngineKind, faults: &[Fault]) -> Result<Self, GroupViolation> {
-        let settings = EngineSettings { load_time: LOAD_TIME, ..EngineSettings::default() };
+        let settings = EngineSettings { weight_load_time: LOAD_TIME, ..EngineSettings::default() };
         let fleet = Fleet::without_coordinators(kind, None, MESSAGE_TIME, settings);
         let records = fleet.records();
         let record = GroupRecord::first(Default::default(), crate::group::fleet::RANKS);
@@ -90,7 +90,7 @@
         // An engine goes on loading for a caller that is gone, and has the effect late.
         if faults.iter().any(|fault| matches!(fault, Fault::AgentKilled | Fault::ConnectionSilent))
         {
-            fleet.engine(RANK).lose_order(LostOrder::Delayed(LATE));
+            fleet.engine(RANK).inject_order_fault(OrderFault::Delayed(LATE));
         }
         for fault in faults.iter().filter_map(|fault| call_fault(*fault)) {
             fleet.fault(fault);
--- a/crates/proof/src/matrix/run.rs
+++ b/crates/proof/src/matrix/run.rs
@@ -173,7 +173,7 @@
         let body = if is_chat(step) { chat_body() } else { Bytes::from_static(b"work 1") };
         for service in &world.servers.services {
             service.set_delay(SERVICE_TIME);
-            service.set_silence_limit(Duration::from_secs(3));
+            service.set_silence_timeout(Duration::from_secs(3));
         }
         Self { step, size, world, body, work: None, second: None }
     }
--- a/crates/proof/src/oracle.rs
+++ b/crates/proof/src/oracle.rs
@@ -6,7 +6,7 @@
 use crate::caller::Told;
 use bytes::Bytes;
 use flamingowheel_backing::fake::FakeService;
-use flamingowheel_backing::fake::text::{Generation, whole_json, whole_stream};
+use flamingowheel_backing::fake::text::{GenerationRequest, whole_json, whole_stream};
 use std::fmt;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -221,7 +221,7 @@
     }
 
     fn is_whole_chat(&self, answer: &Bytes) -> bool {
-        let generation = Generation::of(&self.body, 0);
+        let generation = GenerationRequest::from_body(&self.body, 0);
         if !generation.stream {
             return whole_json(&self.body, generation.tokens) == *answer;
         }
--- a/crates/proof/tests/stop.rs
+++ b/crates/proof/tests/stop.rs
@@ -102,7 +102,7 @@
         let mut world = World::start(None).await;
         let (work, server) = finished(&mut world, "payout 8").await;
         if silent {
-            world.kv.set_answer_limit(Duration::from_secs(3_600));
+            world.kv.set_answer_timeout(Duration::from_secs(3_600));
             world.kv.set_delay(Duration::from_secs(3_600));
         } else {
             world.kv.set_down(true);
@@ -126,7 +126,7 @@
     world.stop_agent(server).await;
     world.start_agent(server);
     sleep(Duration::from_secs(1)).await;
-    world.kv.set_answer_limit(Duration::from_secs(3_600));
+    world.kv.set_answer_timeout(Duration::from_secs(3_600));
     world.kv.set_delay(Duration::from_secs(3_600));
     world.resend(1, work, TIMEOUT_MS);
     sleep(Duration::from_secs(2)).await;
--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -3,7 +3,9 @@
 
 use crate::report::{Shared, Violation};
 use bytes::Bytes;
-use flamingowheel_backing::client::http::{HttpClient, HttpError, HttpLimits, Reuse, WholeAnswer};
+use flamingowheel_backing::client::http::{
+    BufferedResponse, HttpClient, HttpError, HttpLimits, Reuse,
+};
 use flamingowheel_standin::platform::messages::{caller_headers, is_signed};
 use flamingowheel_standin::platform::server::{EVENTS, Ledger, answer_to, event_of};
 use http::Method;
@@ -89,7 +91,7 @@
         &self,
         kind: Kind,
         attempt: &str,
-        answer: &Result<WholeAnswer, HttpError>,
+        answer: &Result<BufferedResponse, HttpError>,
     ) -> Option<u16> {
         let status = answer.as_ref().map_or(0, |answer| answer.status.as_u16());
         let is_refusal = matches!(status, 503 | 429 | 408 | 421);
@@ -126,18 +128,23 @@
 
 fn client(entry: SocketAddr) -> Option<HttpClient> {
     let head_ms = ROUTE_LIMIT_MS + SLACK_MS;
-    let limits = HttpLimits { head_ms, silence_ms: head_ms, ..HttpLimits::default() };
+    let limits =
+        HttpLimits { head_timeout_ms: head_ms, read_timeout_ms: head_ms, ..HttpLimits::default() };
     Some(HttpClient::new(entry.to_string().parse().ok()?, limits))
 }
 
-async fn ask(client: &HttpClient, kind: Kind, attempt: &str) -> Result<WholeAnswer, HttpError> {
+async fn ask(
+    client: &HttpClient,
+    kind: Kind,
+    attempt: &str,
+) -> Result<BufferedResponse, HttpError> {
     let request = client.request(Method::POST, kind.path());
     let request = caller_headers(request, attempt, API_KEY, ROUTE_LIMIT_MS)
         .body(Full::new(Bytes::from_static(b"{}")));
     client.fetch(request.map_err(|_| HttpError::Malformed)?, Reuse::Allowed).await
 }
 
-fn wrong_answer(kind: Kind, attempt: &str, answer: &WholeAnswer) -> Option<Violation> {
+fn wrong_answer(kind: Kind, attempt: &str, answer: &BufferedResponse) -> Option<Violation> {
     let expected = match kind {
         Kind::Stream => (1..=EVENTS).map(|id| event_of(attempt, id)).collect(),
         _ => answer_to(attempt),
--- a/crates/soak/tests/checks.rs
+++ b/crates/soak/tests/checks.rs
@@ -4,7 +4,7 @@
 use axum::extract::{Request, State};
 use axum::http::{HeaderMap, StatusCode};
 use axum::response::{IntoResponse, Response};
-use flamingowheel_backing::client::http::{HttpClient, HttpLimits, Reuse, WholeAnswer};
+use flamingowheel_backing::client::http::{BufferedResponse, HttpClient, HttpLimits, Reuse};
 use flamingowheel_soak::callers::{Caller, ROUTE_LIMIT_MS};
 use flamingowheel_soak::proxy::{Harm, Proxy};
 use flamingowheel_soak::report::{Shared, Tally, Violation};
@@ -31,7 +31,7 @@
 }
 
 impl Entry {
-    async fn forward(&self, path: &str, headers: &HeaderMap) -> WholeAnswer {
+    async fn forward(&self, path: &str, headers: &HeaderMap) -> BufferedResponse {
         let request = self.server.request(http::Method::POST, path);
         let request = caller_headers(request, attempt_of(headers), "k", ROUTE_LIMIT_MS);
         let request = request.body(Default::default()).unwrap();
@@ -122,7 +122,7 @@
     let server = PlatformServer::new("s", Ledger::default(), Duration::ZERO, 8);
     tokio::spawn(server.serve(listener));
     let proxy = Proxy::start(address).await.unwrap();
-    let limits = HttpLimits { head_ms: 200, ..HttpLimits::default() };
+    let limits = HttpLimits { head_timeout_ms: 200, ..HttpLimits::default() };
     let client = HttpClient::new(proxy.address.to_string().parse().unwrap(), limits);
     let ask = || async {
         let request = client.request(http::Method::POST, "/x");
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -28,7 +28,7 @@
     connections: Connections,
     shutdown: CancellationToken,
 ) -> io::Result<()> {
-    tokio::spawn(connections.clone().follow(fake.up()));
+    tokio::spawn(connections.clone().follow(fake.subscribe_up()));
     let router: Router<FakeEngine> = routes();
     let router = router
         .route("/v1/cache-events", get(cache_events))
@@ -49,7 +49,7 @@
 }
 
 async fn order(State(fake): State<FakeEngine>, Json(order): Json<Order>) -> Response {
-    let refusal = match fake.order(&order).await {
+    let refusal = match fake.send_order(&order).await {
         Ok(()) => return StatusCode::NO_CONTENT.into_response(),
         Err(OrderError::Backend(error)) => return failure(error).await,
         Err(OrderError::Stale { given, highest }) => OrderRefusal::Stale { given, highest },
--- a/crates/standin/src/kv.rs
+++ b/crates/standin/src/kv.rs
@@ -8,9 +8,9 @@
 use axum::{Json, Router};
 use bytes::Bytes;
 use flamingowheel_backing::client::wire::{
-    CODE_NOT_FOUND, CODE_RESOURCE_EXHAUSTED, ChangeKind, CompareTarget, ErrorBody, Header, Int64,
+    CODE_NOT_FOUND, CODE_RESOURCE_EXHAUSTED, CompareTarget, ErrorBody, EventKind, Header, Int64,
     LeaseMessage, RangeRequest, RangeResponse, RequestOp, ResponseOp, Streamed, TxnRequest,
-    TxnResponse, WatchRequest, WatchResponse, WireChange, WireCompare, WireEntry, key_text,
+    TxnResponse, WatchRequest, WatchResponse, WireCompare, WireEntry, WireEvent, key_text,
 };
 use flamingowheel_backing::fake::FakeKeyValue;
 use flamingowheel_backing::kv::{
@@ -36,7 +36,7 @@
     connections: Connections,
     shutdown: CancellationToken,
 ) -> io::Result<()> {
-    tokio::spawn(connections.clone().follow(fake.up()));
+    tokio::spawn(connections.clone().follow(fake.subscribe_up()));
     let router = Router::new()
         .route("/v3/kv/range", post(range))
         .route("/v3/kv/txn", post(transact))
@@ -226,7 +226,7 @@
     match event {
         WatchEvent::Put(entry) => {
             let revision = entry.mod_revision;
-            changed(revision, WireChange { kind: ChangeKind::Put, kv: entry.into() })
+            changed(revision, WireEvent { kind: EventKind::Put, kv: entry.into() })
         }
         WatchEvent::Delete { key, revision } => {
             let kv = WireEntry {
@@ -234,7 +234,7 @@
                 mod_revision: revision.into(),
                 ..WireEntry::default()
             };
-            changed(revision, WireChange { kind: ChangeKind::Delete, kv })
+            changed(revision, WireEvent { kind: EventKind::Delete, kv })
         }
         WatchEvent::Progress { revision } => {
             WatchResponse { header: header(revision), ..WatchResponse::default() }
@@ -247,6 +247,6 @@
     }
 }
 
-fn changed(revision: Revision, change: WireChange) -> WatchResponse {
+fn changed(revision: Revision, change: WireEvent) -> WatchResponse {
     WatchResponse { header: header(revision), events: vec![change], ..WatchResponse::default() }
 }
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -25,7 +25,7 @@
     connections: Connections,
     shutdown: CancellationToken,
 ) -> io::Result<()> {
-    tokio::spawn(connections.clone().follow(fake.up()));
+    tokio::spawn(connections.clone().follow(fake.subscribe_up()));
     let router = routes::<FakeService>().with_state(fake);
     host::serve(listener, router, connections, shutdown).await
 }
--- a/crates/standin/tests/contract_engine.rs
+++ b/crates/standin/tests/contract_engine.rs
@@ -18,10 +18,10 @@
 
 const CASE_LIMIT: Duration = Duration::from_secs(20);
 const LIMITS: HttpLimits = HttpLimits {
-    connect_ms: 400,
-    head_ms: 400,
-    silence_ms: 400,
-    idle_ms: 400,
+    connect_timeout_ms: 400,
+    head_timeout_ms: 400,
+    read_timeout_ms: 400,
+    idle_timeout_ms: 400,
     max_headers: 64,
     max_head_bytes: 64 * 1024,
     max_body_bytes: 64 * 1024,
@@ -256,12 +256,12 @@
         adapters: vec!["desk".to_owned()],
         role: "both".to_owned(),
     };
-    orders.order(&order(7, serve)).await.unwrap();
-    orders.order(&order(7, OrderTarget::Hold { after_step: 4 })).await.unwrap();
-    let stale = orders.order(&order(6, OrderTarget::Resume)).await;
+    orders.send_order(&order(7, serve)).await.unwrap();
+    orders.send_order(&order(7, OrderTarget::Hold { after_step: 4 })).await.unwrap();
+    let stale = orders.send_order(&order(6, OrderTarget::Resume)).await;
     assert_eq!(stale, Err(OrderError::Stale { given: Fence(6), highest: Fence(7) }));
     let switch = OrderTarget::SwitchMap { map_version: 1, map: Default::default() };
-    let early = orders.order(&order(8, switch)).await;
+    let early = orders.send_order(&order(8, switch)).await;
     assert!(matches!(early, Err(OrderError::NotPossible { .. })));
     let state = orders.state().await.unwrap();
     assert_eq!((state.model.as_str(), state.held_after_step), ("caption", Some(4)));
--- a/crates/standin/tests/contract_kv.rs
+++ b/crates/standin/tests/contract_kv.rs
@@ -29,7 +29,8 @@
     let (fake, connections) = (FakeKeyValue::new(), Connections::default());
     let stop = CancellationToken::new();
     tokio::spawn(kv::serve(listener, fake.clone(), connections.clone(), stop.clone()));
-    let limits = HttpLimits { head_ms: 400, silence_ms: 400, ..etcd::default_limits() };
+    let limits =
+        HttpLimits { head_timeout_ms: 400, read_timeout_ms: 400, ..etcd::default_limits() };
     let client = EtcdClient::new(authority, limits);
     Remote { client, fake, connections, _stop: stop.drop_guard() }
 }
