--- a/crates/flamingowheel/tests/fleet.rs
+++ b/crates/flamingowheel/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! The tool against the demo's fleet: finding out what happened from the time line alone.
+//! Tests of the tool against the demo fleet: an operator must be able to explain a failure with it
+//! alone.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::Path;
@@ -24,12 +25,12 @@
 use tokio::net::TcpListener;
 use tokio::runtime::Runtime;
 
-/// Long enough for a busy machine.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Generous, since tests may run on a busy machine.
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 const ORDER: &[u8] = b"repair callbox 17";
 
-/// What an operator gets for a command line.
+/// Runs a command line.
 async fn run(line: &str, entry: SocketAddr) -> Result<Output, Error> {
     let environment = Environment::default()
         .with("FLAMINGOWHEEL_ENTRIES", &entry.to_string())
@@ -41,11 +42,11 @@
     commands::run(&config).await
 }
 
-async fn typing(line: &str, entry: SocketAddr) -> String {
+async fn output_text(line: &str, entry: SocketAddr) -> String {
     run(line, entry).await.expect("an answer").text
 }
 
-async fn file_order(entry: SocketAddr, headers: &[(&str, &str)]) -> Reply {
+async fn send_order(entry: SocketAddr, headers: &[(&str, &str)]) -> Reply {
     send(SERVICE, entry, headers).await
 }
 
@@ -55,9 +56,9 @@
     Caller::new(TOKEN).call(Method::POST, entry, &path, headers, order).await.expect("an answer")
 }
 
-// A service carries a work order out and crashes before it answers. The caller is told that nobody
-// can know whether it ran. The operator, who has only the request's id, must find out from the
-// time line which backend server had it, what befell that one, and why it was not sent elsewhere.
+// A service executes an order and crashes before it answers, so the caller's outcome is unknown. With
+// only the request's id, the timeline must show which backend server had the order, what happened to
+// it, and why the order was not sent to another one.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn timeline_service_crashed_tells_what_became_of_the_order() {
     let fleet = Fleet::start().await.expect("a fleet");
@@ -65,11 +66,11 @@
     services.iter().for_each(|service| service.crash_after_effect(1));
     let entry = &fleet.entries[0];
 
-    let reply = file_order(entry.callers, &[]).await;
+    let reply = send_order(entry.callers, &[]).await;
     assert_eq!(reply.outcome(), "unknown");
     assert_eq!(services.iter().map(|service| service.executions(ORDER)).sum::<u32>(), 1);
     let request = reply.headers[REQUEST_HEADER].to_str().expect("an id");
-    let shown = typing(&format!("timeline --request {request}"), entry.operators).await;
+    let shown = output_text(&format!("timeline --request {request}"), entry.operators).await;
     for line in
         ["attempt 1 dispatched to orders-", "no attempt after 1: not idempotent", "UNKNOWN: "]
     {
@@ -79,21 +80,20 @@
     fleet.leave().await;
 }
 
-// The key-value service is down. Work orders without a key of the caller's own go on and run once;
-// those with one are refused before anything is sent; a change is not accepted, and the operator
-// is not left in doubt about that.
+// While the key-value service is down, orders without an idempotency key must run exactly once, those
+// with one must be refused before anything is sent, and a change must be refused with a known outcome.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn fleet_key_value_down_does_what_the_page_says() {
+async fn fleet_key_value_down_behaves_as_documented() {
     let fleet = Fleet::start().await.expect("a fleet");
     let entry = &fleet.entries[0];
     fleet.standins.key_value.set_down(true);
 
-    let reply = file_order(entry.callers, &[]).await;
+    let reply = send_order(entry.callers, &[]).await;
     assert_eq!(reply.outcome(), "complete", "{}", reply.text());
     let ticket = reply.headers[TICKET_HEADER].to_str().expect("a ticket");
-    let again = file_order(fleet.entries[1].callers, &[(TICKET_HEADER, ticket)]).await;
+    let again = send_order(fleet.entries[1].callers, &[(TICKET_HEADER, ticket)]).await;
     assert_eq!(again.body, reply.body);
-    let keyed = file_order(entry.callers, &[("idempotency-key", "box-18")]).await;
+    let keyed = send_order(entry.callers, &[("idempotency-key", "box-18")]).await;
     assert_eq!(keyed.outcome(), "not-run");
     assert!(keyed.text().contains("key_not_checked"), "{}", keyed.text());
     let runs = fleet.standins.services.iter().map(|service| service.executions(ORDER));
@@ -110,16 +110,16 @@
 
 const INNER_ADDRESS: [u8; 4] = [127, 0, 2, 99];
 
-/// An agent in a runtime of its own: ending the runtime drops its connections and all it knows, as
-/// killing its process would.
-struct Killable {
+/// An agent in a runtime of its own. Shutting the runtime down drops the agent's connections and
+/// state, as killing its process would.
+struct KillableAgent {
     runtime: Runtime,
     _agent: AgentProcess,
     service: FakeService,
 }
 
-impl Killable {
-    /// Starts an agent of the service `payouts` on a VM that joins the fleet.
+impl KillableAgent {
+    /// Starts an agent of the service `payouts` on a VM that is added to the fleet.
     async fn join(fleet: &Fleet) -> Self {
         let inner = fleet.entries[0].state().node.members()[0].record.inner;
         let runtime = tokio::runtime::Builder::new_multi_thread()
@@ -130,12 +130,12 @@
         let service = FakeService::new(9);
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a loopback port");
         let settings = agent_settings(inner.port(), listener.local_addr().expect("an address"));
-        let served = service.clone();
+        let serving = service.clone();
         let started = runtime.spawn(async move {
             let (connections, stop) = Default::default();
             tokio::spawn(flamingowheel_standin::service::serve(
                 listener,
-                served,
+                serving,
                 connections,
                 stop,
             ));
@@ -172,49 +172,49 @@
     Settings::parse(&text, Path::new("payouts.yaml")).expect("settings")
 }
 
-async fn until<F>(what: &str, holds: F)
+async fn wait_until<F>(what: &str, holds: F)
 where
     F: Fn() -> bool,
 {
-    let waiting = async {
+    let poll = async {
         while !holds() {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    let waited = tokio::time::timeout(PATIENCE, waiting).await;
-    assert!(waited.is_ok(), "{what}");
+    let result = tokio::time::timeout(TIMEOUT, poll).await;
+    assert!(result.is_ok(), "{what}");
 }
 
-// An agent's process is killed while its service carries a payout out. The caller is told that
-// nobody can know whether it ran. The operator has the request's id only, and must find out from
-// the time line which backend server had it, that its agent is gone with what it knew, and why the
-// payout was not sent elsewhere.
+// An agent's process is killed while its service executes a payout, so the caller's outcome is
+// unknown. With only the request's id, the timeline must show which backend server had the payout,
+// that its agent and the agent's records are gone, and why the payout was not sent to another one.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn timeline_agent_killed_tells_what_became_of_the_payout() {
     let fleet = Fleet::start().await.expect("a fleet");
     let entry = &fleet.entries[0];
-    let known = entry.agents().connected().len();
-    let agent = Killable::join(&fleet).await;
-    typing("apply -f tests/documents/payouts.yaml --wait 11s", entry.operators).await;
-    until("the agent is connected", || entry.agents().connected().len() > known).await;
+    let connected_before = entry.agents().connected().len();
+    let agent = KillableAgent::join(&fleet).await;
+    output_text("apply -f tests/documents/payouts.yaml --wait 11s", entry.operators).await;
+    wait_until("the agent is connected", || entry.agents().connected().len() > connected_before)
+        .await;
     agent.service.set_frozen(true);
 
     let (callers, recorder) = (entry.callers, entry.state().recorder.clone());
     let sent = tokio::spawn(async move { send("payouts", callers, &[]).await });
     let dispatched = |event: &Event| matches!(event, Event::Dispatched { .. });
     let events = || recorder.answer(&EventQuery::default()).events;
-    until("it is dispatched", || events().iter().any(|event| dispatched(&event.event))).await;
+    wait_until("it is dispatched", || events().iter().any(|event| dispatched(&event.event))).await;
     agent.kill();
 
-    let reply = tokio::time::timeout(PATIENCE, sent).await.expect("in time").expect("no panic");
+    let reply = tokio::time::timeout(TIMEOUT, sent).await.expect("in time").expect("no panic");
     assert_eq!(reply.outcome(), "unknown");
     let request = reply.headers[REQUEST_HEADER].to_str().expect("an id");
-    let shown = typing(&format!("timeline --request {request}"), entry.operators).await;
+    let shown = output_text(&format!("timeline --request {request}"), entry.operators).await;
     for line in ["NOT REACHED payouts-0:", "dispatched to payouts-0", "not idempotent", "UNKNOWN: "]
     {
         assert!(shown.contains(line), "{line}\n{shown}");
     }
-    let status = typing("status", entry.operators).await;
+    let status = output_text("status", entry.operators).await;
     let lost = status.lines().find(|line| line.starts_with("payouts-0")).expect("a line");
     assert!(lost.contains("SILENT"), "{status}");
     fleet.leave().await;
--- a/crates/flamingowheel/tests/tool/commands.rs
+++ b/crates/flamingowheel/tests/tool/commands.rs
@@ -1,6 +1,6 @@
-//! Commands against entries played by the test, as sessions at a terminal.
+//! Tests of commands against fake entries.
 
-use crate::session::{Closed, Entry, Reply, typing};
+use crate::session::{ClosedPort, FakeEntry, Reply, terminal};
 use serde_json::{Value, json};
 
 const APPLY: &str = "apply -f tests/documents/change.yaml";
@@ -41,29 +41,30 @@
 }
 
 #[tokio::test]
-async fn status_shows_who_is_silent() {
-    let entry = Entry::default().answers("/v1/status", status());
-    insta::assert_snapshot!(typing("status", &[entry.listen().await]).await);
+async fn status_shows_silent_processes() {
+    let entry = FakeEntry::default().answers("/v1/status", status());
+    insta::assert_snapshot!(terminal("status", &[entry.listen().await]).await);
 }
 
-// A rank could not be verified after a switch and holds its group. The operator must see which.
+// A rank that could not be verified after a switch keeps its group held; the operator must see which
+// rank it is.
 #[tokio::test]
 async fn status_names_rank_out_of_service() {
     let group = |activity: &str, out_of_service: Value| json!({ "activity": activity, "map_version": 4, "out_of_service": out_of_service });
     let silent = json!([{ "rank": 3, "reason": { "error": "unresolved" } }]);
     let groups =
         json!({ "runners-a": group("running", json!([])), "runners-b": group("held", silent) });
-    let entry = Entry::default().answers("/v1/groups", groups);
+    let entry = FakeEntry::default().answers("/v1/groups", groups);
     let address = entry.listen().await;
     let mut status = status();
     status["processes"][0]["operators_address"] = json!(address);
     let entry = entry.answers("/v1/status", status);
-    insta::assert_snapshot!(typing("status", &[address]).await);
+    insta::assert_snapshot!(terminal("status", &[address]).await);
     assert_eq!(entry.requests().len(), 2);
 }
 
-// Operators accepted another version, and one group still ends requests of the former while the next
-// waits for it. Without the names an operator can't tell a slow change from one that hangs.
+// During a change of model version one group still completes requests of the old version and the next
+// group waits for it. Without the names an operator can't tell a slow change from a stalled one.
 #[tokio::test]
 async fn status_names_ranks_behind() {
     let group = |activity: &str, waits_for: Value| {
@@ -77,33 +78,33 @@
         "runners-a": group("draining", Value::Null),
         "runners-b": group("running", json!("runners-a"))
     });
-    let entry = Entry::default().answers("/v1/groups", groups);
+    let entry = FakeEntry::default().answers("/v1/groups", groups);
     let address = entry.listen().await;
     let mut status = status();
     status["processes"][0]["operators_address"] = json!(address);
     entry.answers("/v1/status", status);
-    insta::assert_snapshot!(typing("status", &[address]).await);
+    insta::assert_snapshot!(terminal("status", &[address]).await);
 }
 
 #[tokio::test]
 async fn apply_accepted_shows_diff_and_processes() {
     let path = "/v1/config/apply";
-    let entry = Entry::default().answers("/v1/status", status()).answers(path, applied(true));
+    let entry = FakeEntry::default().answers("/v1/status", status()).answers(path, applied(true));
     let line = format!("{APPLY} --wait 11s --again {AGAIN} --comment new-template");
-    insta::assert_snapshot!(typing(&line, &[entry.listen().await]).await);
+    insta::assert_snapshot!(terminal(&line, &[entry.listen().await]).await);
     insta::assert_snapshot!(entry.requests().join("\n"));
 }
 
-// A process has not taken the change in the time that the operator waited. A script must be able
-// to tell that from a change that is in force.
+// A process has not applied the change within `--wait`. A script must be able to distinguish this
+// from a change that is in force.
 #[tokio::test]
 async fn apply_not_in_force_in_time_has_its_own_exit() {
-    let entry = Entry::default().answers("/v1/config/apply", applied(false));
+    let entry = FakeEntry::default().answers("/v1/config/apply", applied(false));
     let line = format!("{APPLY} --wait 2 --seen 7");
-    insta::assert_snapshot!(typing(&line, &[entry.listen().await]).await);
+    insta::assert_snapshot!(terminal(&line, &[entry.listen().await]).await);
 }
 
-// Two operators change the same workspace; the second is told what the first did.
+// Two operators change the same workspace; the second must see what the first changed.
 #[tokio::test]
 async fn apply_conflict_shows_what_differs() {
     let conflict = json!({
@@ -117,8 +118,8 @@
             },
         }],
     });
-    let entry = Entry::default().replies("/v1/config/apply", Reply::Json(409, conflict));
-    insta::assert_snapshot!(typing(&format!("{APPLY} --seen 6"), &[entry.listen().await]).await);
+    let entry = FakeEntry::default().replies("/v1/config/apply", Reply::Json(409, conflict));
+    insta::assert_snapshot!(terminal(&format!("{APPLY} --seen 6"), &[entry.listen().await]).await);
 }
 
 #[tokio::test]
@@ -136,85 +137,86 @@
             problem("token_sha256", json!({ "reason": "empty" })),
         ],
     });
-    let entry = Entry::default().replies("/v1/config/apply", Reply::Json(422, refusal));
-    insta::assert_snapshot!(typing(&format!("{APPLY} --seen 6"), &[entry.listen().await]).await);
+    let entry = FakeEntry::default().replies("/v1/config/apply", Reply::Json(422, refusal));
+    insta::assert_snapshot!(terminal(&format!("{APPLY} --seen 6"), &[entry.listen().await]).await);
 }
 
-// The entry takes the change and its connection breaks before the answer. No other entry can be
-// reached, so nobody knows whether it was accepted; the operator must not be told that it failed.
+// The entry receives the change and the connection breaks before the answer. No other entry can be
+// reached, so the outcome is unknown and must not be reported as a failure.
 #[tokio::test]
 async fn apply_answer_lost_is_unknown() {
-    let entry = Entry::default().replies("/v1/config/apply", Reply::Cut);
-    let closed = Closed::new();
+    let entry = FakeEntry::default().replies("/v1/config/apply", Reply::Disconnect);
+    let closed = ClosedPort::new();
     let entries = [entry.listen().await, closed.address()];
-    let shown = typing(&format!("{APPLY} --seen 7 --again {AGAIN}"), &entries).await;
+    let shown = terminal(&format!("{APPLY} --seen 7 --again {AGAIN}"), &entries).await;
     assert!(shown.ends_with("[exit 6 UnknownOutcome]"), "{shown}");
     assert!(shown.contains(&format!("--again {AGAIN} --seen 7")), "{shown}");
 }
 
-// The first entry falls silent in the middle of a change. The second gets the same change under
-// the same id, so that it is accepted at most once.
+// The first entry receives a change and its connection breaks. The second must receive the same
+// change with the same id, so that it is accepted at most once.
 #[tokio::test]
 async fn apply_answer_lost_next_entry_gets_same_change() {
-    let cut = Entry::default().replies("/v1/config/apply", Reply::Cut);
-    let whole = Entry::default().answers("/v1/config/apply", applied(true));
-    let entries = [cut.listen().await, whole.listen().await];
-    let shown = typing(&format!("{APPLY} --seen 7"), &entries).await;
+    let disconnecting = FakeEntry::default().replies("/v1/config/apply", Reply::Disconnect);
+    let answering = FakeEntry::default().answers("/v1/config/apply", applied(true));
+    let entries = [disconnecting.listen().await, answering.listen().await];
+    let shown = terminal(&format!("{APPLY} --seen 7"), &entries).await;
     assert!(shown.ends_with("[exit 0 Success]"), "{shown}");
-    assert_eq!(cut.requests(), whole.requests());
+    assert_eq!(disconnecting.requests(), answering.requests());
 }
 
-// Something answers in the entry's place, or the entry answers what can't be read. The change may
-// stand all the same, and a script that takes exit 1 for "not done" would apply another.
+// The answer is malformed, or comes from an intermediary. The change may have been accepted
+// nevertheless, and a script that takes exit code 1 for "not done" would apply another one.
 #[tokio::test]
 async fn apply_answer_not_readable_is_unknown() {
     for reply in [Reply::Json(200, json!({})), Reply::Json(502, json!("bad gateway"))] {
-        let entry = Entry::default().replies("/v1/config/apply", reply);
-        let shown = typing(&format!("{APPLY} --seen 7"), &[entry.listen().await]).await;
+        let entry = FakeEntry::default().replies("/v1/config/apply", reply);
+        let shown = terminal(&format!("{APPLY} --seen 7"), &[entry.listen().await]).await;
         assert!(shown.ends_with("[exit 6 UnknownOutcome]"), "{shown}");
     }
 }
 
-// An entry takes the change and goes silent, its connection open: something between lost track of
-// it. The operator waits no longer than asked and is told that nobody knows.
+// An entry receives the change and never answers while its connection stays open, as after an
+// intermediary lost track of it. The tool must stop waiting at its timeout and report the outcome as
+// unknown.
 #[tokio::test]
 async fn apply_entry_silent_is_unknown() {
-    let entry = Entry::default().replies("/v1/config/apply", Reply::Silent);
+    let entry = FakeEntry::default().replies("/v1/config/apply", Reply::Silent);
     let line = format!("{APPLY} --seen 7 --timeout 50ms");
-    let shown = typing(&line, &[entry.listen().await]).await;
+    let shown = terminal(&line, &[entry.listen().await]).await;
     assert!(shown.contains("gave no answer: timed out after 50 ms"), "{shown}");
     assert!(shown.ends_with("[exit 6 UnknownOutcome]"), "{shown}");
 }
 
 #[tokio::test]
 async fn apply_answer_lost_in_dry_run_is_no_unknown_outcome() {
-    let entry = Entry::default().replies("/v1/config/apply", Reply::Cut);
+    let entry = FakeEntry::default().replies("/v1/config/apply", Reply::Disconnect);
     let line = format!("{APPLY} --seen 7 --dry-run");
-    let shown = typing(&line, &[entry.listen().await]).await;
+    let shown = terminal(&line, &[entry.listen().await]).await;
     assert!(shown.ends_with("[exit 3 Unreachable]"), "{shown}");
 }
 
 #[tokio::test]
-async fn status_first_entry_gone_asks_the_next() {
-    let entry = Entry::default().answers("/v1/status", status());
-    let closed = Closed::new();
+async fn status_first_entry_unreachable_asks_the_next() {
+    let entry = FakeEntry::default().answers("/v1/status", status());
+    let closed = ClosedPort::new();
     let entries = [closed.address(), entry.listen().await];
-    let shown = typing("status", &entries).await;
+    let shown = terminal("status", &entries).await;
     assert!(shown.ends_with("[exit 0 Success]"), "{shown}");
 }
 
 #[tokio::test]
 async fn status_no_entry_reached_is_unreachable() {
-    let closed = Closed::new();
-    insta::assert_snapshot!(typing("status", &[closed.address()]).await);
+    let closed = ClosedPort::new();
+    insta::assert_snapshot!(terminal("status", &[closed.address()]).await);
 }
 
 #[tokio::test]
-async fn change_unknown_can_be_told_by_exit() {
+async fn change_unknown_has_its_own_exit() {
     let answer = json!({ "change": CHANGE, "state": { "state": "unknown" } });
-    let entry = Entry::default().answers(&format!("/v1/config/changes/{CHANGE}"), answer);
+    let entry = FakeEntry::default().answers(&format!("/v1/config/changes/{CHANGE}"), answer);
     let line = format!("change {CHANGE}");
-    insta::assert_snapshot!(typing(&line, &[entry.listen().await]).await);
+    insta::assert_snapshot!(terminal(&line, &[entry.listen().await]).await);
 }
 
 #[tokio::test]
@@ -228,10 +230,10 @@
     let path = "/v1/config/workspaces";
     let first = json!({ "revision": 7, "workspaces": [workspace("bibb")], "next": "bibb" });
     let second = json!({ "revision": 7, "workspaces": [workspace("jones")] });
-    let entry = Entry::default()
+    let entry = FakeEntry::default()
         .answers(path, first)
         .answers(&format!("{path}?limit=1000&after=bibb"), second);
-    insta::assert_snapshot!(typing("get workspaces", &[entry.listen().await]).await);
+    insta::assert_snapshot!(terminal("get workspaces", &[entry.listen().await]).await);
 }
 
 #[tokio::test]
@@ -247,8 +249,8 @@
         },
         "effective": { "priority": 9 },
     });
-    let entry = Entry::default().answers("/v1/config/workspaces/bibb", answer);
-    let shown = typing("get workspaces bibb", &[entry.listen().await]).await;
+    let entry = FakeEntry::default().answers("/v1/config/workspaces/bibb", answer);
+    let shown = terminal("get workspaces bibb", &[entry.listen().await]).await;
     insta::assert_snapshot!(shown);
     let printed: String = shown
         .lines()
@@ -259,14 +261,14 @@
 }
 
 #[tokio::test]
-async fn history_shows_who_and_why() {
+async fn history_shows_operator_and_comment() {
     let change = json!({
         "id": CHANGE,
         "origin": { "operator": "maria", "at_unix_ms": 1_796_256_000_000u64, "comment": "night" },
         "edits": ["workspace bibb-county"],
     });
-    let entry = Entry::default().answers("/v1/config/history", json!({ "changes": [change] }));
-    insta::assert_snapshot!(typing("history", &[entry.listen().await]).await);
+    let entry = FakeEntry::default().answers("/v1/config/history", json!({ "changes": [change] }));
+    insta::assert_snapshot!(terminal("history", &[entry.listen().await]).await);
 }
 
 #[tokio::test]
@@ -278,19 +280,19 @@
         ],
         "keep_s": 20,
     });
-    let entry = Entry::default().answers("/v1/entries", answer);
+    let entry = FakeEntry::default().answers("/v1/entries", answer);
     let entries = [entry.listen().await];
-    insta::assert_snapshot!(typing("entries --workspace bibb-county", &entries).await);
+    insta::assert_snapshot!(terminal("entries --workspace bibb-county", &entries).await);
 }
 
-// One agent is gone and one has no known address. The time line shows what the others recorded
-// and says which parts are missing.
+// One agent can't be reached and one has no known address. The timeline must show the events of the
+// others and name the processes that are missing.
 #[tokio::test]
 async fn timeline_names_processes_not_reached() {
-    let closed = Closed::new();
-    let gone = closed.address();
+    let closed = ClosedPort::new();
+    let unreachable = closed.address();
     let mut status = status();
-    status["processes"][1]["operators_address"] = json!(gone);
+    status["processes"][1]["operators_address"] = json!(unreachable);
     let events = json!({
         "process": { "name": "entry-1", "vm": "vm-1", "data_centre": "ga-a" },
         "now": "1796256000100.0", "overwritten": 0,
@@ -299,46 +301,47 @@
             "workspace": "bibb", "event": "connection_closed", "peer": "agent-1",
         }],
     });
-    let entry = Entry::default().answers("/v1/status", status).answers("/v1/events", events);
-    let entries = [entry.listen().await, gone];
-    insta::assert_snapshot!(typing("timeline --workspace bibb", &entries).await);
+    let entry = FakeEntry::default().answers("/v1/status", status).answers("/v1/events", events);
+    let entries = [entry.listen().await, unreachable];
+    insta::assert_snapshot!(terminal("timeline --workspace bibb", &entries).await);
 }
 
-// No entry can tell which processes there are, which may be just when something goes wrong.
+// If no entry can list the processes, as may happen during a failure, the addresses that the operator
+// named must still be asked.
 #[tokio::test]
-async fn timeline_without_list_asks_those_named() {
+async fn timeline_without_process_list_asks_named_entries() {
     let events = json!({
         "process": { "name": "entry-1", "vm": "vm-1", "data_centre": "ga-a" },
         "now": "1796256000100.0", "overwritten": 0, "events": [],
     });
-    let entry = Entry::default().answers("/v1/events", events);
-    let shown = typing("timeline --since 5m", &[entry.listen().await]).await;
+    let entry = FakeEntry::default().answers("/v1/events", events);
+    let shown = terminal("timeline --since 5m", &[entry.listen().await]).await;
     assert!(shown.contains("0 events from 1 process"), "{shown}");
     assert!(shown.contains("NOT REACHED the list of processes: [entry 1] answered 404"), "{shown}");
     assert!(shown.ends_with("[exit 0 Success]"), "{shown}");
 }
 
 #[tokio::test]
-async fn timeline_nobody_reached_is_unreachable() {
-    let closed = Closed::new();
-    let shown = typing("timeline --since 5m", &[closed.address()]).await;
+async fn timeline_no_process_reached_is_unreachable() {
+    let closed = ClosedPort::new();
+    let shown = terminal("timeline --since 5m", &[closed.address()]).await;
     assert!(shown.ends_with("[exit 3 Unreachable]"), "{shown}");
 }
 
 #[tokio::test]
 async fn token_wrong_is_refused() {
-    let entry = Entry::default();
+    let entry = FakeEntry::default();
     let entries = [entry.listen().await];
-    let shown = typing("status --token-file tests/documents/wrong-token", &entries).await;
+    let shown = terminal("status --token-file tests/documents/wrong-token", &entries).await;
     assert!(shown.contains("refused the operators' token"), "{shown}");
     assert!(shown.ends_with("[exit 4 Refused]"), "{shown}");
 }
 
 #[tokio::test]
 async fn token_malformed_is_not_sent() {
-    let entry = Entry::default();
+    let entry = FakeEntry::default();
     let line = "status --token-file tests/documents/change.yaml";
-    let shown = typing(line, &[entry.listen().await]).await;
+    let shown = terminal(line, &[entry.listen().await]).await;
     assert!(shown.contains("operators' token is empty, too long or"), "{shown}");
     assert!(entry.requests().is_empty());
 }
--- a/crates/flamingowheel/tests/tool/contract.rs
+++ b/crates/flamingowheel/tests/tool/contract.rs
@@ -1,4 +1,4 @@
-//! The tool against the operators' interface of the real control package, over an in-memory
+//! Tests of the tool against the real operators' interface of the control package, with an in-memory
 //! key-value service.
 
 use std::net::SocketAddr;
@@ -18,15 +18,15 @@
 use flamingowheel_protocol::peer::{MemberRecord, MemberState, PeerAnswer, PeerRequest};
 use tokio::net::TcpListener;
 
-use crate::session::typing;
+use crate::session::terminal;
 
 const FIRST: &str = "tests/documents/first.yaml";
 const SECOND: &str = "tests/documents/second.yaml";
 
-/// An entry without others.
-struct Alone;
+/// The other processes of a fleet that has only one entry.
+struct NoPeers;
 
-impl PeerTransport for Alone {
+impl PeerTransport for NoPeers {
     fn ask(
         &self,
         _peer: SocketAddr,
@@ -36,7 +36,7 @@
     }
 }
 
-impl OtherProcesses for Alone {
+impl OtherProcesses for NoPeers {
     fn list(&self) -> Vec<ProcessStatus> {
         Vec::new()
     }
@@ -48,7 +48,7 @@
     let address = listener.local_addr().expect("an address");
     let recorder = Recorder::for_tests("entry-1");
     recorder.record(Event::LeaseLost { lease: "runners-a".into() });
-    let own = MemberRecord {
+    let own_record = MemberRecord {
         name: "entry-1".to_owned(),
         vm: "vm-1".to_owned(),
         data_centre: "ga-a".to_owned(),
@@ -61,10 +61,10 @@
         state: MemberState::Live,
     };
     let operators = OperatorsApi {
-        node: Node::new(own, recorder.clone()),
+        node: Node::new(own_record, recorder.clone()),
         store: Store::new(Arc::new(FakeKeyValue::new())),
-        peers: Arc::new(Alone),
-        agents: Arc::new(Alone),
+        peers: Arc::new(NoPeers),
+        agents: Arc::new(NoPeers),
     };
     let routes = http::router(recorder).merge(router(operators));
     tokio::spawn(async move { axum::serve(listener, routes).await });
@@ -81,7 +81,7 @@
     let lines = [
         apply(FIRST, 1, "--seen 0 --dry-run"),
         apply(FIRST, 1, "--seen 0 --wait 5s --comment first"),
-        // The answer was lost, say, and the operator sends it again.
+        // The operator sends the change again, as after a lost answer.
         apply(FIRST, 1, "--seen 0"),
         apply(FIRST, 9, "--dry-run"),
         "get templates".to_owned(),
@@ -91,7 +91,7 @@
         "get workspaces nobody".to_owned(),
         format!("diff -f {SECOND}"),
         format!("diff -f {FIRST}"),
-        // The second operator looked before the first change.
+        // The second operator's revision precedes the first change.
         apply(SECOND, 2, "--seen 0"),
         apply(SECOND, 3, "--seen 1"),
         apply("tests/documents/change.yaml", 4, "--operator nikos"),
@@ -100,13 +100,13 @@
     ];
     let mut shown = Vec::new();
     for line in lines {
-        shown.push(typing(&line, &entries).await);
+        shown.push(terminal(&line, &entries).await);
     }
-    insta::assert_snapshot!(masked(&shown.join("\n\n")));
+    insta::assert_snapshot!(mask_durations(&shown.join("\n\n")));
 }
 
-/// Leaves out how long something took.
-fn masked(text: &str) -> String {
+/// Replaces durations, which differ between runs.
+fn mask_durations(text: &str) -> String {
     let lines = text.lines().map(|line| match line.split_once(" after ") {
         Some((before, after)) if after.ends_with(" ms") => format!("{before} after [time]"),
         _ => line.to_owned(),
@@ -117,15 +117,15 @@
 #[tokio::test]
 async fn session_history_status_and_timeline() {
     let entries = [entry().await];
-    typing(&apply(FIRST, 1, "--comment first"), &entries).await;
-    let history = typing("history", &entries).await;
+    terminal(&apply(FIRST, 1, "--comment first"), &entries).await;
+    let history = terminal("history", &entries).await;
     assert!(history.contains("put template callbox, put workspace bibb-county"), "{history}");
     assert!(history.contains("maria") && history.contains("first"), "{history}");
-    let status = typing("status", &entries).await;
+    let status = terminal("status", &entries).await;
     assert!(status.contains("configuration: revision 1"), "{status}");
     assert!(status.contains("processes: 1 live, 0 leaving, 0 silent"), "{status}");
-    // The entry is asked once, although both the list and the operator name it.
-    let timeline = typing("timeline --since 1h", &entries).await;
+    // Both the process list and the operator name the entry, but it must be asked only once.
+    let timeline = terminal("timeline --since 1h", &entries).await;
     assert_eq!(timeline.matches("lease runners-a lost").count(), 1, "{timeline}");
     assert!(timeline.contains("accepted as revision 1"), "{timeline}");
     assert!(!timeline.contains("NOT REACHED"), "{timeline}");
--- a/crates/flamingowheel/tests/tool/handbook.rs
+++ b/crates/flamingowheel/tests/tool/handbook.rs
@@ -1,4 +1,4 @@
-//! The handbook's commands, documents and settings, tried as they are printed.
+//! Checks that commands, documents and settings in the handbook are valid as printed.
 
 use std::path::Path;
 
@@ -25,14 +25,14 @@
 const SOME_FILE: &str = "tests/documents/change.yaml";
 const SOME_HASH: &str = "0000000000000000000000000000000000000000000000000000000000000000";
 
-/// The blocks of code of a language; none for shell.
+/// Code blocks of a language; an empty language selects shell blocks.
 fn blocks(page: &'static str, language: &str) -> Vec<&'static str> {
     let fences: Vec<&str> = page.split("\n```").collect();
     let inside = fences.into_iter().skip(1).step_by(2);
     inside.filter_map(|block| block.strip_prefix(language)?.strip_prefix('\n')).collect()
 }
 
-/// A shell line's words; what is redirected and commented is left out.
+/// Splits a shell line into words, without redirections and comments.
 fn words(line: &str) -> Vec<String> {
     let line = line.split(" > ").next().unwrap_or(line);
     let line = line.split(" #").next().unwrap_or(line);
@@ -47,8 +47,8 @@
     words
 }
 
-/// Puts something that can be read into the places that a reader fills.
-fn filled(word: String) -> String {
+/// Replaces placeholders by valid values.
+fn fill_placeholder(word: String) -> String {
     match word.as_str() {
         word if word.ends_with(".yaml") => SOME_FILE.to_owned(),
         "operators-token" => "tests/documents/wrong-token".to_owned(),
@@ -74,7 +74,8 @@
     let lines = command_lines();
     assert!(lines.len() > 10, "{lines:#?}");
     for line in lines {
-        let arguments = words(&line).into_iter().skip(1).map(filled).map(Into::into).collect();
+        let arguments =
+            words(&line).into_iter().skip(1).map(fill_placeholder).map(Into::into).collect();
         let Ok(Invocation::Run(typed)) = parse(arguments) else { panic!("{line}") };
         if let Err(error) = Config::new(*typed, &environment) {
             panic!("{line}: {error}");
--- a/crates/flamingowheel/tests/tool/links.rs
+++ b/crates/flamingowheel/tests/tool/links.rs
@@ -1,4 +1,4 @@
-//! Links between the pages.
+//! Tests of links between the documentation's pages.
 
 use std::path::{Path, PathBuf};
 
@@ -6,7 +6,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// The pages of a folder, with those of its folders.
+/// Lists the pages of a folder, recursively.
 fn pages(folder: &Path) -> Vec<PathBuf> {
     let entries = std::fs::read_dir(folder).expect("a folder");
     let paths = entries.map(|entry| entry.expect("an entry").path());
@@ -33,7 +33,7 @@
     assert!(checked > 10, "{checked} links");
 }
 
-// A page that nobody finds is read by nobody on the day it is needed.
+// A page that the index does not list is not found when it is needed.
 #[test]
 fn handbook_lists_every_page() {
     let folder = root().join("docs/operations");
--- a/crates/flamingowheel/tests/tool/main.rs
+++ b/crates/flamingowheel/tests/tool/main.rs
@@ -1,4 +1,4 @@
-//! The tool as an operator sees it.
+//! Tests of the tool's command line, output and documentation.
 
 mod commands;
 mod contract;
--- a/crates/flamingowheel/tests/tool/reference.rs
+++ b/crates/flamingowheel/tests/tool/reference.rs
@@ -1,4 +1,4 @@
-//! The HTTP reference against the routes, headers and error codes of the code.
+//! Checks the HTTP reference page against the routes, headers and error codes in the code.
 
 use std::collections::BTreeSet;
 
@@ -19,7 +19,7 @@
     rest.split_once(to).map_or(rest, |(section, _)| section)
 }
 
-/// Cells of the tables' rows, without back quotes.
+/// Cells of table rows, without backquotes.
 fn rows(section: &str) -> impl Iterator<Item = Vec<&str>> {
     let lines = section.lines().filter_map(|line| line.strip_prefix("| "));
     lines.map(|line| line.split(" | ").map(|cell| cell.trim_matches(['`', ' ', '|'])).collect())
@@ -32,7 +32,8 @@
         .collect()
 }
 
-/// Values of the public constants whose names end like this, so that a new one can't be missed.
+/// Values of the public constants whose names have this ending, read from the source so that a new
+/// constant can't be missed.
 fn constants(ending: &str) -> BTreeSet<&'static str> {
     let declared = CALLERS.split("pub const ").skip(1);
     declared
@@ -49,7 +50,7 @@
     assert_eq!(paths(section("## For callers", "### ")), routes);
 }
 
-/// Routes stand in the code as `.route("PATH", …)`.
+/// Reads the routes from the source, where they are written as `.route("PATH", …)`.
 fn operators_routes() -> BTreeSet<&'static str> {
     let routes = OPERATORS.split(".route(\"").skip(1);
     let mut paths: BTreeSet<&str> = routes.filter_map(|rest| rest.split('"').next()).collect();
@@ -64,12 +65,12 @@
     assert_eq!(paths(section("## For operators", "### ")), routes);
 }
 
-// A path that the tool spells in another way than the entries is answered with 404, and the
-// operator is told that a template doesn't exist.
+// If the tool used a path that differs from the entries', the answer would be 404 and the operator
+// would conclude that a template does not exist.
 #[test]
-fn reference_tool_asks_known_routes() {
+fn reference_tool_requests_known_routes() {
     let known = operators_routes();
-    let asked = [
+    let requested = [
         routes::APPLY,
         routes::DIFF,
         routes::TEMPLATES,
@@ -78,7 +79,7 @@
         routes::STATUS,
         routes::GROUPS,
     ];
-    assert!(asked.iter().all(|path| known.contains(path)), "{known:?}");
+    assert!(requested.iter().all(|path| known.contains(path)), "{known:?}");
     assert!(known.contains(&*format!("{}/{{id}}", routes::CHANGES)));
     assert_eq!(routes::ENTRIES, callers::ENTRIES_PATH);
 }
@@ -113,7 +114,7 @@
     assert!(asked.contains(callers::IDEMPOTENCY_KEY_HEADER), "{asked:?}");
 }
 
-/// Error codes stand in the code as `"code")` at the end of a pair with the status.
+/// Reads the error codes from the source, where each is the second of a pair with the status.
 fn codes_in_code() -> BTreeSet<&'static str> {
     let (_, described) = ANSWERS.split_once("fn describe_not_run").expect("the table of codes");
     let (described, _) = described.split_once("fn retry_after_ms").expect("its end");
@@ -129,6 +130,6 @@
     let numbered: Vec<_> = numbered.map(|row| (row[1], row[2])).collect();
     let listed: BTreeSet<&str> = numbered.iter().map(|(code, _)| *code).collect();
     assert_eq!(listed, codes);
-    // A code may stand for two outcomes, but not twice for one.
+    // A code may belong to two outcomes, but must not be listed twice for one.
     assert_eq!(numbered.iter().collect::<BTreeSet<_>>().len(), numbered.len());
 }
--- a/crates/flamingowheel/tests/tool/session.rs
+++ b/crates/flamingowheel/tests/tool/session.rs
@@ -1,4 +1,4 @@
-//! A shell session against entries played by the test: what is typed and what is printed.
+//! Runs command lines against fake entries and returns what the terminal would show.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -19,36 +19,36 @@
 
 pub const TOKEN: &str = "operators-token-of-the-test";
 
-/// What an entry of the test answers to one path.
+/// A fake entry's reply to requests for one path.
 #[derive(Clone)]
 pub enum Reply {
     Json(u16, Value),
-    /// Closes the connection after it has read the request.
-    Cut,
-    /// Takes the request and never answers.
+    /// Closes the connection after the request was read, before the answer is complete.
+    Disconnect,
+    /// Reads the request and never answers.
     Silent,
 }
 
-/// An entry played by the test.
+/// A fake entry with fixed replies.
 #[derive(Clone, Default)]
-pub struct Entry {
+pub struct FakeEntry {
     replies: Arc<Mutex<HashMap<String, Reply>>>,
     requests: Arc<Mutex<Vec<String>>>,
 }
 
-impl Entry {
-    /// Answers `path` with a body.
+impl FakeEntry {
+    /// Answers `path` with status 200 and `body`.
     pub fn answers(self, path: &str, body: Value) -> Self {
         self.replies(path, Reply::Json(200, body))
     }
 
-    /// Answers `path`; without its query unless that is given too.
+    /// Sets the reply to `path`. The query of a request is ignored unless `path` contains one.
     pub fn replies(self, path: &str, reply: Reply) -> Self {
         self.replies.lock().expect("not poisoned").insert(path.to_owned(), reply);
         self
     }
 
-    /// Method, path, query and body of each request so far.
+    /// Method, path, query and body of each request received.
     pub fn requests(&self) -> Vec<String> {
         self.requests.lock().expect("not poisoned").clone()
     }
@@ -68,7 +68,7 @@
     }
 }
 
-async fn answer(State(entry): State<Entry>, request: Request) -> Response {
+async fn answer(State(entry): State<FakeEntry>, request: Request) -> Response {
     let (head, body) = request.into_parts();
     let body = axum::body::to_bytes(body, 1 << 20).await.unwrap_or_default();
     let authorization = head.headers.get(header::AUTHORIZATION).cloned();
@@ -77,14 +77,14 @@
     }
     let request = head.uri.path_and_query().map_or("", |path| path.as_str()).to_owned();
     let reply = entry.reply(&request, head.uri.path());
-    let seen = format!("{} {request}\n{}", head.method, text(&body));
-    entry.requests.lock().expect("not poisoned").push(seen);
+    let received = format!("{} {request}\n{}", head.method, text(&body));
+    entry.requests.lock().expect("not poisoned").push(received);
     match reply {
         Some(Reply::Json(status, body)) => {
             let status = StatusCode::from_u16(status).expect("a status");
             (status, axum::Json(body)).into_response()
         }
-        Some(Reply::Cut) => cut(),
+        Some(Reply::Disconnect) => broken_answer(),
         Some(Reply::Silent) => std::future::pending().await,
         None => StatusCode::NOT_FOUND.into_response(),
     }
@@ -94,19 +94,19 @@
     String::from_utf8_lossy(body).into_owned()
 }
 
-/// An answer whose body fails at once, which closes the connection.
-fn cut() -> Response {
+/// Returns an answer whose body fails at once, which closes the connection.
+fn broken_answer() -> Response {
     let broken = std::io::Error::from(std::io::ErrorKind::ConnectionReset);
     let body = futures_util::stream::iter([Err::<Bytes, _>(broken)]);
     Response::new(axum::body::Body::from_stream(body))
 }
 
-/// A port that is taken and refuses connections until this is dropped.
-pub struct Closed(TcpSocket);
+/// A bound port that refuses connections until this is dropped.
+pub struct ClosedPort(TcpSocket);
 
-impl Closed {
+impl ClosedPort {
     pub fn new() -> Self {
-        // Bound and never listening: a port that was freed again could become another test's.
+        // Bound but not listening: another test could be given a port that was freed again.
         let socket = TcpSocket::new_v4().expect("a socket");
         socket.bind(([127, 0, 0, 1], 0).into()).expect("a loopback port");
         Self(socket)
@@ -117,8 +117,8 @@
     }
 }
 
-/// Types a command line and gives what the terminal shows, with the exit code.
-pub async fn typing(line: &str, entries: &[SocketAddr]) -> String {
+/// Runs a command line and returns it with what the terminal shows and the exit code.
+pub async fn terminal(line: &str, entries: &[SocketAddr]) -> String {
     let environment = environment(entries);
     let arguments = line.split_whitespace().map(Into::into).collect();
     let (shown, exit) = match run(arguments, &environment).await {
@@ -129,7 +129,7 @@
     for (index, address) in entries.iter().enumerate() {
         shown = shown.replace(&address.to_string(), &format!("[entry {}]", index + 1));
     }
-    format!("$ flamingowheel {line}\n{shown}[exit {}]", name(exit))
+    format!("$ flamingowheel {line}\n{shown}[exit {}]", exit_text(exit))
 }
 
 fn environment(entries: &[SocketAddr]) -> Environment {
@@ -151,6 +151,6 @@
     }
 }
 
-fn name(exit: ExitCode) -> String {
+fn exit_text(exit: ExitCode) -> String {
     format!("{} {exit:?}", exit as u8)
 }
--- a/crates/flamingowheel/tests/tool/settings.rs
+++ b/crates/flamingowheel/tests/tool/settings.rs
@@ -1,4 +1,4 @@
-//! The reference of settings and documents against the fields that the code takes.
+//! Checks the reference page of settings and documents against the fields that the code accepts.
 
 use std::collections::BTreeSet;
 use std::path::Path;
@@ -8,7 +8,7 @@
 
 const PAGE: &str = include_str!("../../../../docs/operations/settings.md");
 
-/// Fields of the table under a heading.
+/// Fields in the page's table under a heading.
 fn listed(heading: &str) -> BTreeSet<&'static str> {
     let (_, rest) = PAGE.split_once(&format!("\n### {heading}\n")).expect("the heading");
     let section = rest.split("\n#").next().unwrap_or(rest);
@@ -16,20 +16,20 @@
     rows.filter_map(|row| row.split('`').next()).collect()
 }
 
-/// The fields that a decoder lists when it meets one that it doesn't know.
-fn expected(error: &str) -> BTreeSet<String> {
-    let (_, fields) = error.split_once("unknown field").expect("a field that is not known");
+/// Fields that a decoder lists in its error about an unknown field.
+fn accepted_fields(error: &str) -> BTreeSet<String> {
+    let (_, fields) = error.split_once("unknown field").expect("an error about an unknown field");
     fields.split('`').skip(3).step_by(2).map(str::to_owned).collect()
 }
 
 fn settings_fields(text: &str) -> BTreeSet<String> {
-    let refused = Settings::parse(text, Path::new("settings.yaml")).expect_err("no such field");
-    expected(&refused.to_string())
+    let error = Settings::parse(text, Path::new("settings.yaml")).expect_err("no such field");
+    accepted_fields(&error.to_string())
 }
 
 fn document_fields(text: &str) -> BTreeSet<String> {
-    let refused = document::parse(text).expect_err("no such field");
-    expected(&refused[0].to_string())
+    let error = document::parse(text).expect_err("no such field");
+    accepted_fields(&error[0].to_string())
 }
 
 fn assert_lists(heading: &str, fields: &BTreeSet<String>) {
--- a/crates/flamingowheel/tests/tool/usage.rs
+++ b/crates/flamingowheel/tests/tool/usage.rs
@@ -1,22 +1,22 @@
-//! Help texts and wrong command lines.
+//! Tests of help texts and invalid command lines.
 
-use crate::session::{Closed, typing};
+use crate::session::{ClosedPort, terminal};
 
 #[tokio::test]
 async fn help_all_texts() {
-    let mut shown = vec![typing("--help", &[]).await];
+    let mut shown = vec![terminal("--help", &[]).await];
     let commands = ["apply", "get", "diff", "history", "change", "status", "timeline", "entries"];
     for command in commands {
-        shown.push(typing(&format!("{command} --help"), &[]).await);
+        shown.push(terminal(&format!("{command} --help"), &[]).await);
     }
     assert!(shown.iter().flat_map(|text| text.lines()).all(|line| line.chars().count() <= 100));
     insta::assert_snapshot!(shown.join("\n\n"));
 }
 
 #[tokio::test]
-async fn command_line_wrong_says_what_is_meant() {
-    let closed = Closed::new();
-    let somewhere = [closed.address()];
+async fn command_line_invalid_names_the_error() {
+    let closed = ClosedPort::new();
+    let entries = [closed.address()];
     let lines = [
         "",
         "applly",
@@ -38,7 +38,7 @@
     ];
     let mut shown = Vec::new();
     for line in lines {
-        shown.push(typing(line, &somewhere).await);
+        shown.push(terminal(line, &entries).await);
     }
     assert!(shown.iter().all(|text| text.ends_with("[exit 2 Usage]")), "{shown:#?}");
     insta::assert_snapshot!(shown.join("\n\n"));
@@ -46,6 +46,6 @@
 
 #[tokio::test]
 async fn command_line_without_entries_is_usage() {
-    let shown = typing("status", &[]).await;
+    let shown = terminal("status", &[]).await;
     assert!(shown.contains("no entry given"), "{shown}");
 }
