--- a/crates/backing/src/backend.rs
+++ b/crates/backing/src/backend.rs
@@ -1,4 +1,4 @@
-//! Backend servers as an agent sees its own one: calls that stream an answer, cancel, load.
+//! The backend server of an agent: streamed calls, cancellation, load reports and cache events.
 //!
 //! Model engines speak OpenAI-style HTTP with event streams; plain services speak plain HTTP.
 
@@ -18,29 +18,30 @@
 pub struct BackendCall {
     /// Identifies the call for [`BackendServer::cancel`]; unique in the fleet.
     pub id: String,
-    /// The HTTP method.
+    /// HTTP method of the request to the backend server.
     pub method: http::Method,
     /// Path and query, for example `/v1/chat/completions`.
     pub path: String,
     /// The media type of `body`, if any.
     pub content_type: Option<String>,
-    /// The whole request body.
+    /// The request body, complete.
     pub body: Bytes,
-    /// Forwarded to engines, which honour it.
+    /// Sent to engines only; plain services have no priorities.
     pub priority: Priority,
     /// Number of events that the caller already has; engines that can resume skip these.
     pub resume_after_events: u64,
 }
 
-/// The head of an answer, with its body to follow.
+/// The head of an answer and the channel on which its body follows.
 #[derive(Debug)]
 pub struct BackendAnswer {
-    /// The HTTP status.
+    /// HTTP status code of the backend server's answer.
     pub status: u16,
-    /// The media type of the body.
+    /// Media type of the body; `application/octet-stream` if the answer names none.
     pub content_type: String,
-    /// Pieces of the body in order; for an event stream each piece is one whole event. The body is
-    /// whole only if [`BodyPiece::End`] is seen: a closed channel without it is a truncated body.
+    /// Pieces of the body in order; each piece of an event stream is one complete event. The body
+    /// is complete only once [`BodyPiece::End`] is received: a channel that closes without it means
+    /// a truncated body.
     pub body: mpsc::Receiver<Result<BodyPiece, BackendError>>,
 }
 
@@ -49,7 +50,7 @@
 pub enum BodyPiece {
     /// Bytes of the body.
     Data(Bytes),
-    /// The body is whole: its length was met, or the event stream's end marker was seen.
+    /// The body is complete: its HTTP framing ended, or the event stream's end marker was received.
     End,
 }
 
@@ -62,10 +63,10 @@
     /// The connection broke after the request was sent: the call may have run.
     #[error("connection to the backend server lost after the request was sent")]
     Lost,
-    /// No byte came for too long.
+    /// No byte arrived within the timeout.
     #[error("backend server silent for {limit_ms} ms")]
     Silent {
-        /// How long it was silent, in milliseconds.
+        /// The timeout, in milliseconds.
         limit_ms: u64,
     },
     /// The answer is not valid HTTP or not a valid event stream.
@@ -74,7 +75,7 @@
 }
 
 impl BackendError {
-    /// Whether the call surely did not start, so that "not run" may be said.
+    /// Whether the call certainly did not start, so that its outcome is not run.
     ///
     /// ```
     /// use flamingowheel_backing::backend::BackendError;
@@ -86,40 +87,40 @@
     }
 }
 
-/// What a backend server reports about itself, with a lag.
+/// Load that a backend server reports about itself; it may lag behind.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
     /// Requests in progress.
     pub running: u32,
     /// Requests waiting inside the backend server.
     pub waiting: u32,
-    /// Milliseconds since its process started; falls when it crashed and came back.
+    /// Milliseconds since the process started; starts again at zero after a restart.
     pub uptime_ms: u64,
-    /// Random number drawn at process start; tells two lives of the process apart.
+    /// Random number drawn at process start, so that a restart can be detected.
     pub process_id: u64,
 }
 
-/// A prefix-cache event. Numbers rise by one within one life of the process, which begins with an
-/// empty cache; a jump tells that events were lost.
+/// A prefix-cache event. Numbers rise by one as long as the process runs, and its cache is empty at
+/// the start; a gap in the numbers means that events were lost.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// The event's number.
+    /// Sequence number within the process.
     pub number: u64,
-    /// Hash of the prefix block.
+    /// Hash of the prefix block; it covers all bytes before the block too.
     pub block_hash: u64,
-    /// Stored or evicted.
+    /// `true` if the block was stored, `false` if it was evicted.
     pub stored: bool,
 }
 
-/// The one backend server of an agent.
+/// The backend server of an agent; each agent has exactly one.
 pub trait BackendServer: Send + Sync + 'static {
-    /// Sends a call. It is never sent twice by the transport underneath.
+    /// Sends a call; the transport never sends it twice.
     fn call(&self, call: BackendCall) -> BoxFuture<'_, Result<BackendAnswer, BackendError>>;
 
-    /// Asks the backend server to stop a call; no proof that it did not run.
+    /// Asks the backend server to stop a call; success does not prove that the call did not run.
     fn cancel<'a>(&'a self, id: &'a str) -> BoxFuture<'a, Result<(), BackendError>>;
 
-    /// Reads the load report; also serves as health check.
+    /// Reads the load report; also serves as the health check.
     fn load(&self) -> BoxFuture<'_, Result<LoadReport, BackendError>>;
 
     /// Reads cache events after number `after`; plain services have none.
--- a/crates/backing/src/client/backend.rs
+++ b/crates/backing/src/client/backend.rs
@@ -1,7 +1,7 @@
 //! Client of a backend server: a model engine with event streams, or a plain service.
 
+use super::encode_segment;
 use super::http::{HttpClient, HttpError, HttpLimits, Reuse, has_delimited_body};
-use super::segment;
 use super::split::{Splitter, is_done};
 use crate::BoxFuture;
 use crate::backend::{
@@ -15,42 +15,42 @@
 use serde::de::DeserializeOwned;
 use tokio::sync::mpsc;
 
-/// Carries the call's id, by which it can be cancelled.
+/// Header with the call's id, which is needed to cancel it.
 pub const REQUEST_ID_HEADER: &str = "x-request-id";
-/// Carries the call's priority; lower goes first.
+/// Header with the call's priority; lower numbers go first.
 pub const PRIORITY_HEADER: &str = "x-priority";
-/// Carries the number of events that the caller has already.
+/// Header with the number of events that the caller already has.
 pub const RESUME_HEADER: &str = "x-resume-after-events";
 
-/// Pieces that may wait for a slow reader before the connection is no longer read.
+/// Pieces buffered for a slow reader before reading from the connection pauses.
 const BODY_CAPACITY: usize = 64;
 /// Largest event of a stream.
 const MAX_EVENT_BYTES: usize = 1024 * 1024;
 
-/// The longest that a health check, a cancel or a read of cache events may take. A health check
-/// that waits on a dead connection would leave a crash unnoticed.
-const CONTROL_LIMIT_MS: u64 = 1_000;
+/// Timeout of a health check, a cancel or a read of cache events. A health check that waits longer
+/// on a dead connection would leave a crash undetected.
+const CONTROL_TIMEOUT_MS: u64 = 1_000;
 
-/// What kind of backend server it is.
+/// Kind of backend server, which decides how the end of a body is detected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BackendKind {
-    /// A model engine: its event streams are whole only with their end marker.
+    /// A model engine: its event streams are complete only with their end marker.
     Engine,
-    /// A plain service: its bodies are whole by their length.
+    /// A plain service: its bodies end as HTTP defines, by length or last chunk.
     Service,
 }
 
-/// The client.
+/// HTTP client of a backend server.
 #[derive(Clone, Debug)]
 pub struct HttpBackend {
     http: HttpClient,
-    /// For health checks and the like, which are answered at once or not at all.
+    /// With short timeouts, for health checks, cancels and cache events.
     control: HttpClient,
     kind: BackendKind,
 }
 
 impl HttpBackend {
-    /// A client of the backend server at `authority`.
+    /// Creates a client of the backend server at `authority`.
     ///
     /// ```
     /// use flamingowheel_backing::client::{BackendKind, HttpBackend, HttpLimits};
@@ -61,9 +61,9 @@
     /// ```
     pub fn new(authority: Authority, kind: BackendKind, limits: HttpLimits) -> Self {
         let control = HttpLimits {
-            head_timeout_ms: limits.head_timeout_ms.min(CONTROL_LIMIT_MS),
-            read_timeout_ms: limits.read_timeout_ms.min(CONTROL_LIMIT_MS),
-            idle_timeout_ms: limits.idle_timeout_ms.min(CONTROL_LIMIT_MS),
+            head_timeout_ms: limits.head_timeout_ms.min(CONTROL_TIMEOUT_MS),
+            read_timeout_ms: limits.read_timeout_ms.min(CONTROL_TIMEOUT_MS),
+            idle_timeout_ms: limits.idle_timeout_ms.min(CONTROL_TIMEOUT_MS),
             ..limits.clone()
         };
         Self {
@@ -81,8 +81,8 @@
         let (sender, receiver) = mpsc::channel(BODY_CAPACITY);
         let events =
             self.kind == BackendKind::Engine && content_type.starts_with("text/event-stream");
-        let pump = Pump { http: self.http.clone(), sender };
-        tokio::spawn(pump.run(response, events));
+        let relay = BodyRelay { http: self.http.clone(), sender };
+        tokio::spawn(relay.run(response, events));
         Ok(BackendAnswer { status, content_type, body: receiver })
     }
 
@@ -97,7 +97,7 @@
                 .header(PRIORITY_HEADER, HeaderValue::from(u16::from(call.priority.0)))
                 .header(RESUME_HEADER, HeaderValue::from(call.resume_after_events));
         }
-        // What can't be put into a request was never sent.
+        // A request that can't be built was never sent.
         request.body(Full::new(call.body)).map_err(|_| BackendError::Refused)
     }
 
@@ -132,24 +132,24 @@
     }
 }
 
-/// Carries a body from its connection to the reader. When the reader goes away the connection is
-/// closed, which tells the engine to stop.
-struct Pump {
+/// Relays a body from its connection to the reader. When the reader drops its end, the connection
+/// is closed, which makes the engine stop.
+struct BodyRelay {
     http: HttpClient,
     sender: mpsc::Sender<Result<BodyPiece, BackendError>>,
 }
 
-impl Pump {
+impl BodyRelay {
     async fn run(self, response: Response<Incoming>, events: bool) {
-        let ending = if events {
+        let result = if events {
             self.relay_events(response.into_body()).await
         } else if has_delimited_body(&response) {
             self.relay_bytes(response.into_body()).await
         } else {
             Err(BackendError::Malformed)
         };
-        let last = ending.map(|()| BodyPiece::End);
-        let _ = self.sender.send(last).await;
+        let end = result.map(|()| BodyPiece::End);
+        let _ = self.sender.send(end).await;
     }
 
     async fn relay_bytes(&self, mut body: Incoming) -> Result<(), BackendError> {
@@ -171,7 +171,7 @@
                 }
             }
         }
-        // The connection ended well, but the engine never said that this is all.
+        // The body ended cleanly but without its end marker, so it may be truncated.
         Err(BackendError::Lost)
     }
 
@@ -195,7 +195,7 @@
 
     fn cancel<'a>(&'a self, id: &'a str) -> BoxFuture<'a, Result<(), BackendError>> {
         Box::pin(async move {
-            let path = format!("/v1/cancel/{}", segment(id));
+            let path = format!("/v1/cancel/{}", encode_segment(id));
             let request = self
                 .control
                 .request(Method::POST, &path)
--- a/crates/backing/src/client/etcd.rs
+++ b/crates/backing/src/client/etcd.rs
@@ -23,12 +23,13 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Changes that may wait for a slow reader.
+/// Events buffered for a slow reader.
 const WATCH_CAPACITY: usize = 256;
-/// Longest line on a watch: one transaction's changes, each value in base64.
+/// Longest line of a watch: all events of one transaction, with values in base64.
 const MAX_WATCH_LINE_BYTES: usize = 64 * 1024 * 1024;
 
-/// Bounds that suit the service: it answers in milliseconds and may hold tens of large values.
+/// Limits for the key-value service: it answers within milliseconds, and an answer may hold tens of
+/// values of the maximum size.
 pub fn default_limits() -> HttpLimits {
     HttpLimits {
         head_timeout_ms: 1_000,
@@ -39,14 +40,14 @@
     }
 }
 
-/// The client.
+/// Client of the etcd v3 gateway.
 #[derive(Clone, Debug)]
 pub struct EtcdClient {
     http: HttpClient,
 }
 
 impl EtcdClient {
-    /// A client of the gateway at `authority`.
+    /// Creates a client of the gateway at `authority`.
     ///
     /// ```
     /// use flamingowheel_backing::client::{EtcdClient, etcd};
@@ -67,9 +68,9 @@
         let request = self.request(path, message)?;
         let answer = self.http.fetch(request, reuse).await.map_err(key_value_error)?;
         if answer.status != StatusCode::OK {
-            return Err(refusal(answer.status, &answer.body));
+            return Err(error_from_answer(answer.status, &answer.body));
         }
-        // Streamed answers of one element may be followed by more lines; the first one counts.
+        // A streamed answer may hold further elements; only the first is used.
         let mut values = serde_json::Deserializer::from_slice(&answer.body).into_iter::<A>();
         match values.next() {
             Some(Ok(value)) => Ok(value),
@@ -81,7 +82,7 @@
     where
         Q: Serialize,
     {
-        // What can't be put into a request was never sent.
+        // A request that can't be built was never sent.
         let body = serde_json::to_vec(message).map_err(|_| KeyValueError::Unreachable)?;
         self.http
             .request(Method::POST, path)
@@ -97,14 +98,17 @@
         Ok(Snapshot { revision: answer.header.revision.revision(), entries: entries? })
     }
 
-    async fn run(&self, transaction: Transaction) -> Result<TransactionAnswer, KeyValueError> {
+    async fn send_transaction(
+        &self,
+        transaction: Transaction,
+    ) -> Result<TransactionAnswer, KeyValueError> {
         check_values(&transaction)?;
         let request = TxnRequest {
             compare: transaction.compares.into_iter().map(wire_compare).collect(),
             success: transaction.on_success.into_iter().map(wire_operation).collect(),
             failure: transaction.on_failure.into_iter().map(wire_operation).collect(),
         };
-        // Not on a used connection: "no answer" costs a read back, so it should be rare.
+        // A reused connection fails more often with `NoAnswer`, which costs the writer a read back.
         let answer: TxnResponse = self.post("/v3/kv/txn", &request, Reuse::Never).await?;
         let reads = answer
             .responses
@@ -123,22 +127,22 @@
         let request = self.request("/v3/watch", &WatchRequest { create_request })?;
         let response = self.http.send(request, Reuse::Never).await.map_err(key_value_error)?;
         if response.status() != StatusCode::OK {
-            return Err(refusal(response.status(), &[]));
+            return Err(error_from_answer(response.status(), &[]));
         }
         let (sender, receiver) = mpsc::channel(WATCH_CAPACITY);
         tokio::spawn(async move {
             tokio::select! {
                 () = sender.closed() => {}
-                () = pump(response.into_body(), &sender) => {}
+                () = relay_events(response.into_body(), &sender) => {}
             }
         });
         Ok(receiver)
     }
 }
 
-/// Reads answers until the connection ends; a malformed one ends the watch, so that its holder
-/// reads everything again.
-async fn pump(mut body: Incoming, sender: &mpsc::Sender<WatchEvent>) {
+/// Relays events until the connection ends. A malformed answer ends the watch, so that its holder
+/// reads the prefix again.
+async fn relay_events(mut body: Incoming, sender: &mpsc::Sender<WatchEvent>) {
     let mut lines = Splitter::lines(MAX_WATCH_LINE_BYTES);
     while let Ok(Some(chunk)) = read_chunk(&mut body).await {
         lines.push(chunk);
@@ -159,7 +163,7 @@
     }
 }
 
-/// Sends the events of an answer; tells whether the watch goes on.
+/// Sends the events of an answer; returns whether the watch continues.
 async fn deliver(answer: WatchResponse, sender: &mpsc::Sender<WatchEvent>) -> bool {
     if answer.canceled {
         let oldest = answer.compact_revision.revision();
@@ -170,11 +174,11 @@
     }
     if answer.events.is_empty() {
         let revision = answer.header.revision.revision();
-        // The confirmation names the store's revision, but older events are still to come.
+        // A `created` answer is not progress: it has the store's revision, but older events follow.
         return answer.created || sender.send(WatchEvent::Progress { revision }).await.is_ok();
     }
-    for change in answer.events {
-        let Ok(event) = watch_event(change) else { return false };
+    for wire_event in answer.events {
+        let Ok(event) = watch_event(wire_event) else { return false };
         if sender.send(event).await.is_err() {
             return false;
         }
@@ -182,12 +186,12 @@
     true
 }
 
-fn watch_event(change: WireEvent) -> Result<WatchEvent, KeyValueError> {
-    match change.kind {
-        EventKind::Put => change.kv.try_into().map(WatchEvent::Put),
+fn watch_event(wire: WireEvent) -> Result<WatchEvent, KeyValueError> {
+    match wire.kind {
+        EventKind::Put => wire.kv.try_into().map(WatchEvent::Put),
         EventKind::Delete => Ok(WatchEvent::Delete {
-            key: key_text(&change.kv.key)?,
-            revision: change.kv.mod_revision.revision(),
+            key: key_text(&wire.kv.key)?,
+            revision: wire.kv.mod_revision.revision(),
         }),
     }
 }
@@ -224,15 +228,15 @@
 }
 
 fn wire_operation(operation: Operation) -> RequestOp {
-    let one = |key: &str| Some(RangeRequest { key: key.into(), range_end: None });
+    let single_key = |key: &str| Some(RangeRequest { key: key.into(), range_end: None });
     match operation {
         Operation::Put { key, value, lease } => {
             let lease = Int64(lease.map_or(0, |lease| lease.0));
             let put = PutRequest { key: key.as_str().into(), value: Base64(value), lease };
             RequestOp { put: Some(put), ..RequestOp::default() }
         }
-        Operation::Get { key } => RequestOp { range: one(&key), ..RequestOp::default() },
-        Operation::Delete { key } => RequestOp { delete: one(&key), ..RequestOp::default() },
+        Operation::Get { key } => RequestOp { range: single_key(&key), ..RequestOp::default() },
+        Operation::Delete { key } => RequestOp { delete: single_key(&key), ..RequestOp::default() },
     }
 }
 
@@ -246,13 +250,13 @@
     }
 }
 
-fn refusal(status: StatusCode, body: &[u8]) -> KeyValueError {
+fn error_from_answer(status: StatusCode, body: &[u8]) -> KeyValueError {
     let code = serde_json::from_slice::<ErrorBody>(body).unwrap_or_default().code;
     match code {
         CODE_NOT_FOUND => KeyValueError::LeaseNotFound,
         CODE_RESOURCE_EXHAUSTED => KeyValueError::RateExceeded,
         _ if status == StatusCode::TOO_MANY_REQUESTS => KeyValueError::RateExceeded,
-        // For example a time-out within the service, after which the write may still come.
+        // For example a timeout within the service, after which the write may still take effect.
         _ => KeyValueError::Malformed { what: "status" },
     }
 }
@@ -266,7 +270,7 @@
         &self,
         transaction: Transaction,
     ) -> BoxFuture<'_, Result<TransactionAnswer, KeyValueError>> {
-        Box::pin(self.run(transaction))
+        Box::pin(self.send_transaction(transaction))
     }
 
     fn grant_lease(&self, ttl: Duration) -> BoxFuture<'_, Result<LeaseId, KeyValueError>> {
--- a/crates/backing/src/client/failover.rs
+++ b/crates/backing/src/client/failover.rs
@@ -1,7 +1,7 @@
-//! One key-value service that is reached at several addresses.
+//! Client of a key-value service that has several addresses.
 //!
-//! A write goes to a second address only if the first surely did not take it. Everything else a
-//! caller must read back, and a second copy could undo what others wrote in between.
+//! A write is sent to a second address only if the first certainly did not apply it. In any other
+//! case the caller must read back: a second copy could undo what others wrote in between.
 
 use crate::BoxFuture;
 use crate::kv::{
@@ -11,16 +11,16 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// Whether a call may be sent again when nobody knows what became of it.
+/// Whether a call may be retried when its outcome is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Repeat {
-    /// It changes nothing, or the same if it comes twice.
-    Harmless,
-    /// It may have taken effect.
-    Never,
+enum Retry {
+    /// Read-only or idempotent.
+    Safe,
+    /// A retry could apply the call twice.
+    Unsafe,
 }
 
-/// A client of several addresses of one service. Calls go to the address that answered last.
+/// A client of several addresses of one service. Calls go to the address that last answered.
 ///
 /// ```
 /// use flamingowheel_backing::client::Failover;
@@ -43,50 +43,50 @@
 where
     K: KeyValue,
 {
-    /// A client over one client for each address, the preferred one first.
+    /// Creates a client from one client per address, the preferred one first.
     pub fn new(clients: Vec<K>) -> Self {
         Self { clients, current: AtomicUsize::new(0) }
     }
 
-    async fn call<'a, T, F>(&'a self, repeat: Repeat, ask: F) -> Result<T, KeyValueError>
+    async fn call<'a, T, F>(&'a self, retry: Retry, send: F) -> Result<T, KeyValueError>
     where
         F: Fn(&'a K) -> BoxFuture<'a, Result<T, KeyValueError>>,
     {
-        let mut last = KeyValueError::Unreachable;
+        let mut last_error = KeyValueError::Unreachable;
         for _ in 0..self.clients.len() {
-            let at = self.current.load(Ordering::Relaxed);
-            let Some(client) = self.clients.get(at) else { break };
-            last = match ask(client).await {
-                Err(error) if must_move_on(&error) => error,
+            let index = self.current.load(Ordering::Relaxed);
+            let Some(client) = self.clients.get(index) else { break };
+            last_error = match send(client).await {
+                Err(error) if should_fail_over(&error) => error,
                 result => return result,
             };
-            self.move_on(at);
-            if last.may_have_taken_effect() && repeat == Repeat::Never {
+            self.fail_over(index);
+            if last_error.may_have_taken_effect() && retry == Retry::Unsafe {
                 break;
             }
         }
-        Err(last)
+        Err(last_error)
     }
 
-    /// Many calls may fail at one address at the same moment; only the first of them moves on, or
-    /// they would skip addresses that work.
-    fn move_on(&self, from: usize) {
+    /// Switches to the next address. Many calls may fail at one address at the same time; only the
+    /// first of them switches, as otherwise they would skip working addresses.
+    fn fail_over(&self, from: usize) {
         let next = (from + 1) % self.clients.len();
         let (order, relaxed) = (Ordering::Relaxed, Ordering::Relaxed);
         let _ = self.current.compare_exchange(from, next, order, relaxed);
     }
 }
 
-/// Refusals come from the service itself and would be the same at each address.
-fn must_move_on(error: &KeyValueError) -> bool {
+/// Refusals come from the service itself and would be the same at every address.
+fn should_fail_over(error: &KeyValueError) -> bool {
     *error == KeyValueError::Unreachable || error.may_have_taken_effect()
 }
 
-fn repeat(transaction: &Transaction) -> Repeat {
+fn transaction_retry(transaction: &Transaction) -> Retry {
     let mut operations = transaction.on_success.iter().chain(&transaction.on_failure);
     match operations.all(|operation| matches!(operation, Operation::Get { .. })) {
-        true => Repeat::Harmless,
-        false => Repeat::Never,
+        true => Retry::Safe,
+        false => Retry::Unsafe,
     }
 }
 
@@ -95,27 +95,27 @@
     K: KeyValue,
 {
     fn range<'a>(&'a self, prefix: &'a str) -> BoxFuture<'a, Result<Snapshot, KeyValueError>> {
-        Box::pin(self.call(Repeat::Harmless, move |client| client.range(prefix)))
+        Box::pin(self.call(Retry::Safe, move |client| client.range(prefix)))
     }
 
     fn transact(
         &self,
         transaction: Transaction,
     ) -> BoxFuture<'_, Result<TransactionAnswer, KeyValueError>> {
-        let repeat = repeat(&transaction);
-        Box::pin(self.call(repeat, move |client| client.transact(transaction.clone())))
+        let retry = transaction_retry(&transaction);
+        Box::pin(self.call(retry, move |client| client.transact(transaction.clone())))
     }
 
     fn grant_lease(&self, ttl: Duration) -> BoxFuture<'_, Result<LeaseId, KeyValueError>> {
-        Box::pin(self.call(Repeat::Never, move |client| client.grant_lease(ttl)))
+        Box::pin(self.call(Retry::Unsafe, move |client| client.grant_lease(ttl)))
     }
 
     fn keep_alive(&self, lease: LeaseId) -> BoxFuture<'_, Result<(), KeyValueError>> {
-        Box::pin(self.call(Repeat::Harmless, move |client| client.keep_alive(lease)))
+        Box::pin(self.call(Retry::Safe, move |client| client.keep_alive(lease)))
     }
 
     fn revoke_lease(&self, lease: LeaseId) -> BoxFuture<'_, Result<(), KeyValueError>> {
-        Box::pin(self.call(Repeat::Never, move |client| client.revoke_lease(lease)))
+        Box::pin(self.call(Retry::Unsafe, move |client| client.revoke_lease(lease)))
     }
 
     fn watch<'a>(
@@ -123,6 +123,6 @@
         prefix: &'a str,
         after: Revision,
     ) -> BoxFuture<'a, Result<Watch, KeyValueError>> {
-        Box::pin(self.call(Repeat::Harmless, move |client| client.watch(prefix, after)))
+        Box::pin(self.call(Retry::Safe, move |client| client.watch(prefix, after)))
     }
 }
--- a/crates/backing/src/client/http.rs
+++ b/crates/backing/src/client/http.rs
@@ -1,7 +1,7 @@
-//! One small HTTP/1.1 client for all calls to the outside.
+//! A small HTTP/1.1 client for all calls to external systems.
 //!
-//! It never sends a request twice and never follows a redirect, and it tells a request that never
-//! left from one that may have been carried out.
+//! It never sends a request twice, never follows a redirect, and distinguishes a request that was
+//! never sent from one that may have been carried out.
 
 use bytes::{Bytes, BytesMut};
 use http::uri::{Authority, Scheme};
@@ -15,22 +15,22 @@
 use std::error::Error;
 use std::time::Duration;
 
-/// Bounds on what a peer may make the client wait for or hold.
+/// Limits on how long the client waits for a peer and on how much it buffers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HttpLimits {
     /// Longest time to open a connection, in milliseconds.
     pub connect_timeout_ms: u64,
     /// Longest time from sending a request to the head of its answer, in milliseconds.
     pub head_timeout_ms: u64,
-    /// Longest time without a byte within a body, in milliseconds.
+    /// Longest wait for the next bytes of a body, in milliseconds.
     pub read_timeout_ms: u64,
-    /// Longest time for which an unused connection is kept, in milliseconds.
+    /// Longest time for which an idle connection is kept, in milliseconds.
     pub idle_timeout_ms: u64,
-    /// Most headers in an answer.
+    /// Largest number of headers in an answer.
     pub max_headers: usize,
-    /// Largest head, and largest piece read at once, in bytes.
+    /// Largest head, and size of the read buffer, in bytes.
     pub max_head_bytes: usize,
-    /// Largest body that is read whole, in bytes.
+    /// Largest body that [`HttpClient::fetch`] buffers, in bytes.
     pub max_body_bytes: usize,
 }
 
@@ -57,10 +57,10 @@
     /// The connection broke: the request may have been carried out.
     #[error("connection lost")]
     Lost,
-    /// No byte came in time; the request may have been carried out.
+    /// No byte arrived within the timeout; the request may have been carried out.
     #[error("no byte for {limit_ms} ms")]
     Silent {
-        /// How long was waited, in milliseconds.
+        /// The timeout, in milliseconds.
         limit_ms: u64,
     },
     /// The answer is not valid HTTP.
@@ -77,21 +77,22 @@
 /// Whether a request may go out on a connection that was used before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reuse {
-    /// Reads and other calls that may be asked again.
+    /// For reads and other calls that may be repeated.
     Allowed,
-    /// A reused connection may have been closed meanwhile; whether the request ran would then be
-    /// unknown for no good reason. On a new connection a failure to connect is proof.
+    /// For calls whose outcome must be known if possible. A reused connection may have been closed
+    /// by the server, which leaves unknown whether the request ran; on a new connection a failure
+    /// to connect proves that it did not.
     Never,
 }
 
-/// A whole answer.
+/// An answer with its body read completely.
 #[derive(Clone, Debug)]
 pub struct BufferedResponse {
-    /// The status.
+    /// Status code of the answer, whether success or error.
     pub status: StatusCode,
-    /// The headers.
+    /// Headers of the answer, without trailers.
     pub headers: HeaderMap,
-    /// The body.
+    /// The body, at most [`HttpLimits::max_body_bytes`].
     pub body: Bytes,
 }
 
@@ -102,12 +103,12 @@
 pub struct HttpClient {
     authority: Authority,
     pooled: RawClient,
-    fresh: RawClient,
+    unpooled: RawClient,
     limits: HttpLimits,
 }
 
 impl HttpClient {
-    /// A client of the server at `authority`, for example `10.0.0.7:8000`.
+    /// Creates a client of the server at `authority`, for example `10.0.0.7:8000`.
     ///
     /// ```
     /// use flamingowheel_backing::client::{HttpClient, HttpLimits};
@@ -117,12 +118,12 @@
     /// # });
     /// ```
     pub fn new(authority: Authority, limits: HttpLimits) -> Self {
-        let pooled = build(&limits, true);
-        let fresh = build(&limits, false);
-        Self { authority, pooled, fresh, limits }
+        let pooled = build_client(&limits, true);
+        let unpooled = build_client(&limits, false);
+        Self { authority, pooled, unpooled, limits }
     }
 
-    /// The bounds in force.
+    /// The limits that this client was created with.
     pub fn limits(&self) -> &HttpLimits {
         &self.limits
     }
@@ -137,7 +138,7 @@
         let request = Request::builder().method(method);
         match uri {
             Ok(uri) => request.uri(uri),
-            // Keeps the failure in the builder, which yields it when the body is set.
+            // Keeps the error in the builder, which returns it when the body is set.
             Err(_) => request.uri(path),
         }
     }
@@ -150,10 +151,10 @@
     ) -> Result<Response<Incoming>, HttpError> {
         let client = match reuse {
             Reuse::Allowed => &self.pooled,
-            Reuse::Never => &self.fresh,
+            Reuse::Never => &self.unpooled,
         };
         let limit_ms = self.limits.head_timeout_ms;
-        // Giving up drops the exchange, which closes its connection: a silent one is not reused.
+        // A timeout drops the exchange and closes its connection, so a silent one is not reused.
         let answer = tokio::time::timeout(Duration::from_millis(limit_ms), client.request(request));
         match answer.await {
             Ok(Ok(response)) => Ok(response),
@@ -203,10 +204,11 @@
     Ok(None)
 }
 
-/// Whether the end of this body can be told from a broken connection.
+/// Whether the body has a length or is chunked, so that its end can be told from a broken
+/// connection.
 ///
-/// A body without a length that is not chunked ends when the connection closes, so that a server
-/// which dies in the middle looks like one that finished.
+/// Any other body ends when the connection closes, so that a server that dies in the middle looks
+/// like one that finished.
 pub fn has_delimited_body(response: &Response<Incoming>) -> bool {
     if response.body().size_hint().exact().is_some() {
         return true;
@@ -217,20 +219,20 @@
         .is_some_and(|value| value.to_ascii_lowercase().trim_end().ends_with("chunked"))
 }
 
-/// Silence after which the kernel probes a connection, and time between probes. With the retries
-/// a dead connection is noticed within 3 s.
-const KEEPALIVE: Duration = Duration::from_secs(1);
+/// Idle time before the first TCP keepalive probe, and time between probes. With the retries a dead
+/// connection is detected within 3 s.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 const KEEPALIVE_RETRIES: u32 = 2;
 
-fn build(limits: &HttpLimits, pool: bool) -> RawClient {
+fn build_client(limits: &HttpLimits, pool: bool) -> RawClient {
     let mut connector = HttpConnector::new();
     connector.set_connect_timeout(Some(Duration::from_millis(limits.connect_timeout_ms)));
     connector.set_nodelay(true);
-    // Something between the two ends can lose track of a connection: it stays open and nothing
-    // arrives any more. While an answer is being prepared nothing is sent either, so only the
-    // kernel's probes tell a dead connection from a slow answer.
-    connector.set_keepalive(Some(KEEPALIVE));
-    connector.set_keepalive_interval(Some(KEEPALIVE));
+    // A middlebox can lose its state of a connection, which then stays open while nothing arrives
+    // any more. Nothing is sent while an answer is being prepared either, so only the kernel's
+    // probes tell a dead connection from a slow answer.
+    connector.set_keepalive(Some(KEEPALIVE_INTERVAL));
+    connector.set_keepalive_interval(Some(KEEPALIVE_INTERVAL));
     connector.set_keepalive_retries(Some(KEEPALIVE_RETRIES));
     let mut builder = Client::builder(TokioExecutor::new());
     builder
--- a/crates/backing/src/client/mod.rs
+++ b/crates/backing/src/client/mod.rs
@@ -20,9 +20,10 @@
 
 use percent_encoding::{AsciiSet, NON_ALPHANUMERIC, utf8_percent_encode};
 
-/// Characters that stand for themselves in one segment of a path.
-const SEGMENT: &AsciiSet = &NON_ALPHANUMERIC.remove(b'-').remove(b'.').remove(b'_').remove(b'~');
+/// The set to percent-encode in a path segment: all but the unreserved characters.
+const PATH_SEGMENT: &AsciiSet =
+    &NON_ALPHANUMERIC.remove(b'-').remove(b'.').remove(b'_').remove(b'~');
 
-fn segment(text: &str) -> String {
-    utf8_percent_encode(text, SEGMENT).to_string()
+fn encode_segment(text: &str) -> String {
+    utf8_percent_encode(text, PATH_SEGMENT).to_string()
 }
--- a/crates/backing/src/client/orders.rs
+++ b/crates/backing/src/client/orders.rs
@@ -15,14 +15,14 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "error")]
 pub enum OrderRefusal {
-    /// A newer number was seen.
+    /// The engine has seen a newer fencing number.
     Stale {
         /// The order's number.
         given: Fence,
         /// The highest number seen.
         highest: Fence,
     },
-    /// Not in the present state.
+    /// The order can't be carried out in the engine's present state.
     NotPossible {
         /// The engine's reason.
         reason: String,
@@ -38,20 +38,21 @@
     }
 }
 
-/// The longest that an order without weights to load, or a question, may take.
-const PROMPT_LIMIT_MS: u64 = 1_000;
+/// Timeout of state reads and of orders that load no weights.
+const PROMPT_TIMEOUT_MS: u64 = 1_000;
 
-/// The client.
+/// HTTP client for orders to an engine.
 #[derive(Clone, Debug)]
 pub struct HttpOrders {
     /// For orders that load weights.
     loading: HttpClient,
-    /// For all others and for questions, which are answered at once or not at all.
-    http: HttpClient,
+    /// With short timeouts, for all other orders and for state reads.
+    prompt: HttpClient,
 }
 
 impl HttpOrders {
-    /// A client of the engine at `authority`; loading weights takes long, so give `head_timeout_ms` room.
+    /// Creates a client of the engine at `authority`. `head_timeout_ms` must leave enough time to
+    /// load weights.
     ///
     /// ```
     /// use flamingowheel_backing::client::{HttpLimits, HttpOrders};
@@ -60,23 +61,23 @@
     /// # });
     /// ```
     pub fn new(authority: Authority, limits: HttpLimits) -> Self {
-        let prompt = HttpLimits {
-            head_timeout_ms: limits.head_timeout_ms.min(PROMPT_LIMIT_MS),
+        let prompt_limits = HttpLimits {
+            head_timeout_ms: limits.head_timeout_ms.min(PROMPT_TIMEOUT_MS),
             ..limits.clone()
         };
         Self {
-            http: HttpClient::new(authority.clone(), prompt),
+            prompt: HttpClient::new(authority.clone(), prompt_limits),
             loading: HttpClient::new(authority, limits),
         }
     }
 
-    /// Loading weights takes as long as it takes; anything else that is not answered soon holds
-    /// back the group's coordinator for nothing.
-    fn client(&self, target: &OrderTarget) -> &HttpClient {
+    /// Loading weights may take long; any other order that is not answered soon would only delay
+    /// the group's coordinator.
+    fn client_for(&self, target: &OrderTarget) -> &HttpClient {
         match target {
             OrderTarget::Serve { .. } | OrderTarget::StageMap { .. } => &self.loading,
             OrderTarget::Hold { .. } | OrderTarget::SwitchMap { .. } | OrderTarget::Resume => {
-                &self.http
+                &self.prompt
             }
         }
     }
@@ -99,7 +100,7 @@
     async fn send(&self, order: &Order) -> Result<(), OrderError> {
         let body = serde_json::to_vec(order).map_err(|_| BackendError::Refused)?;
         let (status, body) =
-            Self::exchange(self.client(&order.target), Method::POST, "/v1/orders", body.into())
+            Self::exchange(self.client_for(&order.target), Method::POST, "/v1/orders", body.into())
                 .await?;
         if status.is_success() {
             return Ok(());
@@ -121,7 +122,7 @@
     fn state(&self) -> BoxFuture<'_, Result<EngineState, BackendError>> {
         Box::pin(async move {
             let (status, body) =
-                Self::exchange(&self.http, Method::GET, "/v1/state", Bytes::new()).await?;
+                Self::exchange(&self.prompt, Method::GET, "/v1/state", Bytes::new()).await?;
             if !status.is_success() {
                 return Err(BackendError::Malformed);
             }
--- a/crates/backing/src/client/split.rs
+++ b/crates/backing/src/client/split.rs
@@ -1,11 +1,12 @@
-//! Cuts a byte stream into whole events or lines without copying what lies within one chunk.
+//! Splits a byte stream into complete events or lines, without copying items that lie within one
+//! chunk.
 
 use bytes::{Bytes, BytesMut};
 
-/// Finds the end of the first whole item in `bytes`, looking at boundaries that end after `from`.
+/// Finds the end of the first complete item in `bytes`, among boundaries that end after `from`.
 type FindEnd = fn(bytes: &[u8], from: usize) -> Option<usize>;
 
-/// An item grew beyond the limit.
+/// An item exceeds the size limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("item larger than {limit_bytes} bytes")]
 pub struct ItemTooLarge {
@@ -13,19 +14,19 @@
     pub limit_bytes: usize,
 }
 
-/// Cuts chunks into items. Items that lie within a chunk are slices of it; only one that spans
-/// chunks is copied, and each byte is looked at a bounded number of times.
+/// Splits chunks into items. Items that lie within a chunk are slices of it; only one that spans
+/// chunks is copied, and each byte is scanned a bounded number of times.
 #[derive(Debug)]
 pub struct Splitter {
     find_end: FindEnd,
     chunk: Bytes,
-    /// The beginning of an item whose end has not come yet, all of it searched.
+    /// Start of an incomplete item; all of it has been searched for the end.
     carry: BytesMut,
     limit_bytes: usize,
 }
 
 impl Splitter {
-    /// Cuts an event stream after each blank line.
+    /// Splits an event stream after each blank line.
     ///
     /// ```
     /// use bytes::Bytes;
@@ -41,7 +42,7 @@
         Self::new(event_end, limit_bytes)
     }
 
-    /// Cuts after each line feed.
+    /// Splits after each line feed.
     pub fn lines(limit_bytes: usize) -> Self {
         Self::new(line_end, limit_bytes)
     }
@@ -50,13 +51,13 @@
         Self { find_end, chunk: Bytes::new(), carry: BytesMut::new(), limit_bytes }
     }
 
-    /// Adds a chunk; the items of the one before must have been taken.
+    /// Adds a chunk; all items of the previous one must have been read.
     pub fn push(&mut self, chunk: Bytes) {
-        debug_assert!(self.chunk.is_empty(), "items of the last chunk were not taken");
+        debug_assert!(self.chunk.is_empty(), "items of the previous chunk were not read");
         self.chunk = chunk;
     }
 
-    /// The next whole item; `None` until more chunks come.
+    /// Returns the next complete item; `None` if more chunks are needed.
     pub fn next_item(&mut self) -> Result<Option<Bytes>, ItemTooLarge> {
         if self.chunk.is_empty() {
             return Ok(None);
@@ -65,8 +66,8 @@
             return self.next_slice();
         }
         let searched = self.carry.len();
-        let room = (self.limit_bytes + 1).saturating_sub(searched).min(self.chunk.len());
-        self.carry.extend_from_slice(&self.chunk[..room]);
+        let copied = (self.limit_bytes + 1).saturating_sub(searched).min(self.chunk.len());
+        self.carry.extend_from_slice(&self.chunk[..copied]);
         match (self.find_end)(&self.carry, searched) {
             Some(end) => {
                 let _ = self.chunk.split_to(end - searched);
@@ -94,7 +95,7 @@
         Ok(None)
     }
 
-    /// Whether an item has begun that is not whole.
+    /// Whether the start of an incomplete item is buffered.
     pub fn has_partial_item(&self) -> bool {
         !self.carry.is_empty()
     }
@@ -106,14 +107,14 @@
 
 /// Events end with a blank line; lines end with LF or CR LF.
 fn event_end(bytes: &[u8], from: usize) -> Option<usize> {
-    let mut at = from;
-    while let Some(feed) = memchr::memchr(b'\n', &bytes[at..]).map(|found| at + found) {
+    let mut start = from;
+    while let Some(feed) = memchr::memchr(b'\n', &bytes[start..]).map(|found| start + found) {
         let line = &bytes[..feed];
         let line = line.strip_suffix(b"\r").unwrap_or(line);
         if line.is_empty() || line.ends_with(b"\n") {
             return Some(feed + 1);
         }
-        at = feed + 1;
+        start = feed + 1;
     }
     None
 }
@@ -167,14 +168,14 @@
     }
 
     proptest! {
-        // However the network cuts the bytes, the events are the same.
+        // The events must not depend on how the network splits the bytes into chunks.
         #[test]
-        fn next_item_any_cut(cuts in proptest::collection::vec(1usize..9, 1..40)) {
+        fn next_item_any_chunk_sizes(chunk_sizes in proptest::collection::vec(1usize..9, 1..40)) {
             let text = b"data: a\n\ndata: bb\r\n\r\ndata: ccc\nid: 1\n\ndata: [DONE]\n\n";
             let mut chunks = Vec::new();
             let mut rest = &text[..];
-            for cut in cuts.into_iter().cycle() {
-                let (head, tail) = rest.split_at(cut.min(rest.len()));
+            for size in chunk_sizes.into_iter().cycle() {
+                let (head, tail) = rest.split_at(size.min(rest.len()));
                 chunks.push(head);
                 rest = tail;
                 if rest.is_empty() {
--- a/crates/backing/src/client/vm.rs
+++ b/crates/backing/src/client/vm.rs
@@ -7,14 +7,14 @@
 use http::uri::Authority;
 use http_body_util::Full;
 
-/// The client.
+/// HTTP client of the VM list.
 #[derive(Clone, Debug)]
 pub struct HttpVmList {
     http: HttpClient,
 }
 
 impl HttpVmList {
-    /// A client of the list at `authority`.
+    /// Creates a client of the list at `authority`.
     ///
     /// ```
     /// use flamingowheel_backing::client::{HttpLimits, HttpVmList};
--- a/crates/backing/src/client/weights.rs
+++ b/crates/backing/src/client/weights.rs
@@ -1,7 +1,7 @@
 //! Client of the weight store.
 
+use super::encode_segment;
 use super::http::{BufferedResponse, HttpClient, HttpLimits, Reuse};
-use super::segment;
 use crate::BoxFuture;
 use crate::weights::{WeightStore, WeightStoreError};
 use http::uri::Authority;
@@ -9,17 +9,17 @@
 use http_body_util::Full;
 
 const MS_PER_S: u64 = 1000;
-/// Used where the store names no time.
+/// Used if the answer has no valid `retry-after` header.
 const DEFAULT_RETRY_AFTER_S: u64 = 1;
 
-/// The client.
+/// HTTP client of the weight store.
 #[derive(Clone, Debug)]
 pub struct HttpWeightStore {
     http: HttpClient,
 }
 
 impl HttpWeightStore {
-    /// A client of the store at `authority`.
+    /// Creates a client of the store at `authority`.
     ///
     /// ```
     /// use flamingowheel_backing::client::{HttpLimits, HttpWeightStore};
@@ -45,7 +45,7 @@
         bytes: u64,
     ) -> BoxFuture<'a, Result<(), WeightStoreError>> {
         Box::pin(async move {
-            let path = format!("/v1/weights/{}?bytes={bytes}", segment(name));
+            let path = format!("/v1/weights/{}?bytes={bytes}", encode_segment(name));
             let request = self
                 .http
                 .request(Method::GET, &path)
--- a/crates/backing/src/client/wire.rs
+++ b/crates/backing/src/client/wire.rs
@@ -1,5 +1,5 @@
-//! Messages of the etcd v3 HTTP/JSON gateway, as far as they are used: keys and values in base64,
-//! 64-bit numbers as strings, fields with their default value left out.
+//! Messages of the etcd v3 HTTP/JSON gateway, limited to the fields in use: keys and values are in
+//! base64, 64-bit numbers are strings, fields with their default value are omitted.
 
 use crate::kv::{KeyValueEntry, KeyValueError, LeaseId, Revision};
 use base64::Engine;
@@ -8,7 +8,7 @@
 use serde::de::Error as _;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// Bytes written as base64.
+/// Bytes that are serialised as base64.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Base64(pub Bytes);
 
@@ -37,7 +37,7 @@
     }
 }
 
-/// A 64-bit number written as a string; plain numbers are read too.
+/// A 64-bit number that is serialised as a string; plain numbers are accepted too.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Int64(pub i64);
 
@@ -46,7 +46,7 @@
         self.0 == 0
     }
 
-    /// The number as a revision; negative ones don't exist.
+    /// The number as a revision; a negative one counts as zero.
     pub fn revision(self) -> Revision {
         Revision(u64::try_from(self.0).unwrap_or(0))
     }
@@ -85,10 +85,10 @@
     }
 }
 
-/// Sent with every answer.
+/// Header of every answer.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Header {
-    /// The store's revision.
+    /// The store's revision when it answered.
     #[serde(default)]
     pub revision: Int64,
 }
@@ -136,7 +136,7 @@
     }
 }
 
-/// Reads a key as text.
+/// Decodes a key, which must be UTF-8.
 pub fn key_text(key: &Base64) -> Result<String, KeyValueError> {
     std::str::from_utf8(&key.0)
         .map(str::to_owned)
@@ -149,24 +149,24 @@
 pub struct RangeRequest {
     /// The first key.
     pub key: Base64,
-    /// The key after the last; empty for `key` alone.
+    /// The key after the last; absent for `key` alone.
     #[serde(alias = "rangeEnd", skip_serializing_if = "Option::is_none")]
     pub range_end: Option<Base64>,
 }
 
 impl RangeRequest {
-    /// All keys that start with `prefix`.
+    /// The range of all keys that start with `prefix`.
     ///
     /// ```
     /// use flamingowheel_backing::client::wire::RangeRequest;
     /// assert_eq!(&RangeRequest::prefix("a/").range_end.unwrap().0[..], b"a0");
     /// ```
     pub fn prefix(prefix: &str) -> Self {
-        // The protocol's way to say "all keys" is the zero byte in both fields.
+        // In the protocol a zero byte in both fields selects all keys.
         let Some((last, head)) = prefix.as_bytes().split_last() else {
             return Self { key: "\0".into(), range_end: Some("\0".into()) };
         };
-        // No byte of UTF-8 is 255, so the sum fits.
+        // UTF-8 never contains the byte 255, so the sum can't overflow.
         let end = [head, &[last + 1]].concat();
         Self { key: prefix.into(), range_end: Some(Base64(end.into())) }
     }
@@ -218,7 +218,7 @@
     pub delete: Option<RangeRequest>,
 }
 
-/// What is compared.
+/// The revision of a key that is compared.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum CompareTarget {
@@ -229,7 +229,7 @@
     Mod,
 }
 
-/// How it is compared.
+/// The operator of a comparison.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum CompareResult {
@@ -242,9 +242,9 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct WireCompare {
-    /// How.
+    /// The operator.
     pub result: CompareResult,
-    /// What.
+    /// Which revision of the key is compared.
     pub target: CompareTarget,
     /// The key.
     pub key: Base64,
@@ -276,7 +276,7 @@
     pub failure: Vec<RequestOp>,
 }
 
-/// Answer to one step; only reads carry anything of use.
+/// Answer to one step; only the answers to reads are used.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ResponseOp {
@@ -304,7 +304,7 @@
     /// The lease; zero in a grant lets the service choose.
     #[serde(rename = "ID")]
     pub id: Int64,
-    /// Time to live, in seconds as the protocol has it; zero says that the lease is gone.
+    /// Time to live in seconds; zero in an answer means that the lease no longer exists.
     #[serde(rename = "TTL")]
     pub ttl_s: Int64,
 }
@@ -324,7 +324,7 @@
     pub create_request: WatchCreate,
 }
 
-/// What to watch.
+/// The key range and start of a watch.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct WatchCreate {
@@ -333,52 +333,52 @@
     /// The key after the last.
     #[serde(alias = "rangeEnd", skip_serializing_if = "Option::is_none")]
     pub range_end: Option<Base64>,
-    /// The first revision of interest.
+    /// The first revision whose events are sent.
     #[serde(alias = "startRevision")]
     pub start_revision: Int64,
-    /// Whether to send empty answers when nothing changes.
+    /// Whether to send answers without events periodically while nothing changes.
     #[serde(alias = "progressNotify")]
     pub progress_notify: bool,
 }
 
-/// The kind of a change.
+/// The kind of a watch event.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum EventKind {
-    /// Written; left out on the wire.
+    /// The key was written; omitted on the wire.
     #[default]
     Put,
-    /// Deleted.
+    /// The key was deleted or its lease expired.
     Delete,
 }
 
-/// A change.
+/// A watch event.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct WireEvent {
-    /// Written or deleted.
+    /// Whether the key was written or deleted.
     #[serde(rename = "type")]
     pub kind: EventKind,
-    /// The key with its new value; of a deleted one the key and revision.
+    /// The key with its new value; for a deletion only the key and its revision.
     pub kv: WireEntry,
 }
 
-/// An answer on a watch. Without changes it says that the watch is alive.
+/// An answer on a watch. One without events reports progress.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct WatchResponse {
     /// The header.
     pub header: Header,
-    /// The first answer confirms the watch.
+    /// Set in the first answer, which confirms the watch.
     #[serde(skip_serializing_if = "std::ops::Not::not")]
     pub created: bool,
-    /// The service ends the watch.
+    /// The service has ended the watch.
     #[serde(skip_serializing_if = "std::ops::Not::not")]
     pub canceled: bool,
-    /// With `canceled`: the oldest revision that is still there.
+    /// With `canceled`: the oldest revision that is not compacted, if that is the cause.
     #[serde(alias = "compactRevision", skip_serializing_if = "Int64::is_zero")]
     pub compact_revision: Int64,
-    /// The changes.
+    /// Events since the last answer; empty in a progress report.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub events: Vec<WireEvent>,
 }
@@ -389,11 +389,11 @@
 pub struct ErrorBody {
     /// The gRPC status code.
     pub code: i32,
-    /// Words for people.
+    /// Human-readable description.
     pub message: String,
 }
 
-/// gRPC status code for something that does not exist.
+/// gRPC status code `NOT_FOUND`, sent for an unknown lease.
 pub const CODE_NOT_FOUND: i32 = 5;
-/// gRPC status code for a rate that is used up.
+/// gRPC status code `RESOURCE_EXHAUSTED`, sent when a rate limit is exceeded.
 pub const CODE_RESOURCE_EXHAUSTED: i32 = 8;
--- a/crates/backing/src/kv.rs
+++ b/crates/backing/src/kv.rs
@@ -1,7 +1,7 @@
 //! The key-value service: compare-and-swap transactions, leases and watches.
 //!
-//! The shape is that of the etcd v3 API. Every call counts against the service's rate, a waiting
-//! watch included, so callers batch and share.
+//! Modelled on the etcd v3 API. Every call counts against the service's rate limit, an open watch
+//! included, so callers batch operations and share watches.
 
 use crate::BoxFuture;
 use bytes::Bytes;
@@ -18,22 +18,22 @@
 )]
 pub struct Revision(pub u64);
 
-/// A lease the service granted.
+/// Identifies a lease that the service granted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseId(pub i64);
 
 /// One stored key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyValueEntry {
-    /// The key.
+    /// The key, which must be UTF-8.
     pub key: String,
-    /// The value as stored.
+    /// The value, at most [`MAX_VALUE_BYTES`].
     pub value: Bytes,
     /// The revision of the write that created the key.
     pub create_revision: Revision,
     /// The revision of the last write to the key. Strictly rising, so it serves as fencing number.
     pub mod_revision: Revision,
-    /// The lease the key is bound to.
+    /// The lease with which the key expires, if any.
     pub lease: Option<LeaseId>,
 }
 
@@ -46,7 +46,7 @@
     pub entries: Vec<KeyValueEntry>,
 }
 
-/// What a transaction compares before it writes.
+/// A precondition of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Compare {
     /// The key does not exist.
@@ -92,9 +92,9 @@
 pub struct Transaction {
     /// All of these must hold.
     pub compares: Vec<Compare>,
-    /// Run when they hold.
+    /// Run when all comparisons hold.
     pub on_success: Vec<Operation>,
-    /// Run when one does not hold.
+    /// Run when at least one comparison does not hold.
     pub on_failure: Vec<Operation>,
 }
 
@@ -109,7 +109,7 @@
     pub reads: Vec<Option<KeyValueEntry>>,
 }
 
-/// A change seen by a watch.
+/// An event on a watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WatchEvent {
     /// A key was written.
@@ -121,37 +121,37 @@
         /// The revision of the deletion.
         revision: Revision,
     },
-    /// The service says that it is still there and has sent everything up to this revision.
+    /// Sent while nothing changes, to show that the watch is alive.
     Progress {
         /// All events up to this revision have been sent.
         revision: Revision,
     },
-    /// The start revision was compacted away; the watcher must read everything again.
+    /// The start revision was compacted; the watcher must read the prefix again.
     Compacted {
         /// The oldest revision a new watch may start from.
         oldest: Revision,
     },
 }
 
-/// A running watch; it ends when the receiver yields `None`. A watch can go silent for good, so
-/// its holder reads the prefix again from time to time.
+/// An open watch; it has ended when the receiver yields `None`. A watch can stop delivering events
+/// without ending, so its holder reads the prefix again periodically.
 pub type Watch = mpsc::Receiver<WatchEvent>;
 
-/// Why a call did not yield an answer.
+/// Why a call to the key-value service failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum KeyValueError {
     /// The connection was refused: the call can't have taken effect.
     #[error("key-value service unreachable")]
     Unreachable,
-    /// The request was sent and no answer came within the limit: it may have taken effect.
+    /// The request was sent but not answered in time: it may have taken effect.
     #[error(
         "no answer from the key-value service within {limit_ms} ms; the call may have taken effect"
     )]
     NoAnswer {
-        /// How long the caller waited, in milliseconds.
+        /// The timeout, in milliseconds; zero if the connection broke.
         limit_ms: u64,
     },
-    /// The service refused the call before running it, because a rate is used up.
+    /// The service refused the call before running it, because a rate limit is exhausted.
     #[error("key-value service refused the call: rate exceeded")]
     RateExceeded,
     /// A value is larger than the service stores.
@@ -163,17 +163,17 @@
     /// The lease expired or never existed.
     #[error("lease not found")]
     LeaseNotFound,
-    /// The answer could not be read as the protocol says.
+    /// The answer does not follow the protocol.
     #[error("malformed answer from the key-value service: {what}")]
     Malformed {
-        /// The part that could not be read.
+        /// The part that is malformed.
         what: &'static str,
     },
 }
 
 impl KeyValueError {
-    /// Whether the failed call may nevertheless have taken effect, so that a writer must read
-    /// back before it judges.
+    /// Whether the failed call may nevertheless have taken effect, so that a writer must read back
+    /// to learn the outcome.
     ///
     /// ```
     /// use flamingowheel_backing::kv::KeyValueError;
@@ -190,8 +190,8 @@
     /// Reads all keys that start with `prefix`.
     fn range<'a>(&'a self, prefix: &'a str) -> BoxFuture<'a, Result<Snapshot, KeyValueError>>;
 
-    /// Reads all keys that start with `prefix`, from a replica that may be seconds behind: cheaper where the
-    /// service has such reads.
+    /// Reads all keys that start with `prefix` from a replica that may be seconds behind, which is
+    /// cheaper if the service supports such reads. By default the same as [`KeyValue::range`].
     fn range_stale<'a>(
         &'a self,
         prefix: &'a str,
@@ -199,7 +199,7 @@
         self.range(prefix)
     }
 
-    /// Runs a transaction. Each counts as one call, however many operations it holds (at most 128).
+    /// Runs a transaction of at most 128 operations, which counts as one call.
     fn transact(
         &self,
         transaction: Transaction,
@@ -214,7 +214,7 @@
     /// Ends a lease at once; keys bound to it are deleted.
     fn revoke_lease(&self, lease: LeaseId) -> BoxFuture<'_, Result<(), KeyValueError>>;
 
-    /// Watches all keys that start with `prefix`, from the write after `after` on.
+    /// Watches all keys that start with `prefix`, beginning with the first write after `after`.
     fn watch<'a>(
         &'a self,
         prefix: &'a str,
--- a/crates/backing/src/orders.rs
+++ b/crates/backing/src/orders.rs
@@ -1,29 +1,29 @@
-//! Orders to a model engine: load models, adapters and versions, change role, step with an expert
-//! map. Each order names the target state, not a change, and carries a fencing number.
+//! Orders to a model engine: load models, adapters and versions, change role, hold stepping, switch
+//! expert maps. Each order names the target state, not a change, and carries a fencing number.
 
 use crate::BoxFuture;
 use crate::backend::BackendError;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A fencing number: the key-value service's revision of the record that the order carries out.
+/// A fencing number: the key-value revision of the record that the order applies.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Fence(pub u64);
 
-/// For each layer the experts of each rank's slots.
+/// Assignment of experts to the slots of each rank, by layer.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ExpertMap {
     /// `layers[layer][rank]` lists the expert in each slot of that rank.
     pub layers: Vec<Vec<Vec<u16>>>,
 }
 
-/// What an order asks for.
+/// The target state of an order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "order")]
 pub enum OrderTarget {
-    /// Serve this model version with these adapters; also states the role.
+    /// Serve this model version with these adapters in this role.
     Serve {
         /// The model's name.
         model: String,
@@ -34,42 +34,42 @@
         /// The engine's role, for example `prefill`, `decode` or `both`.
         role: String,
     },
-    /// Load the weights that `map` needs beside those in use; stepping is not affected.
+    /// Load the weights that `map` needs in addition to those in use; stepping continues.
     StageMap {
-        /// The map to prepare.
+        /// The map to load weights for.
         map: ExpertMap,
     },
-    /// Stop stepping at the boundary after the given step; all ranks name the same step.
+    /// Stop stepping after the given step, which is the same for all ranks of the group.
     Hold {
         /// The last step to run.
         after_step: u64,
     },
-    /// Use the map with this version from the next step on; only while held.
+    /// Use this map from the next step on; refused unless the engine is held.
     SwitchMap {
-        /// Version of the map, as its record says.
+        /// Version of the map, from its record.
         map_version: u64,
         /// The map to use.
         map: ExpertMap,
     },
-    /// Go on stepping.
+    /// Resume stepping.
     Resume,
 }
 
-/// One order.
+/// An order to an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
     /// Orders with a lower number than one already seen are stale.
     pub fence: Fence,
-    /// The state asked for.
+    /// The state to reach.
     pub target: OrderTarget,
 }
 
-/// What an engine says of itself when read back.
+/// State that an engine reports when read back.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineState {
-    /// Random number drawn at process start.
+    /// Random number drawn at process start, so that a restart can be detected.
     pub process_id: u64,
-    /// Highest fencing number seen; `None` for engines that ignore it.
+    /// Highest fencing number seen; `None` before the first order and for engines that ignore it.
     pub highest_fence: Option<Fence>,
     /// The model in use.
     pub model: String,
@@ -85,20 +85,20 @@
     pub staged_map_digest: Option<u64>,
     /// Number of the last step run.
     pub step: u64,
-    /// The boundary at which stepping stopped, if held.
+    /// The last step to run while held; `None` if not held.
     pub held_after_step: Option<u64>,
-    /// Free form counters by name. Engines count the tokens that each expert they hold has worked
-    /// on since their process started under [`expert_counter`], and the time they were busy with
-    /// that under [`EXPERT_BUSY_COUNTER`].
+    /// Free-form counters by name, since process start. Engines count the tokens that each of their
+    /// experts processed under [`expert_counter`], and the time spent on them under
+    /// [`EXPERT_BUSY_COUNTER`].
     pub counters: BTreeMap<String, u64>,
 }
 
-/// Name of the counter of microseconds that an engine worked on its experts' tokens. Waits for
-/// other ranks don't count, nor does work that is the same whatever experts the engine holds: a
-/// rank with few tokens would seem slow and be given ever fewer.
+/// Name of the counter of microseconds that an engine spent on its experts' tokens. It excludes
+/// waits for other ranks and work that does not depend on the experts held: otherwise a rank with
+/// few tokens would look slow and be assigned ever fewer.
 pub const EXPERT_BUSY_COUNTER: &str = "expert_busy_us";
 
-/// Name of the counter of tokens that an expert of a layer has worked on.
+/// Name of the counter of tokens that an expert of a layer has processed.
 ///
 /// ```
 /// assert_eq!(flamingowheel_backing::orders::expert_counter(2, 17), "expert_tokens/2/17");
@@ -110,7 +110,7 @@
 /// Why an order was not carried out.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum OrderError {
-    /// A newer number was seen; whoever sent this is no longer in charge.
+    /// The engine has seen a newer number, so the sender is superseded.
     #[error("order with fencing number {} refused: {} was seen", given.0, highest.0)]
     Stale {
         /// The order's number.
@@ -131,7 +131,7 @@
 
 /// Orders to one engine.
 pub trait EngineOrders: Send + Sync + 'static {
-    /// Sends an order. A lost answer leaves the effect unknown until [`EngineOrders::state`].
+    /// Sends an order. If its answer is lost, [`EngineOrders::state`] tells whether it took effect.
     fn send_order<'a>(&'a self, order: &'a Order) -> BoxFuture<'a, Result<(), OrderError>>;
 
     /// Reads the engine's state back.
--- a/crates/backing/src/vm.rs
+++ b/crates/backing/src/vm.rs
@@ -1,29 +1,29 @@
-//! The VM list: which VMs exist and which are about to leave. It lags behind the truth.
+//! The VM list: which VMs exist and which are about to leave. It lags behind the actual state.
 
 use crate::BoxFuture;
 use serde::{Deserialize, Serialize};
 use std::net::IpAddr;
 
-/// What the list says of a VM.
+/// State of a VM in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VmState {
     /// In use.
     Live,
-    /// Will be taken away soon and must get no new work.
+    /// Will be removed soon and must get no new work.
     Leaving,
 }
 
 /// One VM of the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Vm {
-    /// The platform's name for the VM; never used again for another.
+    /// The platform's name for the VM; never reused for another.
     pub name: String,
-    /// Its address.
+    /// Address at which other VMs reach it.
     pub ip: IpAddr,
-    /// The data centre it stands in.
+    /// The data centre that hosts the VM.
     pub data_centre: String,
-    /// Live or leaving.
+    /// Whether the VM may get new work.
     pub state: VmState,
 }
 
