--- a/crates/group/src/message.rs
+++ b/crates/group/src/message.rs
@@ -81,7 +81,7 @@
         lowest: Fence,
     },
     /// The request is for another agent process, usually an earlier one.
-    #[error("request is for another agent process than {incarnation}")]
+    #[error("meant for another agent process than {incarnation}")]
     WrongIncarnation {
         /// The process that answers.
         incarnation: u64,
@@ -91,7 +91,7 @@
     Unresolved,
     /// The order was not sent, because it could not be stored in the key-value service for the
     /// agent's successor.
-    #[error("the order could not be stored in the key-value service")]
+    #[error("the order could not be noted in the key-value service")]
     NotNoted,
     /// The engine can't carry out the order in its present state.
     #[error("engine: {reason}")]
@@ -100,7 +100,7 @@
         reason: String,
     },
     /// The rank uses another map version than the order requires.
-    #[error("the rank uses map version {version}")]
+    #[error("the rank uses version {version} of the map")]
     WrongVersion {
         /// The map version in use; 0 if there is none.
         version: u64,
@@ -112,7 +112,7 @@
         in_progress: u32,
     },
     /// The rank does not serve the model version and adapters of the group's record.
-    #[error("the rank serves model version `{version}`")]
+    #[error("the rank serves version `{version}`")]
     WrongModel {
         /// The model version that the rank reports.
         version: String,
