--- a/crates/backing/src/fake/engine/cache.rs
+++ b/crates/backing/src/fake/engine/cache.rs
@@ -1,11 +1,11 @@
-//! The engine's prefix cache and the numbered events that tell of it.
+//! The engine's prefix cache and its numbered events.
 
 use crate::backend::CacheEvent;
 use std::collections::VecDeque;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Events kept for readers that come late.
+/// Number of recent events that are kept for readers.
 const MAX_EVENTS: usize = 4096;
 
 #[derive(Debug)]
@@ -14,7 +14,7 @@
     blocks: VecDeque<u64>,
     events: VecDeque<(Instant, CacheEvent)>,
     last_number: u64,
-    lose_events: usize,
+    events_to_lose: usize,
 }
 
 impl PrefixCache {
@@ -24,13 +24,13 @@
             blocks: VecDeque::new(),
             events: VecDeque::new(),
             last_number: 0,
-            lose_events: 0,
+            events_to_lose: 0,
         }
     }
 
-    /// The next `count` events are numbered but never shown.
+    /// Numbers the next `count` events without publishing them.
     pub(super) fn lose_events(&mut self, count: usize) {
-        self.lose_events = count;
+        self.events_to_lose = count;
     }
 
     pub(super) fn store(&mut self, hashes: &[u64]) {
@@ -50,8 +50,8 @@
 
     fn publish(&mut self, block_hash: u64, stored: bool) {
         self.last_number += 1;
-        if self.lose_events > 0 {
-            self.lose_events -= 1;
+        if self.events_to_lose > 0 {
+            self.events_to_lose -= 1;
             return;
         }
         if self.events.len() == MAX_EVENTS {
--- a/crates/backing/src/fake/engine/mod.rs
+++ b/crates/backing/src/fake/engine/mod.rs
@@ -1,5 +1,6 @@
-//! A model engine in memory: batches up to a number of places, streams a text that follows from
-//! the request, takes orders, reports load and cache events with a lag, and crashes on demand.
+//! An in-memory model engine: runs a limited number of requests at the same time, streams a text
+//! derived from the request, applies orders, reports load and cache events with a lag, and crashes
+//! on demand.
 
 mod cache;
 mod control;
@@ -27,24 +28,25 @@
 /// What the engine does with an order that carries an old fencing number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FencePolicy {
-    /// Refuses it.
+    /// Refuses the order as stale.
     Refuses,
-    /// Does not look at the number.
+    /// Carries the order out whatever its number.
     Ignores,
 }
 
-/// Where the next order is lost.
+/// What goes wrong with the next order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderFault {
-    /// Carried out; the answer is lost.
+    /// The order is carried out, but its answer is lost.
     AnswerLost,
-    /// Never carried out.
+    /// The order is lost and never carried out.
     RequestLost,
-    /// Carried out this much later, long after its sender gave up, unless the process dies first.
+    /// The order is carried out after this delay unless the process dies first; its sender times
+    /// out.
     Delayed(Duration),
 }
 
-/// How an engine behaves; fixed for its life.
+/// How an engine behaves; fixed when it is created.
 #[derive(Clone, Debug)]
 pub struct EngineSettings {
     /// Time between two tokens.
@@ -55,25 +57,26 @@
     pub places: usize,
     /// Whether a stream can start after a number of events.
     pub can_resume: bool,
-    /// What becomes of orders with an old number.
+    /// How orders with an old fencing number are handled.
     pub fence_policy: FencePolicy,
-    /// Time the load report lags behind.
+    /// Time by which the load report lags behind.
     pub load_report_lag: Duration,
-    /// Time a cache event takes to show.
+    /// Time until a cache event can be read.
     pub cache_event_lag: Duration,
-    /// Blocks the prefix cache holds.
+    /// Capacity of the prefix cache, in blocks.
     pub cache_blocks: usize,
     /// Time to load a model or to stage a map.
     pub weight_load_time: Duration,
-    /// How long a caller of the fake waits for a sign of life.
+    /// How long a call waits before it fails with [`BackendError::Silent`].
     pub silence_timeout: Duration,
-    /// Time after a crash until the process is back; `None` waits for a restart by hand.
+    /// Time from a crash to the restart; `None` if only [`FakeEngine::restart`] restarts it.
     pub restart_after: Option<Duration>,
-    /// Tokens sent before a crash that a body brings about.
+    /// Tokens sent before a body set by [`FakeEngine::crash_on`] crashes the process.
     pub crash_after_tokens: u64,
-    /// Whether a switch to a map that is not staged is refused; other engines load it on the way.
+    /// Whether a switch to an unstaged map is refused instead of loading it during the switch.
     pub needs_staging: bool,
-    /// Whether a new process holds before its first step, as a rank that rejoins its group must.
+    /// Whether a new process is held before its first step, as a rank that rejoins its group must
+    /// be.
     pub starts_held: bool,
 }
 
@@ -98,7 +101,7 @@
     }
 }
 
-/// How often something ran, as an oracle counts it.
+/// How often a call or a body ran, for tests to check against.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RunCount {
     /// Times it was started.
@@ -111,7 +114,7 @@
     pub lost: u32,
 }
 
-/// One life of the engine's process.
+/// A running process of the engine.
 #[derive(Clone, Debug)]
 struct Process {
     id: u64,
@@ -120,9 +123,9 @@
     ended: CancellationToken,
 }
 
-/// A request that waits for a place; the lowest goes first.
+/// Position of a request that waits for a place; the lowest goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Ticket {
+struct QueuePosition {
     priority: Priority,
     number: u64,
 }
@@ -130,11 +133,11 @@
 #[derive(Debug)]
 struct State {
     process: Option<Process>,
-    lives: u64,
+    process_starts: u64,
     crashes: u64,
     running: usize,
-    waiting: Vec<Ticket>,
-    next_ticket: u64,
+    waiting: Vec<QueuePosition>,
+    next_queue_number: u64,
     calls: HashMap<String, CancellationToken>,
     crash_on: Vec<Bytes>,
     by_call: HashMap<String, RunCount>,
@@ -156,7 +159,7 @@
     up: watch::Sender<bool>,
 }
 
-/// The fake; clones share one engine.
+/// In-memory engine; clones share one engine.
 ///
 /// ```
 /// use flamingowheel_backing::backend::BackendServer;
@@ -174,15 +177,15 @@
 }
 
 impl FakeEngine {
-    /// A running engine; `seed` makes its process ids differ from those of other engines.
+    /// Starts an engine; `seed` makes its process ids differ from those of other engines.
     pub fn new(seed: u64, settings: EngineSettings) -> Self {
         let state = State {
             process: None,
-            lives: 0,
+            process_starts: 0,
             crashes: 0,
             running: 0,
             waiting: Vec::new(),
-            next_ticket: 0,
+            next_queue_number: 0,
             calls: HashMap::new(),
             crash_on: Vec::new(),
             by_call: HashMap::new(),
@@ -206,20 +209,20 @@
         this
     }
 
-    /// How the engine behaves.
+    /// The settings that the engine was created with.
     pub fn settings(&self) -> &EngineSettings {
         &self.shared.settings
     }
 
-    /// Waits until the engine is not frozen; a caller gives up after the silence limit.
-    async fn responsive(&self) -> Result<(), BackendError> {
+    /// Waits until the engine is not frozen, at most for the silence timeout.
+    async fn wait_until_responsive(&self) -> Result<(), BackendError> {
         self.process()?;
-        let limit = self.shared.settings.silence_timeout;
+        let timeout = self.shared.settings.silence_timeout;
         let mut frozen = self.shared.frozen.subscribe();
-        let thawed = tokio::time::timeout(limit, frozen.wait_for(|frozen| !frozen)).await;
+        let thawed = tokio::time::timeout(timeout, frozen.wait_for(|frozen| !frozen)).await;
         match thawed {
             Ok(Ok(_)) => self.process().map(drop),
-            Ok(Err(_)) | Err(_) => Err(silent(limit)),
+            Ok(Err(_)) | Err(_) => Err(silent(timeout)),
         }
     }
 
@@ -228,28 +231,28 @@
     }
 }
 
-fn silent(limit: Duration) -> BackendError {
-    BackendError::Silent { limit_ms: u64::try_from(limit.as_millis()).unwrap_or(u64::MAX) }
+fn silent(timeout: Duration) -> BackendError {
+    BackendError::Silent { limit_ms: u64::try_from(timeout.as_millis()).unwrap_or(u64::MAX) }
 }
 
 impl BackendServer for FakeEngine {
     fn call(&self, call: BackendCall) -> BoxFuture<'_, Result<BackendAnswer, BackendError>> {
         Box::pin(async move {
-            // A frozen engine's kernel still takes the request, which then runs after the thaw.
+            // The kernel of a frozen engine still accepts the request, which runs after the thaw.
             let process = self.process()?;
-            let limit = self.shared.settings.silence_timeout;
+            let timeout = self.shared.settings.silence_timeout;
             let head = run::start(self, process, call);
-            match tokio::time::timeout(limit, head).await {
+            match tokio::time::timeout(timeout, head).await {
                 Ok(Ok(answer)) => Ok(answer),
                 Ok(Err(_)) => Err(BackendError::Lost),
-                Err(_) => Err(silent(limit)),
+                Err(_) => Err(silent(timeout)),
             }
         })
     }
 
     fn cancel<'a>(&'a self, id: &'a str) -> BoxFuture<'a, Result<(), BackendError>> {
         Box::pin(async move {
-            self.responsive().await?;
+            self.wait_until_responsive().await?;
             if let Some(call) = lock(&self.shared.state).calls.get(id) {
                 call.cancel();
             }
@@ -259,14 +262,14 @@
 
     fn load(&self) -> BoxFuture<'_, Result<LoadReport, BackendError>> {
         Box::pin(async move {
-            self.responsive().await?;
+            self.wait_until_responsive().await?;
             Ok(self.lagging_report())
         })
     }
 
     fn cache_events(&self, after: u64) -> BoxFuture<'_, Result<Vec<CacheEvent>, BackendError>> {
         Box::pin(async move {
-            self.responsive().await?;
+            self.wait_until_responsive().await?;
             let lag = self.shared.settings.cache_event_lag;
             Ok(lock(&self.shared.state).cache.events(after, lag))
         })
@@ -275,12 +278,12 @@
 
 impl EngineOrders for FakeEngine {
     fn send_order<'a>(&'a self, order: &'a Order) -> BoxFuture<'a, Result<(), OrderError>> {
-        Box::pin(orders::take(self, order))
+        Box::pin(orders::receive(self, order))
     }
 
     fn state(&self) -> BoxFuture<'_, Result<EngineState, BackendError>> {
         Box::pin(async move {
-            self.responsive().await?;
+            self.wait_until_responsive().await?;
             Ok(lock(&self.shared.state).reported.clone())
         })
     }
--- a/crates/backing/src/fake/engine/orders.rs
+++ b/crates/backing/src/fake/engine/orders.rs
@@ -1,4 +1,4 @@
-//! How the engine takes orders.
+//! How the engine receives and applies orders.
 
 use super::{FakeEngine, FencePolicy, OrderFault, State, silent};
 use crate::backend::BackendError;
@@ -6,17 +6,17 @@
 use crate::orders::{ExpertMap, Fence, Order, OrderError, OrderTarget};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// Digest of a map as the engine reports it of a staged one.
+/// Digest that the engine reports for a staged map.
 pub fn map_digest(map: &ExpertMap) -> u64 {
     let mut hasher = DefaultHasher::new();
     map.hash(&mut hasher);
     hasher.finish()
 }
 
-pub(super) async fn take(engine: &FakeEngine, order: &Order) -> Result<(), OrderError> {
-    engine.responsive().await?;
-    let lost = lock(&engine.shared.state).order_faults.pop_front();
-    match lost {
+pub(super) async fn receive(engine: &FakeEngine, order: &Order) -> Result<(), OrderError> {
+    engine.wait_until_responsive().await?;
+    let fault = lock(&engine.shared.state).order_faults.pop_front();
+    match fault {
         None => carry_out(engine, order).await,
         Some(OrderFault::RequestLost) => Err(BackendError::Lost.into()),
         Some(OrderFault::AnswerLost) => {
@@ -26,17 +26,17 @@
         Some(OrderFault::Delayed(delay)) => {
             let process = engine.process()?;
             let (engine, order) = (engine.clone(), order.clone());
-            let limit = engine.settings().silence_timeout;
+            let timeout = engine.settings().silence_timeout;
             tokio::spawn(async move {
-                // The order came over a connection to this process, so it dies with it.
+                // The order came on a connection to this process and is lost if the process dies.
                 tokio::select! {
                     biased;
                     () = process.ended.cancelled() => {}
                     () = tokio::time::sleep(delay) => drop(carry_out(&engine, &order).await),
                 }
             });
-            tokio::time::sleep(limit).await;
-            Err(silent(limit).into())
+            tokio::time::sleep(timeout).await;
+            Err(silent(timeout).into())
         }
     }
 }
@@ -53,7 +53,7 @@
         }
     }
     let mut state = lock(&engine.shared.state);
-    // Loading takes time, in which a newer order may have come.
+    // A newer order may have arrived while the weights were loaded.
     check_fence(&mut state, policy, order.fence)?;
     apply(&mut state, &order.target, engine.settings().needs_staging)
 }
@@ -96,9 +96,9 @@
             if reported.held_after_step.is_none_or(|step| step > reported.step) {
                 return Err(not_possible("not held"));
             }
-            let same = reported.map_version == *map_version && state.map == *map;
+            let in_use = reported.map_version == *map_version && state.map == *map;
             let staged = reported.staged_map_digest == Some(map_digest(map));
-            if needs_staging && !same && !staged {
+            if needs_staging && !in_use && !staged {
                 return Err(not_possible("map not staged"));
             }
             reported.map_version = *map_version;
--- a/crates/backing/src/fake/engine/run.rs
+++ b/crates/backing/src/fake/engine/run.rs
@@ -1,6 +1,6 @@
-//! The life of one call inside the engine.
+//! Runs one call inside the engine.
 
-use super::{FakeEngine, Process, RunCount, Ticket, silent};
+use super::{FakeEngine, Process, QueuePosition, RunCount, silent};
 use crate::backend::{BackendAnswer, BackendCall, BackendError, BodyPiece};
 use crate::fake::lock;
 use crate::fake::text::{DONE_EVENT, GenerationRequest, block_hashes, token_event, whole_json};
@@ -9,10 +9,10 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio_util::sync::CancellationToken;
 
-/// Pieces the caller may lag behind before generation waits for it.
+/// Pieces buffered for a slow caller before generation waits.
 const BODY_CAPACITY: usize = 64;
 
-/// Size of the pieces in which an answer that is not streamed comes.
+/// Size of the pieces in which an answer that is not streamed is sent.
 const JSON_PIECE_BYTES: usize = 128;
 
 type Piece = Result<BodyPiece, BackendError>;
@@ -23,7 +23,7 @@
     Finished,
     Cancelled,
     Crashed,
-    GaveUp,
+    CallerGone,
 }
 
 struct Run {
@@ -35,7 +35,8 @@
     receiver: Option<mpsc::Receiver<Piece>>,
 }
 
-/// Starts the call and yields its head; the head is lost if the process dies before it.
+/// Starts the call and returns a receiver for the head of its answer, which closes if the process
+/// dies first.
 pub(super) fn start(
     engine: &FakeEngine,
     process: Process,
@@ -54,16 +55,16 @@
         pieces,
         receiver: Some(receiver),
     };
-    tokio::spawn(run.complete(process, cancelled));
+    tokio::spawn(run.run_to_end(process, cancelled));
     answer
 }
 
 impl Run {
-    async fn complete(mut self, process: Process, cancelled: CancellationToken) {
+    async fn run_to_end(mut self, process: Process, cancelled: CancellationToken) {
         let engine = self.engine.clone();
         let pieces = self.pieces.clone();
         let (id, body) = (self.call.id.clone(), self.call.body.clone());
-        let mut place = Place { engine: &engine, taken: false, ticket: None };
+        let mut place = Place { engine: &engine, acquired: false, position: None };
         let mut started = false;
         let ending = tokio::select! {
             biased;
@@ -75,34 +76,34 @@
         lock(&engine.shared.state).calls.remove(&id);
         match ending {
             Ending::Finished => {
-                engine.count(&id, &body, |count: &mut RunCount| count.finished += 1);
+                engine.update_run_counts(&id, &body, |count: &mut RunCount| count.finished += 1);
             }
             Ending::Crashed => {
                 if started {
-                    engine.count(&id, &body, |count: &mut RunCount| count.lost += 1);
+                    engine.update_run_counts(&id, &body, |count: &mut RunCount| count.lost += 1);
                 }
                 drop(self);
                 let _ = pieces.send(Err(BackendError::Lost)).await;
             }
-            Ending::Cancelled | Ending::GaveUp => {
-                engine.count(&id, &body, |count: &mut RunCount| count.cancelled += 1);
+            Ending::Cancelled | Ending::CallerGone => {
+                engine.update_run_counts(&id, &body, |count: &mut RunCount| count.cancelled += 1);
             }
         }
     }
 
     async fn run(&mut self, place: &mut Place<'_>, started: &mut bool) -> Ending {
-        if self.engine.thawed().await.is_err() {
-            return Ending::GaveUp;
+        if self.engine.wait_until_thawed().await.is_err() {
+            return Ending::CallerGone;
         }
         if self.generation.stream && !self.send_head("text/event-stream") {
-            return Ending::GaveUp;
+            return Ending::CallerGone;
         }
-        place.take(self.call.priority).await;
+        place.acquire(self.call.priority).await;
         *started = true;
         let (id, body) = (self.call.id.clone(), self.call.body.clone());
-        self.engine.count(&id, &body, |count: &mut RunCount| count.started += 1);
+        self.engine.update_run_counts(&id, &body, |count: &mut RunCount| count.started += 1);
         lock(&self.engine.shared.state).cache.store(&block_hashes(&body));
-        if self.generation.stream { self.stream().await } else { self.answer_whole().await }
+        if self.generation.stream { self.stream().await } else { self.send_json().await }
     }
 
     fn send_head(&mut self, content_type: &str) -> bool {
@@ -117,15 +118,15 @@
         let first =
             if self.engine.settings().can_resume { self.call.resume_after_events } else { 0 };
         for index in first..self.generation.tokens {
-            if let Err(ending) = self.step(index).await {
+            if let Err(ending) = self.generate_token(index).await {
                 return ending;
             }
             let event = token_event(&self.call.body, index);
             if self.pieces.send(Ok(BodyPiece::Data(event))).await.is_err() {
-                return Ending::GaveUp;
+                return Ending::CallerGone;
             }
         }
-        if let Err(ending) = self.step(self.generation.tokens).await {
+        if let Err(ending) = self.generate_token(self.generation.tokens).await {
             return ending;
         }
         if first <= self.generation.tokens {
@@ -135,23 +136,23 @@
         self.end().await
     }
 
-    async fn answer_whole(&mut self) -> Ending {
+    async fn send_json(&mut self) -> Ending {
         for index in 0..=self.generation.tokens {
-            if let Err(ending) = self.step(index).await {
+            if let Err(ending) = self.generate_token(index).await {
                 return ending;
             }
         }
         if !self.send_head("application/json") {
-            return Ending::GaveUp;
+            return Ending::CallerGone;
         }
         let mut answer = whole_json(&self.call.body, self.generation.tokens);
         while !answer.is_empty() {
             let piece = answer.split_to(answer.len().min(JSON_PIECE_BYTES));
             if self.pieces.send(Ok(BodyPiece::Data(piece))).await.is_err() {
-                return Ending::GaveUp;
+                return Ending::CallerGone;
             }
-            // A large body does not come in one piece, so it can break off in the middle.
-            if let Err(ending) = self.step(self.generation.tokens).await {
+            // A large body is sent in pieces, so a crash can truncate it.
+            if let Err(ending) = self.generate_token(self.generation.tokens).await {
                 return ending;
             }
             tokio::time::sleep(self.engine.settings().token_delay).await;
@@ -162,13 +163,13 @@
     async fn end(&mut self) -> Ending {
         match self.pieces.send(Ok(BodyPiece::End)).await {
             Ok(()) => Ending::Finished,
-            Err(_) => Ending::GaveUp,
+            Err(_) => Ending::CallerGone,
         }
     }
 
-    /// The time of one token, and whatever befalls the engine in it.
-    async fn step(&mut self, index: u64) -> Result<(), Ending> {
-        if index >= self.engine.settings().crash_after_tokens && self.kills() {
+    /// Waits for the generation of one token and applies crashes and freezes during it.
+    async fn generate_token(&mut self, index: u64) -> Result<(), Ending> {
+        if index >= self.engine.settings().crash_after_tokens && self.triggers_crash() {
             self.engine.crash();
             return Err(Ending::Crashed);
         }
@@ -178,21 +179,21 @@
         if !self.engine.is_frozen() {
             return Ok(());
         }
-        let limit = self.engine.settings().silence_timeout;
-        if tokio::time::timeout(limit, self.engine.thawed()).await.is_ok() {
+        let timeout = self.engine.settings().silence_timeout;
+        if tokio::time::timeout(timeout, self.engine.wait_until_thawed()).await.is_ok() {
             return Ok(());
         }
-        self.tell_silence(limit).await;
-        // The caller has hung up; the engine sees that when it wakes and stops generating.
-        let _ = self.engine.thawed().await;
-        Err(Ending::GaveUp)
+        self.report_silence(timeout).await;
+        // The caller has timed out; the engine detects that after the thaw and stops generating.
+        let _ = self.engine.wait_until_thawed().await;
+        Err(Ending::CallerGone)
     }
 
-    async fn tell_silence(&mut self, limit: Duration) {
-        let _ = self.pieces.send(Err(silent(limit))).await;
+    async fn report_silence(&mut self, timeout: Duration) {
+        let _ = self.pieces.send(Err(silent(timeout))).await;
     }
 
-    fn kills(&self) -> bool {
+    fn triggers_crash(&self) -> bool {
         let state = lock(&self.engine.shared.state);
         state.crash_on.iter().any(|part| contains(&self.call.body, part))
     }
@@ -202,59 +203,59 @@
     !part.is_empty() && body.windows(part.len()).any(|window| window == part)
 }
 
-/// A place in the batch, given back however the run ends.
+/// A place in the batch; released on drop, however the run ends.
 struct Place<'a> {
     engine: &'a FakeEngine,
-    taken: bool,
-    ticket: Option<Ticket>,
+    acquired: bool,
+    position: Option<QueuePosition>,
 }
 
 impl Place<'_> {
-    async fn take(&mut self, priority: crate::backend::Priority) {
-        let mut ticket = Ticket { priority, number: 0 };
-        self.engine.change_load(|state| {
-            state.next_ticket += 1;
-            ticket.number = state.next_ticket;
-            state.waiting.push(ticket);
+    async fn acquire(&mut self, priority: crate::backend::Priority) {
+        let mut position = QueuePosition { priority, number: 0 };
+        self.engine.update_load(|state| {
+            state.next_queue_number += 1;
+            position.number = state.next_queue_number;
+            state.waiting.push(position);
         });
-        self.ticket = Some(ticket);
+        self.position = Some(position);
         loop {
             let freed = self.engine.shared.place_freed.notified();
-            if self.try_take(ticket) {
+            if self.try_acquire(position) {
                 return;
             }
             freed.await;
         }
     }
 
-    fn try_take(&mut self, ticket: Ticket) -> bool {
+    fn try_acquire(&mut self, position: QueuePosition) -> bool {
         let places = self.engine.settings().places;
-        let mut taken = false;
-        self.engine.change_load(|state| {
-            if state.running < places && state.waiting.iter().min() == Some(&ticket) {
-                state.waiting.retain(|other| *other != ticket);
+        let mut acquired = false;
+        self.engine.update_load(|state| {
+            if state.running < places && state.waiting.iter().min() == Some(&position) {
+                state.waiting.retain(|other| *other != position);
                 state.running += 1;
-                taken = true;
+                acquired = true;
             }
         });
-        if taken {
-            self.taken = true;
-            self.ticket = None;
-            // The next in line may find a place too.
+        if acquired {
+            self.acquired = true;
+            self.position = None;
+            // There may be a place for the next request in the queue too.
             self.engine.shared.place_freed.notify_waiters();
         }
-        taken
+        acquired
     }
 }
 
 impl Drop for Place<'_> {
     fn drop(&mut self) {
-        self.engine.change_load(|state| {
-            if self.taken {
+        self.engine.update_load(|state| {
+            if self.acquired {
                 state.running -= 1;
             }
-            if let Some(ticket) = self.ticket {
-                state.waiting.retain(|other| *other != ticket);
+            if let Some(position) = self.position {
+                state.waiting.retain(|other| *other != position);
             }
         });
         self.engine.shared.place_freed.notify_waiters();
--- a/crates/backing/src/fake/group.rs
+++ b/crates/backing/src/fake/group.rs
@@ -1,4 +1,4 @@
-//! Ranks that step together, and the check that no step is run with two maps.
+//! A group of ranks that step together, with a check that no step runs with two maps.
 
 use super::engine::FakeEngine;
 use super::{engine::map_digest, lock};
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use tokio_util::sync::CancellationToken;
 
-/// Time that a rank of speed 1 is busy with a token of one expert.
+/// Time that a rank of speed 1 spends on one token of one expert.
 const US_PER_TOKEN: f64 = 10.0;
 
 /// A step in which two ranks used different maps.
@@ -16,7 +16,7 @@
 pub struct MapMismatch {
     /// The step's number.
     pub step: u64,
-    /// For each rank the version it used and the digest of the map's contents.
+    /// For each rank the map version it used and the digest of the map's contents.
     pub maps: Vec<(u64, u64)>,
 }
 
@@ -46,17 +46,17 @@
 }
 
 impl RankGroup {
-    /// A group of these ranks that has run no step.
+    /// Creates a group of these ranks that has run no step.
     pub fn new(ranks: Vec<FakeEngine>) -> Self {
         Self { ranks, state: Arc::default() }
     }
 
-    /// The group's ranks.
+    /// The engines of the group, indexed by rank.
     pub fn ranks(&self) -> &[FakeEngine] {
         &self.ranks
     }
 
-    /// Runs one step if every rank is up, awake and not held; tells whether it did.
+    /// Runs one step if every rank is up, not frozen and not held; returns whether it ran.
     pub fn try_step(&self) -> bool {
         let mut state = lock(&self.state);
         let next = state.step + 1;
@@ -83,30 +83,31 @@
         true
     }
 
-    /// Counts one step's work in each rank: `tokens` of each expert, shared evenly by its
-    /// replicas, and the time a rank of that speed is busy with them. Returns the longest time.
+    /// Adds one step's work to the counters of each rank: the `tokens` of each expert, split evenly
+    /// between its replicas, and the time that a rank of that speed spends on them. Returns the
+    /// longest of these times, in microseconds.
     pub fn record_step_work<Tokens>(&self, tokens: Tokens, speeds: &[f64]) -> u64
     where
         Tokens: Fn(usize, u16) -> u64,
     {
-        let work = |(rank, engine): (usize, &FakeEngine)| {
-            let mut done = 0;
+        let record_work = |(rank, engine): (usize, &FakeEngine)| {
+            let mut total = 0;
             for (layer, ranks) in engine.peek_map().layers.iter().enumerate() {
                 for expert in ranks.get(rank).into_iter().flatten() {
                     let replicas = ranks.iter().flatten().filter(|other| *other == expert).count();
                     let share = tokens(layer, *expert) / replicas.max(1) as u64;
                     engine.add_to_counter(&expert_counter(layer, *expert), share);
-                    done += share;
+                    total += share;
                 }
             }
-            let busy_us = done as f64 * US_PER_TOKEN / speeds.get(rank).unwrap_or(&1.0);
+            let busy_us = total as f64 * US_PER_TOKEN / speeds.get(rank).unwrap_or(&1.0);
             engine.add_to_counter(EXPERT_BUSY_COUNTER, busy_us as u64);
             busy_us as u64
         };
-        self.ranks.iter().enumerate().map(work).max().unwrap_or(0)
+        self.ranks.iter().enumerate().map(record_work).max().unwrap_or(0)
     }
 
-    /// Steps at this interval until `stop`.
+    /// Tries a step at this interval until `stop` is cancelled.
     pub async fn run(&self, interval: Duration, stop: CancellationToken) {
         loop {
             tokio::select! {
@@ -116,22 +117,22 @@
         }
     }
 
-    /// The last step that was run.
+    /// Number of the last step that ran; zero before the first.
     pub fn step(&self) -> u64 {
         lock(&self.state).step
     }
 
-    /// Steps that could not be run because a rank was not ready.
+    /// Number of steps that could not run because a rank was not ready.
     pub fn stalled_steps(&self) -> u64 {
         lock(&self.state).stalled_steps
     }
 
-    /// All steps that were run with two versions of the model.
+    /// Steps that ran with different model versions.
     pub fn version_mismatches(&self) -> Vec<u64> {
         lock(&self.state).version_mismatches.clone()
     }
 
-    /// All steps that were run with two maps; a sound switch leaves none.
+    /// Steps that ran with different maps; a correct switch causes none.
     pub fn map_mismatches(&self) -> Vec<MapMismatch> {
         lock(&self.state).map_mismatches.clone()
     }
--- a/crates/backing/src/fake/kv.rs
+++ b/crates/backing/src/fake/kv.rs
@@ -1,7 +1,7 @@
-//! A key-value service in memory whose faults a test sets by hand.
+//! An in-memory key-value service with faults that tests inject.
 
 use super::lock;
-use super::store::{Store, concerns};
+use super::store::{Store, matches_prefix};
 use crate::BoxFuture;
 use crate::kv::{
     KeyValue, KeyValueError, LeaseId, Operation, Revision, Snapshot, Transaction,
@@ -14,21 +14,21 @@
 
 /// Events a watch may lag behind before the service ends it.
 const WATCH_CAPACITY: usize = 4096;
-/// How long a client of the fake waits for an answer.
+/// How long a call waits for an answer.
 const DEFAULT_ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
-/// How often a watch hears that the service is still there.
+/// How often a watch gets [`WatchEvent::Progress`].
 const DEFAULT_PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Where an answer is lost.
+/// Whether a call whose answer is lost takes effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LostAnswer {
     /// The call took effect and its answer is lost.
     AfterEffect,
-    /// The call is lost on its way and has no effect.
+    /// The request is lost and has no effect.
     BeforeEffect,
 }
 
-/// Calls served, by kind; what counts against the service's rates.
+/// Number of calls received, by kind; all count against the service's rate limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct KeyValueCalls {
     /// Range reads.
@@ -74,21 +74,21 @@
     progress_interval: Duration,
     lost_answers: Vec<LostAnswer>,
     lost_write_answers: Vec<LostAnswer>,
-    late_writes: Vec<Duration>,
+    write_delays: Vec<Duration>,
     next_delay: Option<Duration>,
-    drop_watch_events: usize,
+    events_to_drop: usize,
     rate_exceeded: bool,
 }
 
 impl State {
     fn publish(&mut self, events: &[WatchEvent]) {
         for event in events {
-            if self.drop_watch_events > 0 {
-                self.drop_watch_events -= 1;
+            if self.events_to_drop > 0 {
+                self.events_to_drop -= 1;
                 continue;
             }
             self.watchers.retain(|watcher| {
-                if watcher.silent || !concerns(event, &watcher.prefix) {
+                if watcher.silent || !matches_prefix(event, &watcher.prefix) {
                     return !watcher.sender.is_closed();
                 }
                 watcher.sender.try_send(event.clone()).is_ok()
@@ -96,20 +96,20 @@
         }
     }
 
-    /// Lets the next call, a write, meet the fault that waits for one.
-    fn arm_write_fault(&mut self) {
-        let armed = self.lost_write_answers.pop();
-        self.lost_answers.extend(armed);
-        self.next_delay = self.late_writes.pop();
+    /// Applies the next faults queued for writes to the call that follows, which is a write.
+    fn apply_write_faults(&mut self) {
+        let lost_answer = self.lost_write_answers.pop();
+        self.lost_answers.extend(lost_answer);
+        self.next_delay = self.write_delays.pop();
     }
 
-    fn expire(&mut self) {
-        let events = self.store.expire(Instant::now());
+    fn expire_leases(&mut self) {
+        let events = self.store.expire_leases(Instant::now());
         self.publish(&events);
     }
 }
 
-/// The fake; clones share one store.
+/// In-memory key-value service; clones share one store.
 ///
 /// ```
 /// use flamingowheel_backing::fake::FakeKeyValue;
@@ -134,7 +134,7 @@
 }
 
 impl FakeKeyValue {
-    /// An empty store without faults.
+    /// Creates an empty store without faults.
     pub fn new() -> Self {
         let state = State {
             store: Store::default(),
@@ -145,15 +145,15 @@
             progress_interval: DEFAULT_PROGRESS_INTERVAL,
             lost_answers: Vec::new(),
             lost_write_answers: Vec::new(),
-            late_writes: Vec::new(),
+            write_delays: Vec::new(),
             next_delay: None,
-            drop_watch_events: 0,
+            events_to_drop: 0,
             rate_exceeded: false,
         };
         Self { state: Arc::new(Mutex::new(state)), up: watch::Sender::new(true) }
     }
 
-    /// Takes the service away or brings it back. Running watches end; leases go on expiring.
+    /// Makes the service unreachable or reachable again. Open watches end; leases keep expiring.
     pub fn set_down(&self, down: bool) {
         if down {
             lock(&self.state).watchers.clear();
@@ -161,22 +161,22 @@
         self.up.send_replace(!down);
     }
 
-    /// Tells whether the service is up, now and later.
+    /// Subscribes to whether the service is up.
     pub fn subscribe_up(&self) -> watch::Receiver<bool> {
         self.up.subscribe()
     }
 
-    /// Makes every call take this long; its effect comes half-way, even if the caller gave up.
+    /// Makes every call take this long; it takes effect halfway, even if the caller timed out.
     pub fn set_delay(&self, delay: Duration) {
         lock(&self.state).delay = delay;
     }
 
-    /// Sets how long a caller waits before it is told [`KeyValueError::NoAnswer`].
+    /// Sets how long a call waits before it fails with [`KeyValueError::NoAnswer`].
     pub fn set_answer_timeout(&self, limit: Duration) {
         lock(&self.state).answer_timeout = limit;
     }
 
-    /// Sets how often watches hear [`WatchEvent::Progress`].
+    /// Sets how often watches get [`WatchEvent::Progress`].
     pub fn set_progress_interval(&self, interval: Duration) {
         lock(&self.state).progress_interval = interval;
     }
@@ -193,39 +193,39 @@
         state.lost_write_answers.splice(0..0, std::iter::repeat_n(lost, count));
     }
 
-    /// The next transaction that writes takes this long and has its effect half-way.
+    /// Makes the next transaction that writes take this long; it takes effect halfway.
     pub fn delay_write(&self, delay: Duration) {
-        lock(&self.state).late_writes.push(delay);
+        lock(&self.state).write_delays.push(delay);
     }
 
-    /// Brings no watch the next `count` events.
+    /// Drops the next `count` events instead of sending them to watches.
     pub fn drop_watch_events(&self, count: usize) {
-        lock(&self.state).drop_watch_events = count;
+        lock(&self.state).events_to_drop = count;
     }
 
-    /// Makes all open watches silent for good; new ones work.
+    /// Stops all open watches from delivering events or progress; new ones work.
     pub fn silence_watches(&self) {
         lock(&self.state).watchers.iter_mut().for_each(|watcher| watcher.silent = true);
     }
 
-    /// Refuses every call as beyond the rate.
+    /// Makes every call fail with [`KeyValueError::RateExceeded`].
     pub fn set_rate_exceeded(&self, exceeded: bool) {
         lock(&self.state).rate_exceeded = exceeded;
     }
 
-    /// Lets a lease lapse now, as after a long pause of its holder.
+    /// Expires a lease now, as after a long pause of its holder.
     pub fn expire_lease(&self, lease: LeaseId) {
         let mut state = lock(&self.state);
         let events = state.store.revoke_lease(lease).unwrap_or_default();
         state.publish(&events);
     }
 
-    /// Forgets the history up to `revision`, so that older watches must read again.
+    /// Discards the history up to `revision`, so that watches from an older one must read again.
     pub fn compact(&self, revision: Revision) {
         lock(&self.state).store.compact(revision);
     }
 
-    /// Calls served so far.
+    /// Calls received so far.
     pub fn calls(&self) -> KeyValueCalls {
         lock(&self.state).calls
     }
@@ -236,14 +236,14 @@
         state.watchers.iter().filter(|watcher| !watcher.sender.is_closed()).count()
     }
 
-    /// Reads as an observer: no fault strikes and no call is counted.
+    /// Reads the prefix for a check: without faults and without counting a call.
     pub fn peek(&self, prefix: &str) -> Snapshot {
         let mut state = lock(&self.state);
-        state.expire();
+        state.expire_leases();
         state.store.range(prefix)
     }
 
-    /// Runs a call with the faults that are set; `effect` runs once or not at all.
+    /// Runs a call with the injected faults; `effect` runs at most once.
     async fn serve<T, F>(
         &self,
         count: fn(&mut KeyValueCalls),
@@ -265,7 +265,7 @@
             };
         }
         let this = self.clone();
-        // A task of its own, for a slow service carries out what its caller no longer awaits.
+        // Runs in its own task: a slow service carries a call out even after its caller timed out.
         let task = tokio::spawn(async move {
             tokio::time::sleep(delay / 2).await;
             let result = this.apply(effect);
@@ -300,7 +300,7 @@
         F: FnOnce(&mut State) -> Result<T, KeyValueError>,
     {
         let mut state = lock(&self.state);
-        state.expire();
+        state.expire_leases();
         effect(&mut state)
     }
 
@@ -312,11 +312,11 @@
     fn open_watch(&self, prefix: &str, after: Revision) -> Watch {
         let (sender, receiver) = mpsc::channel(WATCH_CAPACITY);
         let mut state = lock(&self.state);
-        state.expire();
-        match state.store.since(prefix, after) {
+        state.expire_leases();
+        match state.store.events_after(prefix, after) {
             Ok(events) => {
                 for event in events {
-                    // A history beyond the capacity ends the watch, as a slow reader's would.
+                    // A history larger than the capacity ends the watch, as a slow reader does.
                     if sender.try_send(event).is_err() {
                         return receiver;
                     }
@@ -346,25 +346,25 @@
         tokio::time::sleep(interval).await;
         let (Some(state), Some(sender)) = (state.upgrade(), sender.upgrade()) else { return };
         let state = lock(&state);
-        let own = state.watchers.iter().find(|watcher| watcher.sender.same_channel(&sender));
-        let Some(own) = own else { return };
+        let watcher = state.watchers.iter().find(|watcher| watcher.sender.same_channel(&sender));
+        let Some(watcher) = watcher else { return };
         if sender.is_closed() {
             return;
         }
-        if !own.silent {
+        if !watcher.silent {
             let _ = sender.try_send(WatchEvent::Progress { revision: state.store.revision() });
         }
     }
 }
 
-/// Ends the lease on time, so that watches hear of it without any other call.
+/// Expires the lease at its deadline, so that watches see its deletions without any further call.
 async fn expire_on_time(state: Weak<Mutex<State>>, lease: LeaseId) {
     loop {
         let deadline = state.upgrade().and_then(|state| lock(&state).store.lease_deadline(lease));
         let Some(deadline) = deadline else { return };
         tokio::time::sleep_until(deadline).await;
         if let Some(state) = state.upgrade() {
-            lock(&state).expire();
+            lock(&state).expire_leases();
         }
     }
 }
@@ -390,7 +390,7 @@
         };
         Box::pin(async move {
             if writes {
-                lock(&self.state).arm_write_fault();
+                lock(&self.state).apply_write_faults();
             }
             self.serve(|calls| calls.transact += 1, effect).await
         })
@@ -434,11 +434,11 @@
 }
 
 impl FakeKeyValue {
-    /// A watch uses up no lost answer: what is lost of a watch is its events.
+    /// Opening a watch consumes no injected lost answer: faults of watches affect their events.
     fn admit_watch(&self) -> Result<(Duration, Duration, Option<LostAnswer>), KeyValueError> {
-        let kept = std::mem::take(&mut lock(&self.state).lost_answers);
+        let saved = std::mem::take(&mut lock(&self.state).lost_answers);
         let admitted = self.admit(|calls| calls.watch += 1);
-        lock(&self.state).lost_answers = kept;
+        lock(&self.state).lost_answers = saved;
         admitted
     }
 }
--- a/crates/backing/src/fake/mod.rs
+++ b/crates/backing/src/fake/mod.rs
@@ -1,5 +1,5 @@
-//! In-memory fakes of the platform. A test sets their faults by hand; they keep time by tokio's
-//! clock, so a paused clock makes every run the same.
+//! In-memory fakes of the platform with faults that tests inject. They use tokio's clock, so a
+//! paused clock makes every run deterministic.
 
 pub mod engine;
 pub mod group;
@@ -19,7 +19,8 @@
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Locks a mutex; a panic in a test's other task must not hide the first failure behind a second.
+/// Locks a mutex and ignores poisoning: a panic in another task of a test must not cause a second
+/// one that hides the first.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/backing/src/fake/service.rs
+++ b/crates/backing/src/fake/service.rs
@@ -1,4 +1,4 @@
-//! A plain service in memory that counts what it carried out.
+//! An in-memory plain service that counts how often it executed each body.
 
 use super::lock;
 use crate::BoxFuture;
@@ -21,11 +21,11 @@
     silence_timeout: Duration,
     crash_after_effect: usize,
     running: u32,
-    lives: u64,
+    process_starts: u64,
     started_at: Instant,
 }
 
-/// The fake; clones share one service.
+/// In-memory plain service; clones share one service.
 ///
 /// ```
 /// use flamingowheel_backing::fake::FakeService;
@@ -43,7 +43,7 @@
 }
 
 impl FakeService {
-    /// A running service; `seed` makes its process ids differ from those of others.
+    /// Starts a service; `seed` makes its process ids differ from those of others.
     pub fn new(seed: u64) -> Self {
         let state = State {
             executions: HashMap::new(),
@@ -51,7 +51,7 @@
             silence_timeout: Duration::from_secs(3),
             crash_after_effect: 0,
             running: 0,
-            lives: 1,
+            process_starts: 1,
             started_at: Instant::now(),
         };
         Self {
@@ -62,53 +62,53 @@
         }
     }
 
-    /// Time each call takes; it is carried out half-way, even if the caller gave up.
+    /// Sets the time that each call takes; it is executed halfway, even if the caller timed out.
     pub fn set_delay(&self, delay: Duration) {
         lock(&self.state).delay = delay;
     }
 
-    /// How long a caller of the fake waits for an answer.
+    /// Sets how long a call waits before it fails with [`BackendError::Silent`].
     pub fn set_silence_timeout(&self, limit: Duration) {
         lock(&self.state).silence_timeout = limit;
     }
 
-    /// Refuses connections, or takes them again as a new process.
+    /// Refuses connections, or accepts them again as a new process.
     pub fn set_down(&self, down: bool) {
         let was_up = self.up.send_replace(!down);
         if !was_up && !down {
             let mut state = lock(&self.state);
-            state.lives += 1;
+            state.process_starts += 1;
             state.started_at = Instant::now();
         }
     }
 
-    /// Tells whether the service is up, now and later.
+    /// Subscribes to whether the service is up.
     pub fn subscribe_up(&self) -> watch::Receiver<bool> {
         self.up.subscribe()
     }
 
-    /// Makes the service silent, or lets it go on.
+    /// Stops the service from answering without closing connections, or lets it continue.
     pub fn set_frozen(&self, frozen: bool) {
         self.frozen.send_replace(frozen);
     }
 
-    /// The next `count` calls are carried out and then lose their answer to a crash, from which
-    /// the process comes back at once.
+    /// Makes the process crash in each of the next `count` calls, after executing it and before
+    /// answering. It restarts at once.
     pub fn crash_after_effect(&self, count: usize) {
         lock(&self.state).crash_after_effect = count;
     }
 
-    /// How often this body was carried out.
+    /// How often this body was executed.
     pub fn executions(&self, body: &[u8]) -> u32 {
         lock(&self.state).executions.get(body).copied().unwrap_or(0)
     }
 
-    /// All bodies carried out and how often.
+    /// All bodies that were executed and how often.
     pub fn all_executions(&self) -> Vec<(Bytes, u32)> {
         lock(&self.state).executions.iter().map(|(body, count)| (body.clone(), *count)).collect()
     }
 
-    /// The answer to the given execution of a body.
+    /// The answer to the given execution of a body, counted from one.
     pub fn answer(body: &[u8], execution: u32) -> Bytes {
         let digest = format!("{:016x}", xxh3_64(body));
         Bytes::from(json!({"digest": digest, "execution": execution}).to_string())
@@ -119,7 +119,7 @@
         let _ = frozen.wait_for(|frozen| !frozen).await;
         let delay = lock(&self.state).delay;
         tokio::time::sleep(delay / 2).await;
-        let (execution, crash) = self.count(&body);
+        let (execution, crash) = self.count_execution(&body);
         tokio::time::sleep(delay - delay / 2).await;
         if crash {
             return Err(BackendError::Lost);
@@ -132,7 +132,7 @@
         Ok(BackendAnswer { status: 200, content_type, body: receiver })
     }
 
-    fn count(&self, body: &Bytes) -> (u32, bool) {
+    fn count_execution(&self, body: &Bytes) -> (u32, bool) {
         let mut state = lock(&self.state);
         let execution = state.executions.entry(body.clone()).or_default();
         *execution += 1;
@@ -140,24 +140,24 @@
         let crash = state.crash_after_effect > 0;
         if crash {
             state.crash_after_effect -= 1;
-            state.lives += 1;
+            state.process_starts += 1;
             state.started_at = Instant::now();
         }
         (execution, crash)
     }
 
     fn silent(&self) -> BackendError {
-        let limit = lock(&self.state).silence_timeout;
-        BackendError::Silent { limit_ms: u64::try_from(limit.as_millis()).unwrap_or(u64::MAX) }
+        let timeout = lock(&self.state).silence_timeout;
+        BackendError::Silent { limit_ms: u64::try_from(timeout.as_millis()).unwrap_or(u64::MAX) }
     }
 
-    async fn responsive(&self) -> Result<(), BackendError> {
+    async fn wait_until_responsive(&self) -> Result<(), BackendError> {
         if !*self.up.borrow() {
             return Err(BackendError::Refused);
         }
-        let limit = lock(&self.state).silence_timeout;
+        let timeout = lock(&self.state).silence_timeout;
         let mut frozen = self.frozen.subscribe();
-        match tokio::time::timeout(limit, frozen.wait_for(|frozen| !frozen)).await {
+        match tokio::time::timeout(timeout, frozen.wait_for(|frozen| !frozen)).await {
             Ok(_) => Ok(()),
             Err(_) => Err(self.silent()),
         }
@@ -170,7 +170,7 @@
             if !*self.up.borrow() {
                 return Err(BackendError::Refused);
             }
-            let limit = lock(&self.state).silence_timeout;
+            let timeout = lock(&self.state).silence_timeout;
             let this = self.clone();
             let task = tokio::spawn(async move {
                 lock(&this.state).running += 1;
@@ -183,7 +183,7 @@
                 lock(&this.state).running -= 1;
                 result
             });
-            match tokio::time::timeout(limit, task).await {
+            match tokio::time::timeout(timeout, task).await {
                 Ok(Ok(result)) => result,
                 Ok(Err(_)) => Err(BackendError::Lost),
                 Err(_) => Err(self.silent()),
@@ -192,22 +192,22 @@
     }
 
     fn cancel<'a>(&'a self, _id: &'a str) -> BoxFuture<'a, Result<(), BackendError>> {
-        Box::pin(self.responsive())
+        Box::pin(self.wait_until_responsive())
     }
 
     fn load(&self) -> BoxFuture<'_, Result<LoadReport, BackendError>> {
         Box::pin(async move {
-            self.responsive().await?;
+            self.wait_until_responsive().await?;
             let state = lock(&self.state);
             let uptime_ms =
                 u64::try_from(state.started_at.elapsed().as_millis()).unwrap_or(u64::MAX);
             let process_id =
-                xxh3_64(&[self.seed.to_be_bytes(), state.lives.to_be_bytes()].concat());
+                xxh3_64(&[self.seed.to_be_bytes(), state.process_starts.to_be_bytes()].concat());
             Ok(LoadReport { running: state.running, waiting: 0, uptime_ms, process_id })
         })
     }
 
     fn cache_events(&self, _after: u64) -> BoxFuture<'_, Result<Vec<CacheEvent>, BackendError>> {
-        Box::pin(async move { self.responsive().await.map(|()| Vec::new()) })
+        Box::pin(async move { self.wait_until_responsive().await.map(|()| Vec::new()) })
     }
 }
--- a/crates/backing/src/fake/store.rs
+++ b/crates/backing/src/fake/store.rs
@@ -1,4 +1,4 @@
-//! The state machine behind the key-value fake: revisions, transactions, leases and history.
+//! The state of the key-value fake: revisions, transactions, leases and history.
 
 use crate::kv::{
     Compare, KeyValueEntry, KeyValueError, LeaseId, MAX_VALUE_BYTES, Operation, Revision, Snapshot,
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The service's own bound on the operations of a transaction.
+/// The service's limit on the operations of a transaction.
 const MAX_OPERATIONS: usize = 128;
 
 #[derive(Debug)]
@@ -21,7 +21,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Store {
     revision: u64,
-    compacted: u64,
+    compacted_revision: u64,
     entries: BTreeMap<String, KeyValueEntry>,
     history: Vec<WatchEvent>,
     leases: BTreeMap<i64, Lease>,
@@ -158,8 +158,8 @@
         self.leases.get(&lease.0).map(|lease| lease.deadline)
     }
 
-    /// Ends all leases past their deadline.
-    pub(super) fn expire(&mut self, now: Instant) -> Vec<WatchEvent> {
+    /// Ends all leases past their deadline and returns the deletions.
+    pub(super) fn expire_leases(&mut self, now: Instant) -> Vec<WatchEvent> {
         let expired: Vec<i64> = self
             .leases
             .iter()
@@ -172,22 +172,26 @@
             .collect()
     }
 
-    /// Forgets the history up to `revision`.
+    /// Discards the history up to `revision`.
     pub(super) fn compact(&mut self, revision: Revision) {
-        self.compacted = self.compacted.max(revision.0.min(self.revision));
-        let compacted = self.compacted;
-        self.history.retain(|event| event_revision(event).0 > compacted);
-    }
-
-    /// The events after `after`, or the oldest revision to start from if they are gone.
-    pub(super) fn since(&self, prefix: &str, after: Revision) -> Result<Vec<WatchEvent>, Revision> {
-        if after.0 < self.compacted {
-            return Err(Revision(self.compacted));
+        self.compacted_revision = self.compacted_revision.max(revision.0.min(self.revision));
+        let compacted_revision = self.compacted_revision;
+        self.history.retain(|event| event_revision(event).0 > compacted_revision);
+    }
+
+    /// The events after `after`, or the oldest valid start revision if they are compacted_revision.
+    pub(super) fn events_after(
+        &self,
+        prefix: &str,
+        after: Revision,
+    ) -> Result<Vec<WatchEvent>, Revision> {
+        if after.0 < self.compacted_revision {
+            return Err(Revision(self.compacted_revision));
         }
         Ok(self
             .history
             .iter()
-            .filter(|event| event_revision(event) > after && concerns(event, prefix))
+            .filter(|event| event_revision(event) > after && matches_prefix(event, prefix))
             .cloned()
             .collect())
     }
@@ -201,8 +205,8 @@
     }
 }
 
-/// Whether a watch on `prefix` is to see the event.
-pub(super) fn concerns(event: &WatchEvent, prefix: &str) -> bool {
+/// Whether a watch on `prefix` gets the event.
+pub(super) fn matches_prefix(event: &WatchEvent, prefix: &str) -> bool {
     match event {
         WatchEvent::Put(entry) => entry.key.starts_with(prefix),
         WatchEvent::Delete { key, .. } => key.starts_with(prefix),
--- a/crates/backing/src/fake/text.rs
+++ b/crates/backing/src/fake/text.rs
@@ -1,14 +1,14 @@
-//! What fake engines answer: a text that follows from the request's body alone, so that a test can
-//! tell whether a caller got the whole answer to its own request.
+//! Answers of fake engines: a text derived from the request's body alone, so that a test can check
+//! whether a caller got the complete answer to its own request.
 
 use bytes::Bytes;
 use flamingowheel_policy::prefix::{self, BLOCK_SIZE_BYTES};
 use serde_json::{Value, json};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// The event that ends a whole event stream.
+/// The event that ends a complete event stream.
 pub const DONE_EVENT: &[u8] = b"data: [DONE]\n\n";
-/// Bytes of the body that make one block of the prefix cache.
+/// Bytes of the body in one block of the prefix cache.
 pub const CACHE_BLOCK_BYTES: usize = BLOCK_SIZE_BYTES;
 
 const WORDS: [&str; 16] = [
@@ -16,7 +16,7 @@
     "note", "crew", "fuse", "wire", "sign",
 ];
 
-/// What a request's body asks of the engine.
+/// Parameters of a request, read from its body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GenerationRequest {
     /// Number of tokens to generate.
@@ -31,8 +31,10 @@
     /// ```
     /// use flamingowheel_backing::fake::text::GenerationRequest;
     /// let body = br#"{"max_tokens": 7, "stream": true}"#;
-    /// assert_eq!(GenerationRequest::from_body(body, 3), GenerationRequest { tokens: 7, stream: true });
-    /// assert_eq!(GenerationRequest::from_body(b"plain", 3), GenerationRequest { tokens: 3, stream: true });
+    /// let request = GenerationRequest::from_body(body, 3);
+    /// assert_eq!(request, GenerationRequest { tokens: 7, stream: true });
+    /// let request = GenerationRequest::from_body(b"plain", 3);
+    /// assert_eq!(request, GenerationRequest { tokens: 3, stream: true });
     /// ```
     pub fn from_body(body: &[u8], default_tokens: u64) -> Self {
         let Ok(Value::Object(fields)) = serde_json::from_slice(body) else {
@@ -59,7 +61,7 @@
     Bytes::from(format!("data: {chunk}\n\n"))
 }
 
-/// All events of a whole streamed answer, the end marker included.
+/// All events of a complete streamed answer, including the end marker.
 pub fn whole_stream(body: &[u8], default_tokens: u64) -> Vec<Bytes> {
     let tokens = GenerationRequest::from_body(body, default_tokens).tokens;
     let mut events: Vec<Bytes> = (0..tokens).map(|index| token_event(body, index)).collect();
@@ -67,7 +69,7 @@
     events
 }
 
-/// A whole answer that is not streamed.
+/// A complete answer that is not streamed.
 pub fn whole_json(body: &[u8], tokens: u64) -> Bytes {
     let content: String = (0..tokens).map(|index| token(body, index)).collect();
     let answer = json!({
@@ -77,7 +79,7 @@
     Bytes::from(answer.to_string())
 }
 
-/// Hashes of the body's whole prefix blocks; each covers all bytes before it.
+/// Hashes of the body's complete prefix blocks; each also covers all bytes before its block.
 pub fn block_hashes(body: &[u8]) -> Vec<u64> {
     prefix::block_hashes(body, CACHE_BLOCK_BYTES).into_iter().map(|hash| hash.0).collect()
 }
--- a/crates/backing/src/fake/vm.rs
+++ b/crates/backing/src/fake/vm.rs
@@ -1,4 +1,4 @@
-//! A VM list that lags behind the truth by a time the test sets.
+//! An in-memory VM list with a lag that the test sets.
 
 use super::lock;
 use crate::BoxFuture;
@@ -10,14 +10,14 @@
 
 #[derive(Debug, Default)]
 struct State {
-    /// Every list that was true, with when it became so, oldest first.
+    /// The successive lists and when each took effect, oldest first.
     history: VecDeque<(Instant, Vec<Vm>)>,
     lag: Duration,
     down: bool,
     calls: u64,
 }
 
-/// The fake; clones share one list.
+/// In-memory VM list; clones share one list.
 ///
 /// ```
 /// use flamingowheel_backing::fake::FakeVmList;
@@ -33,41 +33,41 @@
 }
 
 impl FakeVmList {
-    /// A list that has always shown `vms`.
+    /// Creates a list that shows `vms` from the start, whatever the lag.
     pub fn new(vms: Vec<Vm>) -> Self {
         let this = Self::default();
         this.set(vms);
         this
     }
 
-    /// Sets the truth; the list shows it once the lag has passed.
+    /// Sets the actual VMs; the list shows them once the lag has passed.
     pub fn set(&self, vms: Vec<Vm>) {
         lock(&self.state).history.push_back((Instant::now(), vms));
     }
 
     /// Marks a VM as leaving.
     pub fn set_leaving(&self, name: &str) {
-        self.change(|vms| {
+        self.update(|vms| {
             vms.iter_mut().filter(|vm| vm.name == name).for_each(|vm| vm.state = VmState::Leaving);
         });
     }
 
-    /// Takes a VM away.
+    /// Removes a VM; the list shows that once the lag has passed.
     pub fn remove(&self, name: &str) {
-        self.change(|vms| vms.retain(|vm| vm.name != name));
+        self.update(|vms| vms.retain(|vm| vm.name != name));
     }
 
-    /// Adds a VM.
+    /// Adds a VM; the list shows it once the lag has passed.
     pub fn add(&self, vm: Vm) {
-        self.change(|vms| vms.push(vm));
+        self.update(|vms| vms.push(vm));
     }
 
-    /// Sets how far the list is behind.
+    /// Sets by how much the list lags behind.
     pub fn set_lag(&self, lag: Duration) {
         lock(&self.state).lag = lag;
     }
 
-    /// Makes the list unreachable.
+    /// Makes the list unreachable or reachable again.
     pub fn set_down(&self, down: bool) {
         lock(&self.state).down = down;
     }
@@ -77,13 +77,13 @@
         lock(&self.state).calls
     }
 
-    fn change<F>(&self, change: F)
+    fn update<F>(&self, update: F)
     where
         F: FnOnce(&mut Vec<Vm>),
     {
         let mut vms =
             lock(&self.state).history.back().map(|(_, vms)| vms.clone()).unwrap_or_default();
-        change(&mut vms);
+        update(&mut vms);
         self.set(vms);
     }
 }
@@ -97,7 +97,11 @@
                 return Err(VmListError::Unreachable);
             }
             let now = Instant::now();
-            while state.history.get(1).is_some_and(|(since, _)| *since + state.lag <= now) {
+            while state
+                .history
+                .get(1)
+                .is_some_and(|(effective_at, _)| *effective_at + state.lag <= now)
+            {
                 state.history.pop_front();
             }
             Ok(state.history.front().map(|(_, vms)| vms.clone()).unwrap_or_default())
--- a/crates/backing/src/fake/weights.rs
+++ b/crates/backing/src/fake/weights.rs
@@ -1,4 +1,4 @@
-//! A weight store that refuses reads beyond its rate.
+//! An in-memory weight store that refuses reads beyond its rate limit.
 
 use super::lock;
 use crate::BoxFuture;
@@ -48,7 +48,7 @@
     }
 }
 
-/// The fake; clones share one rate.
+/// In-memory weight store; clones share one rate limit.
 ///
 /// ```
 /// use flamingowheel_backing::fake::FakeWeightStore;
@@ -65,7 +65,7 @@
 }
 
 impl FakeWeightStore {
-    /// A store that serves `rate_bytes_per_s`, and at most `burst_bytes` at once.
+    /// Creates a store that serves `rate_bytes_per_s`, and at most `burst_bytes` at once.
     pub fn new(rate_bytes_per_s: u64, burst_bytes: u64) -> Self {
         let state = State {
             rate_bytes_per_s,
@@ -79,7 +79,7 @@
         Self { state: Arc::new(Mutex::new(state)) }
     }
 
-    /// Makes the store unreachable.
+    /// Makes the store unreachable or reachable again.
     pub fn set_down(&self, down: bool) {
         lock(&self.state).down = down;
     }
--- a/crates/backing/tests/fake_engine.rs
+++ b/crates/backing/tests/fake_engine.rs
@@ -1,4 +1,4 @@
-//! The engine, group, service and VM list fakes under a paused clock.
+//! The engine, group, service and VM list fakes, with a paused clock.
 
 use bytes::Bytes;
 use flamingowheel_backing::backend::{
@@ -64,9 +64,10 @@
     assert_eq!(events, whole_stream(b"x", 8)[5..]);
 }
 
-// One request kills the engine; whatever shared its batch is lost too, and the process is new.
+// A request crashes the engine. The other requests of its batch must be lost too, and the restarted
+// process must have a new id.
 #[tokio::test(start_paused = true)]
-async fn call_crash_takes_batch_along() {
+async fn call_crash_loses_batch() {
     let settings =
         EngineSettings { restart_after: Some(Duration::from_secs(2)), ..EngineSettings::default() };
     let engine = FakeEngine::new(1, settings);
@@ -85,7 +86,8 @@
     assert_eq!((after.running, engine.crashes()), (0, 1));
 }
 
-// The engine stops talking without closing anything; its caller must not wait for good.
+// The engine stops answering without closing its connections. Callers must get a timeout instead of
+// waiting forever.
 #[tokio::test(start_paused = true)]
 async fn call_frozen_engine_silent() {
     let engine = FakeEngine::new(1, EngineSettings::default());
@@ -144,7 +146,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn order_old_fence_by_policy() {
+async fn send_order_old_fence_by_policy() {
     for (policy, refused) in [(FencePolicy::Refuses, true), (FencePolicy::Ignores, false)] {
         let settings = EngineSettings { fence_policy: policy, ..EngineSettings::default() };
         let engine = FakeEngine::new(1, settings);
@@ -156,9 +158,9 @@
     }
 }
 
-// An order's answer is lost, or the order itself, or it comes a minute late.
+// An order is lost, or its answer is, or the order takes effect a minute late.
 #[tokio::test(start_paused = true)]
-async fn order_lost_or_late() {
+async fn send_order_lost_or_delayed() {
     let engine = FakeEngine::new(1, EngineSettings::default());
     engine.inject_order_fault(OrderFault::RequestLost);
     engine.inject_order_fault(OrderFault::AnswerLost);
@@ -174,9 +176,10 @@
     assert_eq!(engine.peek_state().held_after_step, Some(3));
 }
 
-// An order that came over a connection to a process that died meanwhile can't reach the next one.
+// A delayed order came on a connection to a process that has crashed since. It must not take effect
+// in the restarted process.
 #[tokio::test(start_paused = true)]
-async fn order_late_dies_with_process() {
+async fn send_order_delayed_lost_in_crash() {
     let engine = FakeEngine::new(1, EngineSettings::default());
     engine.inject_order_fault(OrderFault::Delayed(Duration::from_secs(60)));
     assert!(engine.send_order(&order(1, OrderTarget::Hold { after_step: 3 })).await.is_err());
@@ -199,7 +202,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn group_sound_switch_leaves_no_split() {
+async fn try_step_correct_switch_no_mismatch() {
     let group = group(4);
     assert!(group.try_step());
     for rank in group.ranks() {
@@ -216,9 +219,10 @@
     assert_eq!((group.map_mismatches().len(), group.stalled_steps()), (0, 1));
 }
 
-// One rank resumes with the old map; the check must tell, or no other test of switches means much.
+// One rank resumes with the old map. Tests of map switches rely on this check, so it must report
+// the mismatch.
 #[tokio::test(start_paused = true)]
-async fn group_deliberate_split_is_found() {
+async fn try_step_map_mismatch_reported() {
     let group = group(2);
     for rank in group.ranks() {
         rank.send_order(&order(1, OrderTarget::Hold { after_step: 0 })).await.unwrap();
@@ -232,9 +236,9 @@
     assert_eq!(group.map_mismatches()[0].maps[0], (1, map_digest(&map(1))));
 }
 
-// Both ranks name the same version but hold different contents under it.
+// Both ranks report the same map version, but the contents of their maps differ.
 #[tokio::test(start_paused = true)]
-async fn group_same_version_other_contents_is_found() {
+async fn try_step_same_version_other_contents_reported() {
     let group = group(2);
     for (expert, rank) in (0..).zip(group.ranks()) {
         rank.send_order(&order(1, OrderTarget::Hold { after_step: 0 })).await.unwrap();
@@ -246,7 +250,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn group_stalls_with_any_rank() {
+async fn try_step_any_rank_not_ready_stalls() {
     let group = group(2);
     group.ranks()[1].set_frozen(true);
     assert!(!group.try_step());
@@ -257,7 +261,8 @@
     assert!(group.try_step());
 }
 
-// The service carried the call out and died before it answered; the caller can't know.
+// The service crashes after executing a call and before answering it, so the caller can't tell
+// whether it ran.
 #[tokio::test(start_paused = true)]
 async fn service_crash_after_effect() {
     let service = FakeService::new(1);
@@ -268,7 +273,7 @@
     assert_eq!((body, end), (vec![FakeService::answer(b"pay 5", 2)], Some(Ok(()))));
 }
 
-// A slow service pays after its caller gave up.
+// A slow service executes a call after its caller timed out.
 #[tokio::test(start_paused = true)]
 async fn service_slow_takes_effect_later() {
     let service = FakeService::new(1);
--- a/crates/backing/tests/fake_kv.rs
+++ b/crates/backing/tests/fake_kv.rs
@@ -1,4 +1,4 @@
-//! The key-value fake's faults, under a paused clock.
+//! The faults of the key-value fake, with a paused clock.
 
 use bytes::Bytes;
 use flamingowheel_backing::fake::{FakeKeyValue, LostAnswer};
@@ -16,7 +16,8 @@
     }
 }
 
-// A holder is paused past its lease; others must see its key go on time, with nobody calling.
+// The holder of a lease is paused and does not renew it. Watches must see its key deleted at the
+// deadline, without any other call to the service.
 #[tokio::test(start_paused = true)]
 async fn lease_expires_on_time() {
     let kv = FakeKeyValue::new();
@@ -36,7 +37,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn keep_alive_prolongs_lease() {
+async fn keep_alive_extends_lease() {
     let kv = FakeKeyValue::new();
     let lease = kv.grant_lease(Duration::from_secs(5)).await.unwrap();
     kv.transact(put("lease/a", "me", Some(lease))).await.unwrap();
@@ -49,7 +50,8 @@
     assert!(kv.peek("lease/").entries.is_empty());
 }
 
-// The answer of a compare-and-swap is lost after the write took effect; the writer hears nothing.
+// The answer to a write is lost after the write took effect. The writer must learn that it may have
+// taken effect.
 #[tokio::test(start_paused = true)]
 async fn transact_answer_lost_after_effect() {
     let kv = FakeKeyValue::new();
@@ -70,7 +72,7 @@
     assert!(kv.transact(put("a", "2", None)).await.is_ok());
 }
 
-// The request itself is lost; the writer hears the same as if its answer were.
+// The request itself is lost. The writer must get the same error as for a lost answer.
 #[tokio::test(start_paused = true)]
 async fn transact_answer_lost_before_effect() {
     let kv = FakeKeyValue::new();
@@ -79,7 +81,7 @@
     assert!(kv.range("a").await.unwrap().entries.is_empty());
 }
 
-// A slow service carries out a write that its caller gave up on.
+// A slow service carries out a write after its caller timed out.
 #[tokio::test(start_paused = true)]
 async fn transact_slow_takes_effect_later() {
     let kv = FakeKeyValue::new();
@@ -92,7 +94,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn watch_gap_and_silence() {
+async fn watch_dropped_events_and_silence() {
     let kv = FakeKeyValue::new();
     let mut watch = kv.watch("a", Revision(0)).await.unwrap();
     kv.drop_watch_events(1);
@@ -102,8 +104,8 @@
     assert_eq!(entry.mod_revision, Revision(2));
     kv.silence_watches();
     kv.transact(put("a", "3", None)).await.unwrap();
-    let heard = tokio::time::timeout(Duration::from_secs(60), watch.recv()).await;
-    assert!(heard.is_err(), "a silent watch must bring neither events nor progress");
+    let received = tokio::time::timeout(Duration::from_secs(60), watch.recv()).await;
+    assert!(received.is_err(), "a silent watch must deliver neither events nor progress");
     assert!(kv.watch("a", Revision(2)).await.unwrap().recv().await.is_some());
 }
 
