--- a/crates/proof/benches/outage/tickets.rs
+++ b/crates/proof/benches/outage/tickets.rs
@@ -2,7 +2,7 @@
 
 use crate::Failure;
 use bytes::Bytes;
-use flamingowheel_proof::caller::Told;
+use flamingowheel_proof::caller::CallOutcome;
 use flamingowheel_proof::oracle::{Runs, Work};
 use flamingowheel_proof::servers::SERVICES;
 use flamingowheel_proof::world::{ENTRIES, RESTART_TIME, World};
@@ -115,9 +115,9 @@
     fn resend(&mut self) {
         for mut caller in std::mem::take(&mut self.outstanding) {
             caller.ticks_left = caller.ticks_left.saturating_sub(1);
-            match last_told(&self.world.ledger.get(caller.work)) {
-                Told::Complete(_) => continue,
-                Told::Pending => {}
+            match last_outcome(&self.world.ledger.get(caller.work)) {
+                CallOutcome::Complete(_) => continue,
+                CallOutcome::Pending => {}
                 _ if caller.resends == RESENDS => continue,
                 _ if caller.ticks_left > 0 => {}
                 _ => {
@@ -135,12 +135,13 @@
         let (mut accepted, mut double_runs, mut unknown_ran, mut first_unknown) = (0, 0, 0, 0);
         for work in self.world.ledger.all() {
             let runs = self.world.servers.started(&work.body);
-            let first = work.submissions.first().map(|submission| &submission.told);
-            first_unknown += u32::from(matches!(first, Some(Told::Unknown(_) | Told::Broken)));
-            let outcome = match last_told(&Some(work)) {
-                Told::Complete(_) => "complete",
-                Told::NotRun(_) => "not_run",
-                Told::Unknown(_) | Told::Broken | Told::Pending => "unknown",
+            let first = work.submissions.first().map(|submission| &submission.outcome);
+            first_unknown +=
+                u32::from(matches!(first, Some(CallOutcome::Unknown(_) | CallOutcome::Broken)));
+            let outcome = match last_outcome(&Some(work)) {
+                CallOutcome::Complete(_) => "complete",
+                CallOutcome::NotRun(_) => "not_run",
+                CallOutcome::Unknown(_) | CallOutcome::Broken | CallOutcome::Pending => "unknown",
             };
             *outcomes.entry(outcome).or_default() += 1;
             accepted += u32::from(outcome == "complete" && runs == 1);
@@ -171,7 +172,7 @@
     }
 }
 
-fn last_told(work: &Option<Work>) -> Told {
+fn last_outcome(work: &Option<Work>) -> CallOutcome {
     let last = work.as_ref().and_then(|work| work.submissions.last());
-    last.map_or(Told::Pending, |submission| submission.told.clone())
+    last.map_or(CallOutcome::Pending, |submission| submission.outcome.clone())
 }
--- a/crates/proof/src/backend.rs
+++ b/crates/proof/src/backend.rs
@@ -16,18 +16,18 @@
 
 /// What befalls a process as a whole. All its connections share one.
 #[derive(Clone, Debug)]
-pub struct Fate {
+pub struct Lifecycle {
     killed: CancellationToken,
     paused: watch::Sender<bool>,
 }
 
-impl Default for Fate {
+impl Default for Lifecycle {
     fn default() -> Self {
         Self { killed: CancellationToken::new(), paused: watch::Sender::new(false) }
     }
 }
 
-impl Fate {
+impl Lifecycle {
     /// Kills the process: its connections close and nothing more comes from it.
     pub fn kill(&self) {
         self.killed.cancel();
@@ -60,7 +60,7 @@
     }
 
     /// Waits while the process is paused.
-    pub async fn awake(&self) {
+    pub async fn resumed(&self) {
         let mut paused = self.paused.subscribe();
         let _ = paused.wait_for(|paused| !paused).await;
     }
@@ -72,7 +72,7 @@
     {
         tokio::pin!(work);
         loop {
-            self.awake().await;
+            self.resumed().await;
             tokio::select! {
                 biased;
                 () = self.paused() => {}
@@ -83,50 +83,50 @@
 
     /// Runs a call of the process to the outside. Killed, it never returns to its caller; the
     /// call is dropped, as the kernel closes a dead process's sockets.
-    pub async fn outside<F>(&self, call: F) -> F::Output
+    pub async fn run_call<F>(&self, call: F) -> F::Output
     where
         F: Future,
     {
-        self.awake().await;
+        self.resumed().await;
         let result = tokio::select! {
             biased;
             () = self.killed() => std::future::pending().await,
             result = call => result,
         };
-        self.awake().await;
+        self.resumed().await;
         result
     }
 }
 
 /// Bodies that were sent to a backend server, by whatever process.
-pub type Sent = Arc<Mutex<HashSet<Bytes>>>;
+pub type SentBodies = Arc<Mutex<HashSet<Bytes>>>;
 
 /// The backend server of an agent process.
 pub struct ProcessBackend {
     backend: Arc<dyn BackendServer>,
-    fate: Fate,
-    sent: Sent,
+    lifecycle: Lifecycle,
+    sent: SentBodies,
 }
 
 impl ProcessBackend {
     /// The view of one process.
-    pub fn new(backend: Arc<dyn BackendServer>, fate: Fate, sent: Sent) -> Self {
-        Self { backend, fate, sent }
+    pub fn new(backend: Arc<dyn BackendServer>, lifecycle: Lifecycle, sent: SentBodies) -> Self {
+        Self { backend, lifecycle, sent }
     }
 }
 
 type Piece = Result<BodyPiece, BackendError>;
 
-async fn carry(mut from: mpsc::Receiver<Piece>, to: mpsc::Sender<Piece>, fate: Fate) {
+async fn carry(mut from: mpsc::Receiver<Piece>, to: mpsc::Sender<Piece>, lifecycle: Lifecycle) {
     loop {
-        fate.awake().await;
+        lifecycle.resumed().await;
         let piece = tokio::select! {
             biased;
-            () = fate.killed() => break,
+            () = lifecycle.killed() => break,
             () = to.closed() => return,
             piece = from.recv() => piece,
         };
-        fate.awake().await;
+        lifecycle.resumed().await;
         let Some(piece) = piece else { return };
         if to.send(piece).await.is_err() {
             return;
@@ -142,22 +142,22 @@
         Box::pin(async move {
             let body = call.body.clone();
             self.sent.lock().unwrap_or_else(PoisonError::into_inner).insert(body);
-            let answer = self.fate.outside(self.backend.call(call)).await?;
+            let answer = self.lifecycle.run_call(self.backend.call(call)).await?;
             let (sender, body) = mpsc::channel(BODY_CAPACITY);
-            tokio::spawn(carry(answer.body, sender, self.fate.clone()));
+            tokio::spawn(carry(answer.body, sender, self.lifecycle.clone()));
             Ok(BackendAnswer { body, ..answer })
         })
     }
 
     fn cancel<'a>(&'a self, id: &'a str) -> BoxFuture<'a, Result<(), BackendError>> {
-        Box::pin(self.fate.outside(self.backend.cancel(id)))
+        Box::pin(self.lifecycle.run_call(self.backend.cancel(id)))
     }
 
     fn load(&self) -> BoxFuture<'_, Result<LoadReport, BackendError>> {
-        Box::pin(self.fate.outside(self.backend.load()))
+        Box::pin(self.lifecycle.run_call(self.backend.load()))
     }
 
     fn cache_events(&self, after: u64) -> BoxFuture<'_, Result<Vec<CacheEvent>, BackendError>> {
-        Box::pin(self.fate.outside(self.backend.cache_events(after)))
+        Box::pin(self.lifecycle.run_call(self.backend.cache_events(after)))
     }
 }
--- a/crates/proof/src/caller.rs
+++ b/crates/proof/src/caller.rs
@@ -1,6 +1,6 @@
 //! Callers as they see the fleet: over HTTP, with nothing but status, headers and body.
 
-use crate::backend::Fate;
+use crate::backend::Lifecycle;
 use crate::entry::{SERVICE, TOKEN};
 use axum::Router;
 use axum::body::Body;
@@ -17,7 +17,7 @@
 
 /// What a caller was told.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum CallOutcome {
     /// Nothing yet.
     Pending,
     /// A whole answer.
@@ -32,7 +32,7 @@
 
 /// What is asked.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ask {
+pub enum CallKind {
     /// A chat completion.
     Chat,
     /// An idempotent service call.
@@ -53,7 +53,7 @@
 #[derive(Clone, Debug)]
 pub struct Call {
     /// What is asked.
-    pub ask: Ask,
+    pub kind: CallKind,
     /// The body.
     pub body: Bytes,
     /// How long the caller waits for the answer to begin.
@@ -62,19 +62,19 @@
 
 impl Call {
     fn request(&self) -> Request<Body> {
-        let (method, path) = match &self.ask {
-            Ask::Chat => (Method::POST, CHAT_PATH.to_owned()),
-            Ask::Status => (Method::POST, format!("/v1/services/{SERVICE}/status")),
-            Ask::Order | Ask::Ticket(_) | Ask::Key(_) => {
+        let (method, path) = match &self.kind {
+            CallKind::Chat => (Method::POST, CHAT_PATH.to_owned()),
+            CallKind::Status => (Method::POST, format!("/v1/services/{SERVICE}/status")),
+            CallKind::Order | CallKind::Ticket(_) | CallKind::Key(_) => {
                 (Method::POST, format!("/v1/services/{SERVICE}/orders"))
             }
-            Ask::Void(ticket) => (Method::DELETE, format!("{TICKETS_PATH}/{ticket}")),
-            Ask::Addresses => (Method::GET, ENTRIES_PATH.to_owned()),
+            CallKind::Void(ticket) => (Method::DELETE, format!("{TICKETS_PATH}/{ticket}")),
+            CallKind::Addresses => (Method::GET, ENTRIES_PATH.to_owned()),
         };
         let mut request = base(method, &path).header(TIMEOUT_HEADER, self.timeout_ms);
-        request = match &self.ask {
-            Ask::Ticket(ticket) => request.header(TICKET_HEADER, ticket),
-            Ask::Key(key) => request.header(IDEMPOTENCY_KEY_HEADER, key),
+        request = match &self.kind {
+            CallKind::Ticket(ticket) => request.header(TICKET_HEADER, ticket),
+            CallKind::Key(key) => request.header(IDEMPOTENCY_KEY_HEADER, key),
             _ => request,
         };
         request.body(Body::from(self.body.clone())).expect("fixed parts")
@@ -87,20 +87,20 @@
 }
 
 /// Sends a call to an entry process and reads all of the answer.
-pub async fn send(router: Router, fate: Fate, call: Call) -> Told {
+pub async fn send(router: Router, lifecycle: Lifecycle, call: Call) -> CallOutcome {
     let exchange = async {
         let Ok(response) = router.oneshot(call.request()).await;
         read(response).await
     };
     tokio::select! {
         biased;
-        () = fate.killed() => Told::Broken,
-        told = fate.outside(exchange) => told,
+        () = lifecycle.killed() => CallOutcome::Broken,
+        outcome = lifecycle.run_call(exchange) => outcome,
     }
 }
 
 /// Takes a ticket for a service call.
-pub async fn take_ticket(router: Router, fate: Fate) -> Option<String> {
+pub async fn request_ticket(router: Router, lifecycle: Lifecycle) -> Option<String> {
     let path = format!("{TICKETS_PATH}?service={SERVICE}");
     let request = base(Method::POST, &path).body(Body::empty()).expect("fixed parts");
     let exchange = async {
@@ -113,25 +113,25 @@
     };
     tokio::select! {
         biased;
-        () = fate.killed() => None,
+        () = lifecycle.killed() => None,
         ticket = exchange => ticket,
     }
 }
 
-async fn read(response: Response) -> Told {
+async fn read(response: Response) -> CallOutcome {
     let is_plain = response.status().is_success();
     let outcome = response.headers().get(OUTCOME_HEADER).cloned();
     let outcome = outcome.as_ref().and_then(|value| value.to_str().ok()).unwrap_or("none");
     // An HTTP client reports a body that ends without its end as an error; any other is whole.
     let Ok(body) = response.into_body().collect().await.map(|body| body.to_bytes()) else {
-        return Told::Broken;
+        return CallOutcome::Broken;
     };
     let text = || String::from_utf8_lossy(&body).into_owned();
     match outcome {
-        "complete" | "streaming" => Told::Complete(body),
+        "complete" | "streaming" => CallOutcome::Complete(body),
         // Answers that run nothing carry no outcome.
-        "none" if is_plain => Told::Complete(body),
-        "not-run" => Told::NotRun(text()),
-        _ => Told::Unknown(text()),
+        "none" if is_plain => CallOutcome::Complete(body),
+        "not-run" => CallOutcome::NotRun(text()),
+        _ => CallOutcome::Unknown(text()),
     }
 }
--- a/crates/proof/src/configuration/fleet.rs
+++ b/crates/proof/src/configuration/fleet.rs
@@ -1,9 +1,9 @@
 //! Control processes in one thread, with their network.
 
 use super::oracle::{ConfigViolation, IN_FORCE_LIMIT, Oracle};
-use crate::backend::Fate;
+use crate::backend::Lifecycle;
+use crate::mutation::Mutation;
 use crate::network::MessageFault;
-use crate::plant::Plant;
 use flamingowheel_backing::BoxFuture;
 use flamingowheel_backing::fake::{FakeKeyValue, FakeVmList};
 use flamingowheel_backing::vm::{Vm, VmState};
@@ -44,7 +44,7 @@
 
 #[derive(Default)]
 struct Reach {
-    nodes: HashMap<SocketAddr, (Node, Fate)>,
+    nodes: HashMap<SocketAddr, (Node, Lifecycle)>,
     cut: HashSet<SocketAddr>,
     /// What befalls each process's next request to a peer.
     faults: HashMap<SocketAddr, MessageFault>,
@@ -71,8 +71,8 @@
             (!cut).then(|| reach.nodes.get(&to).cloned())
         };
         match found {
-            Some(Some((node, fate))) => {
-                fate.awake().await;
+            Some(Some((node, lifecycle))) => {
+                lifecycle.resumed().await;
                 Ok(node)
             }
             Some(None) => Err(PeerError::Unreachable),
@@ -102,12 +102,14 @@
             let fault = lock(&self.reach).faults.remove(&self.own);
             match fault {
                 Some(MessageFault::Lost) => return std::future::pending().await,
-                Some(MessageFault::Late(delay)) => {
+                Some(MessageFault::Delayed(delay)) => {
                     self.carry_late(peer, request, delay);
                     return std::future::pending().await;
                 }
-                Some(MessageFault::Copied(delay)) => self.carry_late(peer, request.clone(), delay),
-                Some(MessageFault::Overtaken) => sleep(OVERTAKEN_TIME).await,
+                Some(MessageFault::Duplicated(delay)) => {
+                    self.carry_late(peer, request.clone(), delay)
+                }
+                Some(MessageFault::Reordered) => sleep(OVERTAKEN_TIME).await,
                 None => {}
             }
             let answer = self.carry(peer).await?.answer(request).await;
@@ -119,7 +121,7 @@
 /// One life of a process.
 struct Life {
     node: Node,
-    fate: Fate,
+    lifecycle: Lifecycle,
     stop: CancellationToken,
     highest: u64,
     /// Since when it could have had something newer.
@@ -135,21 +137,21 @@
     vms: FakeVmList,
     reach: Shared,
     lives: Vec<Option<Life>>,
-    plant: Option<Plant>,
+    mutation: Option<Mutation>,
     births: u64,
     asked: u64,
 }
 
 impl Fleet {
     /// Starts all processes with a first accepted change.
-    pub async fn start(plant: Option<Plant>) -> Self {
+    pub async fn start(mutation: Option<Mutation>) -> Self {
         let mut fleet = Self {
             kv: FakeKeyValue::new(),
             oracle: Oracle::default(),
             vms: FakeVmList::new((0..PROCESSES).map(vm).collect()),
             reach: Shared::default(),
             lives: (0..PROCESSES).map(|_| None).collect(),
-            plant,
+            mutation,
             births: 0,
             asked: 0,
         };
@@ -176,8 +178,8 @@
 
     fn run(&mut self, process: usize, node: Node, highest: u64) {
         let own = address(process);
-        let fate = Fate::default();
-        lock(&self.reach).nodes.insert(own, (node.clone(), fate.clone()));
+        let lifecycle = Lifecycle::default();
+        lock(&self.reach).nodes.insert(own, (node.clone(), lifecycle.clone()));
         let spread = Synchronizer {
             node: node.clone(),
             store: Store::new(Arc::new(self.kv.clone())),
@@ -187,8 +189,8 @@
             timing: Timing::default(),
         };
         let stop = CancellationToken::new();
-        tokio::spawn(fate.clone().run(spread.run(stop.clone())));
-        self.lives[process] = Some(Life { node, fate, stop, highest, behind_since: None });
+        tokio::spawn(lifecycle.clone().run(spread.run(stop.clone())));
+        self.lives[process] = Some(Life { node, lifecycle, stop, highest, behind_since: None });
     }
 
     /// Kills a process, but not the last one.
@@ -217,19 +219,19 @@
     /// Pauses a process, or lets it go on.
     pub fn pause(&self, process: usize, paused: bool) {
         if let Some(life) = &self.lives[process] {
-            life.fate.set_paused(paused);
+            life.lifecycle.set_paused(paused);
         }
     }
 
     /// Each process's next request to a peer meets this fault.
-    pub fn fault(&self, fault: MessageFault) {
+    pub fn inject_fault(&self, fault: MessageFault) {
         let faults = (0..PROCESSES).map(|process| (address(process), fault));
         lock(&self.reach).faults = faults.collect();
     }
 
     /// Whether others can't reach a process just now.
     fn is_away(&self, process: usize) -> bool {
-        let paused = self.lives[process].as_ref().is_some_and(|life| life.fate.is_paused());
+        let paused = self.lives[process].as_ref().is_some_and(|life| life.lifecycle.is_paused());
         paused || lock(&self.reach).cut.contains(&address(process))
     }
 
@@ -238,9 +240,9 @@
         let life = self.lives[process].as_ref()?;
         self.asked += 1;
         let (value, node, oracle) = (self.asked, life.node.clone(), self.oracle.clone());
-        let (stop, fate) = (life.stop.clone(), life.fate.clone());
+        let (stop, lifecycle) = (life.stop.clone(), life.lifecycle.clone());
         let store = Store::new(Arc::new(self.kv.clone()));
-        tokio::spawn(fate.run(async move {
+        tokio::spawn(lifecycle.run(async move {
             let origin = Origin { operator: "ana".into(), at_unix_ms: 0, comment: String::new() };
             let Ok(edits) = parse(&documents(value)) else { return };
             let seen = node.revision();
@@ -253,13 +255,13 @@
                 answer = store.apply(&mut replica, &request) => answer,
             };
             node.adopt(replica, ConfigSource::Accepted);
-            oracle.told(value, &answer);
+            oracle.record_answer(value, &answer);
         }));
         Some(value)
     }
 
     /// Mends everything.
-    pub fn mend(&mut self) {
+    pub fn repair(&mut self) {
         self.kv.set_down(false);
         self.kv.set_delay(Duration::ZERO);
         lock(&self.reach).cut.clear();
@@ -272,11 +274,11 @@
 
     /// Checks every promise as of now.
     pub fn check(&mut self) -> Result<(), ConfigViolation> {
-        if self.plant == Some(Plant::OlderPeerTaken) {
+        if self.mutation == Some(Mutation::OlderPeerTaken) {
             self.take_from_older_peer();
         }
-        if let Some(clash) = self.oracle.clash() {
-            return Err(clash);
+        if let Some(conflict) = self.oracle.conflict() {
+            return Err(conflict);
         }
         for process in 0..PROCESSES {
             let newest = self.reachable_newest(process);
@@ -289,7 +291,7 @@
 
     /// Mends everything, and checks that the newest accepted change gets everywhere.
     pub async fn settle(&mut self) -> Result<(), ConfigViolation> {
-        self.mend();
+        self.repair();
         sleep(IN_FORCE_LIMIT).await;
         self.check()?;
         let newest = self.oracle.newest();
--- a/crates/proof/src/configuration/machine.rs
+++ b/crates/proof/src/configuration/machine.rs
@@ -3,7 +3,7 @@
 use super::fleet::{Fleet, PROCESSES};
 use super::oracle::ConfigViolation;
 use crate::fuzz::{Driver, paused_runtime};
-use crate::plant::Plant;
+use crate::mutation::Mutation;
 use flamingowheel_backing::fake::LostAnswer;
 use proptest::prelude::*;
 use proptest_state_machine::ReferenceStateMachine;
@@ -37,7 +37,7 @@
     /// All watches go silent for good.
     WatchesSilent,
     /// Time passes.
-    Pass(u64),
+    Wait(u64),
 }
 
 /// The reference machine; every step is possible at any time.
@@ -65,7 +65,7 @@
             2 => (1..4usize, any::<bool>()).prop_map(|(count, after)| AnswersLost(count, after)),
             1 => (1..4usize).prop_map(EventsSwallowed),
             1 => Just(WatchesSilent),
-            6 => prop_oneof![1..100u64, 500..3_000u64, 5_000..15_000u64].prop_map(Pass),
+            6 => prop_oneof![1..100u64, 500..3_000u64, 5_000..15_000u64].prop_map(Wait),
         ]
         .boxed()
     }
@@ -83,9 +83,9 @@
     type Steps = ConfigSteps;
     type Violation = ConfigViolation;
 
-    fn start(_state: &(), plant: Option<Plant>) -> Self {
+    fn start(_state: &(), mutation: Option<Mutation>) -> Self {
         let runtime = paused_runtime();
-        let fleet = runtime.block_on(Fleet::start(plant));
+        let fleet = runtime.block_on(Fleet::start(mutation));
         Self { runtime, fleet }
     }
 
@@ -94,7 +94,7 @@
         let _guard = self.runtime.enter();
         take(&mut self.fleet, step);
         let mut rest = match step {
-            ConfigStep::Pass(ms) => Duration::from_millis(*ms),
+            ConfigStep::Wait(ms) => Duration::from_millis(*ms),
             _ => Duration::from_millis(1),
         };
         while !rest.is_zero() {
@@ -130,6 +130,6 @@
         }
         ConfigStep::EventsSwallowed(count) => fleet.kv.drop_watch_events(count),
         ConfigStep::WatchesSilent => fleet.kv.silence_watches(),
-        ConfigStep::Pass(_) => {}
+        ConfigStep::Wait(_) => {}
     }
 }
--- a/crates/proof/src/configuration/oracle.rs
+++ b/crates/proof/src/configuration/oracle.rs
@@ -68,7 +68,7 @@
 #[derive(Debug, Default)]
 struct State {
     accepted: BTreeMap<u64, u64>,
-    clash: Option<ConfigViolation>,
+    conflict: Option<ConfigViolation>,
     answers: BTreeMap<u64, ChangeAnswer>,
 }
 
@@ -91,20 +91,21 @@
 
 impl Oracle {
     /// Notes what an operator was told of a change that sets `value`.
-    pub fn told(&self, value: u64, answer: &Result<Applied, ApplyError>) {
+    pub fn record_answer(&self, value: u64, answer: &Result<Applied, ApplyError>) {
         let mut state = self.lock();
-        let said = match answer {
+        let recorded = match answer {
             Ok(_) => ChangeAnswer::Accepted,
             Err(ApplyError::Unknown { .. }) => ChangeAnswer::Unknown,
             Err(_) => ChangeAnswer::NotAccepted,
         };
-        state.answers.insert(value, said);
+        state.answers.insert(value, recorded);
         let Ok(Applied::Accepted(change)) = answer else { return };
         let revision = change.revision().0;
         if let Some(first) = state.accepted.insert(revision, value)
             && first != value
         {
-            state.clash = Some(ConfigViolation::AcceptedTwice { revision, first, second: value });
+            state.conflict =
+                Some(ConfigViolation::AcceptedTwice { revision, first, second: value });
         }
     }
 
@@ -119,8 +120,8 @@
     }
 
     /// Whether two changes were accepted under one revision.
-    pub fn clash(&self) -> Option<ConfigViolation> {
-        self.lock().clash.clone()
+    pub fn conflict(&self) -> Option<ConfigViolation> {
+        self.lock().conflict.clone()
     }
 
     /// Compares what a process has in force with what was accepted.
--- a/crates/proof/src/entry.rs
+++ b/crates/proof/src/entry.rs
@@ -1,6 +1,6 @@
 //! An entry process: its real router and dispatcher over the in-memory network.
 
-use crate::backend::Fate;
+use crate::backend::Lifecycle;
 use crate::fuzz::seed_from_environment;
 use crate::network::{Network, NetworkConnector};
 use arc_swap::ArcSwap;
@@ -54,7 +54,7 @@
 /// One entry process.
 pub struct Entry {
     /// Whether it lives.
-    pub fate: Fate,
+    pub lifecycle: Lifecycle,
     /// Its interface towards callers.
     pub router: Router,
     /// Its connections to agents.
@@ -87,8 +87,8 @@
             operators: None,
             role: Role::Entry,
         };
-        let fate = Fate::default();
-        let connector = NetworkConnector::new(network.clone(), hello, fate.clone());
+        let lifecycle = Lifecycle::default();
+        let connector = NetworkConnector::new(network.clone(), hello, lifecycle.clone());
         let routes = Arc::new(Routes::default());
         let recorder = Recorder::for_tests(name);
         let agents = Agents::new(Arc::new(connector), Arc::clone(&routes), recorder.clone());
@@ -112,7 +112,7 @@
         };
         let state = Arc::new(state);
         let router = flamingowheel_entry::http::router(Arc::clone(&state));
-        Self { fate, router, agents, routes, recorder, leaving: false, state }
+        Self { lifecycle, router, agents, routes, recorder, leaving: false, state }
     }
 
     /// Tells it to leave.
@@ -128,7 +128,7 @@
 
     /// Ends the process, planned or not: nothing more comes from it.
     pub fn end(&self) {
-        self.fate.kill();
+        self.lifecycle.kill();
         self.agents.set_vms(&[]);
     }
 }
--- a/crates/proof/src/fuzz.rs
+++ b/crates/proof/src/fuzz.rs
@@ -1,6 +1,6 @@
 //! Drives a fleet at random with proptest's state machine; the same for every kind of fleet.
 
-use crate::plant::Plant;
+use crate::mutation::Mutation;
 use proptest::strategy::{Strategy, ValueTree};
 use proptest::test_runner::{Config, RngSeed, TestRunner};
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest};
@@ -24,10 +24,10 @@
     type Violation: Error;
 
     /// Whether a planted fault may show only after everything was mended.
-    const PLANT_SHOWS_WHEN_SETTLED: bool = false;
+    const MUTATION_SHOWS_WHEN_SETTLED: bool = false;
 
     /// Starts a fleet whose processes lack the given safeguard.
-    fn start(state: &State<Self>, plant: Option<Plant>) -> Self;
+    fn start(state: &State<Self>, mutation: Option<Mutation>) -> Self;
 
     /// Does one step and checks every promise.
     fn step(&mut self, step: &Step<Self>) -> Result<(), Self::Violation>;
@@ -70,7 +70,7 @@
 }
 
 /// Runs random sequences of steps; panics with the steps where a promise is broken.
-pub fn hold_promises<Of>(cases: u32, seed: u64)
+pub fn assert_invariants<Of>(cases: u32, seed: u64)
 where
     Of: Driver,
 {
@@ -87,7 +87,7 @@
 
 /// Steps until a planted fault is found; `None` if it was not within `max_steps`.
 pub fn steps_until_found<Of>(
-    plant: Plant,
+    mutation: Mutation,
     max_steps: usize,
     seed: u64,
 ) -> Option<(usize, Of::Violation)>
@@ -99,14 +99,14 @@
     while done < max_steps {
         let strategy = Of::Steps::sequential_strategy(1..MAX_STEPS);
         let (state, steps, _) = strategy.new_tree(&mut runner).ok()?.current();
-        let mut driver = Of::start(&state, Some(plant));
+        let mut driver = Of::start(&state, Some(mutation));
         for step in &steps {
             done += 1;
             if let Err(violation) = driver.step(step) {
                 return Some((done, violation));
             }
         }
-        if Of::PLANT_SHOWS_WHEN_SETTLED
+        if Of::MUTATION_SHOWS_WHEN_SETTLED
             && let Err(violation) = driver.settle()
         {
             return Some((done, violation));
--- a/crates/proof/src/group/fleet.rs
+++ b/crates/proof/src/group/fleet.rs
@@ -1,8 +1,8 @@
 //! One group with its agents and two coordinators, in one thread.
 
 use super::gate::AnyGate;
-use crate::backend::Fate;
-use crate::plant::Plant;
+use crate::backend::Lifecycle;
+use crate::mutation::Mutation;
 use flamingowheel_backing::BoxFuture;
 use flamingowheel_backing::fake::{
     EngineSettings, FakeEngine, FakeKeyValue, FencePolicy, MapMismatch, RankGroup,
@@ -44,7 +44,7 @@
 /// Within this time after the last fault the group steps again, or a rank is named.
 const RECOVERY_LIMIT: Duration = Duration::from_secs(10);
 /// No order comes later than this.
-pub const LATEST: Duration = Duration::from_secs(60);
+pub const MAX_ORDER_DELAY: Duration = Duration::from_secs(60);
 /// Leases granted in a run stay below this number.
 const MAX_LEASES: i64 = 10_000;
 
@@ -84,11 +84,11 @@
     /// It is carried out and its answer is lost.
     AnswerLost,
     /// It comes twice, the second time this much later.
-    Copied(Duration),
+    Duplicated(Duration),
     /// It comes this much later.
-    Late(Duration),
+    Delayed(Duration),
     /// It comes after the next request to the same rank.
-    Overtaken,
+    Reordered,
 }
 
 struct Slot {
@@ -96,7 +96,7 @@
     gate: Mutex<Option<Arc<AnyGate>>>,
     calls: Mutex<Vec<AbortHandle>>,
     /// Of the agent's process.
-    fate: Fate,
+    lifecycle: Lifecycle,
     /// Told when a request was carried out.
     passed: Notify,
 }
@@ -104,7 +104,7 @@
 struct Shared {
     kv: FakeKeyValue,
     kind: EngineKind,
-    plant: Option<Plant>,
+    mutation: Option<Mutation>,
     slots: Vec<Slot>,
     faults: Mutex<VecDeque<CallFault>>,
     /// Until when connections carry nothing.
@@ -115,7 +115,7 @@
 
 struct Process {
     running: AbortHandle,
-    fate: Fate,
+    lifecycle: Lifecycle,
     status: watch::Receiver<GroupStatus>,
 }
 
@@ -141,14 +141,14 @@
 impl Fleet {
     /// A group that steps with map 1. With the planted fault its engines ignore fencing numbers,
     /// as otherwise they would make up for it.
-    pub async fn start(kind: EngineKind, plant: Option<Plant>) -> Self {
-        Self::start_at_distance(kind, plant, MESSAGE_TIME).await
+    pub async fn start(kind: EngineKind, mutation: Option<Mutation>) -> Self {
+        Self::start_with_latency(kind, mutation, MESSAGE_TIME).await
     }
 
     /// Engines and agents that nobody coordinates.
     pub fn without_coordinators(
         kind: EngineKind,
-        plant: Option<Plant>,
+        mutation: Option<Mutation>,
         message_time: Duration,
         settings: EngineSettings,
     ) -> Self {
@@ -168,14 +168,14 @@
             engine: engine.clone(),
             gate: Mutex::default(),
             calls: Mutex::default(),
-            fate: Fate::default(),
+            lifecycle: Lifecycle::default(),
             passed: Notify::new(),
         };
         let kv = FakeKeyValue::new();
         let shared = Arc::new(Shared {
             kv: kv.clone(),
             kind,
-            plant,
+            mutation,
             slots: engines.iter().map(slot).collect(),
             faults: Mutex::default(),
             silent_until: Mutex::default(),
@@ -190,9 +190,9 @@
     }
 
     /// The same with messages that take this long one way.
-    pub async fn start_at_distance(
+    pub async fn start_with_latency(
         kind: EngineKind,
-        plant: Option<Plant>,
+        mutation: Option<Mutation>,
         message_time: Duration,
     ) -> Self {
         let settings = EngineSettings {
@@ -200,7 +200,7 @@
             weight_load_time: LOAD_TIME,
             ..EngineSettings::default()
         };
-        let mut fleet = Self::without_coordinators(kind, plant, message_time, settings);
+        let mut fleet = Self::without_coordinators(kind, mutation, message_time, settings);
         let group = fleet.group.clone();
         (0..COORDINATORS).for_each(|_| fleet.start_coordinator());
         tokio::spawn(async move { group.run(STEP_TIME, CancellationToken::new()).await });
@@ -209,7 +209,7 @@
     }
 
     /// Asks for another map.
-    pub fn want(&self, number: u16) {
+    pub fn set_desired_map(&self, number: u16) {
         self.desired.send_replace(Some(map(number)));
     }
 
@@ -219,7 +219,7 @@
     }
 
     /// The next order to a rank meets this fault.
-    pub fn fault(&self, fault: CallFault) {
+    pub fn inject_fault(&self, fault: CallFault) {
         lock(&self.shared.faults).push_back(fault);
     }
 
@@ -248,7 +248,7 @@
 
     /// Pauses an agent's process, or lets it go on: what it received waits until then.
     pub fn pause_agent(&self, rank: usize, paused: bool) {
-        self.shared.slots[rank].fate.set_paused(paused);
+        self.shared.slots[rank].lifecycle.set_paused(paused);
     }
 
     fn start_agent(&self, rank: usize, after: Duration) {
@@ -270,10 +270,10 @@
         let link = self.link();
         let desired = self.desired.subscribe();
         let coordinator = Coordinator::new(kv, GROUP, link, Timing::default(), desired);
-        let (status, fate) = (coordinator.status(), Fate::default());
-        let run = fate.clone().run(coordinator.run(CancellationToken::new()));
+        let (status, lifecycle) = (coordinator.status(), Lifecycle::default());
+        let run = lifecycle.clone().run(coordinator.run(CancellationToken::new()));
         let running = tokio::spawn(run).abort_handle();
-        self.processes.push(Process { running, fate, status });
+        self.processes.push(Process { running, lifecycle, status });
     }
 
     /// The process that coordinates at present.
@@ -284,7 +284,7 @@
 
     /// Pauses a coordinating process, or lets it go on.
     pub fn pause_coordinator(&self, index: usize, paused: bool) {
-        self.processes[index % COORDINATORS].fate.set_paused(paused);
+        self.processes[index % COORDINATORS].lifecycle.set_paused(paused);
     }
 
     /// Takes the lease from whoever holds it, without a word.
@@ -301,7 +301,7 @@
     }
 
     /// Mends everything.
-    pub fn mend(&self) {
+    pub fn repair(&self) {
         lock(&self.shared.faults).clear();
         self.kv.set_down(false);
         self.kv.set_delay(Duration::ZERO);
@@ -310,14 +310,14 @@
             self.engine(rank).set_frozen(false);
             self.engine(rank).clear_order_faults();
         }
-        self.processes.iter().for_each(|process| process.fate.set_paused(false));
+        self.processes.iter().for_each(|process| process.lifecycle.set_paused(false));
     }
 
     /// Mends everything; then the group must step again, or a rank must be named.
     pub async fn settle(&self) -> Result<(), GroupViolation> {
-        self.mend();
+        self.repair();
         // What was replaced last is still starting, and late orders are still to come.
-        sleep(LATEST + RECOVERY_LIMIT).await;
+        sleep(MAX_ORDER_DELAY + RECOVERY_LIMIT).await;
         let before = self.group.step();
         sleep(Duration::from_secs(1)).await;
         self.check()?;
@@ -337,8 +337,10 @@
         let incarnation = self.incarnations.fetch_add(1, Ordering::SeqCst) + 1;
         loop {
             let engine = self.slots[rank].engine.clone();
-            let gate = match self.plant {
-                Some(Plant::FenceAtReceiptOnly) => Some(AnyGate::receipt_only(engine, incarnation)),
+            let gate = match self.mutation {
+                Some(Mutation::FenceAtReceiptOnly) => {
+                    Some(AnyGate::receipt_only(engine, incarnation))
+                }
                 _ => AnyGate::real(engine, self.kind, incarnation, &records).await,
             };
             if let Some(gate) = gate {
@@ -362,11 +364,11 @@
         let gate = lock(&self.slots[rank].gate).clone();
         let Some(gate) = gate else { return Err(RankError::NoAnswer) };
         // The agent goes on with what it received, whether or not its caller still waits.
-        let fate = self.slots[rank].fate.clone();
+        let lifecycle = self.slots[rank].lifecycle.clone();
         let handled = tokio::spawn(async move {
-            fate.awake().await;
+            lifecycle.resumed().await;
             let answer = gate.handle(&request).await;
-            fate.awake().await;
+            lifecycle.resumed().await;
             answer
         });
         lock(&self.slots[rank].calls).push(handled.abort_handle());
@@ -390,12 +392,12 @@
                 let _ = self.deliver(rank, request).await;
                 std::future::pending().await
             }
-            Some(CallFault::Late(delay)) => {
+            Some(CallFault::Delayed(delay)) => {
                 self.deliver_late(rank, request, delay);
                 std::future::pending().await
             }
-            Some(CallFault::Overtaken) => self.deliver_overtaken(rank, request).await,
-            Some(CallFault::Copied(delay)) => {
+            Some(CallFault::Reordered) => self.deliver_overtaken(rank, request).await,
+            Some(CallFault::Duplicated(delay)) => {
                 self.deliver_late(rank, request.clone(), delay);
                 self.deliver(rank, request).await
             }
@@ -422,7 +424,8 @@
         let shared = Arc::clone(self);
         let received_by = lock(&self.slots[rank].gate).clone();
         tokio::spawn(async move {
-            if let (Some(gate), Some(Plant::FenceAtReceiptOnly)) = (received_by, shared.plant) {
+            if let (Some(gate), Some(Mutation::FenceAtReceiptOnly)) = (received_by, shared.mutation)
+            {
                 return gate.handle_late(&request, delay).await;
             }
             sleep(delay).await;
--- a/crates/proof/src/group/machine.rs
+++ b/crates/proof/src/group/machine.rs
@@ -2,7 +2,7 @@
 
 use super::fleet::{COORDINATORS, CallFault, Fleet, GroupViolation, RANKS};
 use crate::fuzz::{Driver, paused_runtime};
-use crate::plant::Plant;
+use crate::mutation::Mutation;
 use flamingowheel_backing::fake::{LostAnswer, OrderFault};
 use flamingowheel_group::gate::EngineKind;
 use proptest::prelude::*;
@@ -14,19 +14,19 @@
 const KEY_VALUE_DELAY: Duration = Duration::from_millis(800);
 
 /// Time that passes after another map is wanted; about as long as a switch takes.
-const WANT_TIME: Duration = Duration::from_millis(800);
+const SWITCH_TIME: Duration = Duration::from_millis(800);
 
 /// One step.
 #[derive(Clone, Debug)]
 pub enum GroupStep {
     /// Another map is wanted.
-    Want(u16),
+    ChangeMap(u16),
     /// Another map is wanted, the orders for it meet these faults.
-    WantStruck(u16, Vec<CallFault>),
+    ChangeMapWithFaults(u16, Vec<CallFault>),
     /// The next orders to ranks meet these faults.
-    Calls(Vec<CallFault>),
+    CallFaults(Vec<CallFault>),
     /// An engine loses its next order.
-    Order(usize, OrderFault),
+    InjectOrderFault(usize, OrderFault),
     /// An agent's process is replaced.
     ReplaceAgent(usize),
     /// An agent's process stands still, or goes on.
@@ -48,7 +48,7 @@
     /// Its next answer is lost, after or before the effect.
     AnswerLost(bool),
     /// Time passes.
-    Pass(u64),
+    Wait(u64),
 }
 
 /// The reference machine; every step is possible at any time.
@@ -67,11 +67,11 @@
         use GroupStep::*;
         let (rank, process) = (0..RANKS, 0..COORDINATORS);
         prop_oneof![
-            4 => (1..6u16).prop_map(Want),
+            4 => (1..6u16).prop_map(ChangeMap),
             8 => (1..6u16, proptest::collection::vec(call_fault(), 3..13))
-                .prop_map(|(number, faults)| WantStruck(number, faults)),
-            4 => proptest::collection::vec(call_fault(), 1..9).prop_map(Calls),
-            2 => (rank.clone(), lost_order()).prop_map(|(rank, lost)| Order(rank, lost)),
+                .prop_map(|(number, faults)| ChangeMapWithFaults(number, faults)),
+            4 => proptest::collection::vec(call_fault(), 1..9).prop_map(CallFaults),
+            2 => (rank.clone(), lost_order()).prop_map(|(rank, lost)| InjectOrderFault(rank, lost)),
             1 => rank.clone().prop_map(ReplaceAgent),
             1 => (rank.clone(), any::<bool>()).prop_map(|(rank, paused)| PauseAgent(rank, paused)),
             1 => rank.clone().prop_map(CrashEngine),
@@ -82,7 +82,7 @@
             1 => any::<bool>().prop_map(KeyValueDown),
             1 => any::<bool>().prop_map(KeyValueSlow),
             1 => any::<bool>().prop_map(AnswerLost),
-            12 => prop_oneof![1 => 1..60u64, 3 => 100..900u64, 1 => 1_000..5_000u64].prop_map(Pass),
+            12 => prop_oneof![1 => 1..60u64, 3 => 100..900u64, 1 => 1_000..5_000u64].prop_map(Wait),
         ]
         .boxed()
     }
@@ -105,9 +105,9 @@
     prop_oneof![
         3 => Just(CallFault::RequestLost),
         1 => Just(CallFault::AnswerLost),
-        4 => delay().prop_map(CallFault::Copied),
-        2 => delay().prop_map(CallFault::Late),
-        1 => Just(CallFault::Overtaken),
+        4 => delay().prop_map(CallFault::Duplicated),
+        2 => delay().prop_map(CallFault::Delayed),
+        1 => Just(CallFault::Reordered),
     ]
 }
 
@@ -132,10 +132,10 @@
 
     /// With the planted fault the engines ignore fencing numbers, as otherwise they would make up
     /// for it.
-    fn start(kind: &EngineKind, plant: Option<Plant>) -> Self {
-        let kind = plant.map_or(*kind, |_| EngineKind::IgnoresFence);
+    fn start(kind: &EngineKind, mutation: Option<Mutation>) -> Self {
+        let kind = mutation.map_or(*kind, |_| EngineKind::IgnoresFence);
         let runtime = paused_runtime();
-        let fleet = runtime.block_on(Fleet::start(kind, plant));
+        let fleet = runtime.block_on(Fleet::start(kind, mutation));
         Self { runtime, fleet }
     }
 
@@ -143,8 +143,8 @@
         let _guard = self.runtime.enter();
         take(&mut self.fleet, step);
         let time = match step {
-            GroupStep::Pass(ms) => Duration::from_millis(*ms),
-            GroupStep::Want(_) | GroupStep::WantStruck(..) => WANT_TIME,
+            GroupStep::Wait(ms) => Duration::from_millis(*ms),
+            GroupStep::ChangeMap(_) | GroupStep::ChangeMapWithFaults(..) => SWITCH_TIME,
             _ => Duration::from_millis(1),
         };
         self.runtime.block_on(async { tokio::time::sleep(time).await });
@@ -158,13 +158,15 @@
 
 fn take(fleet: &mut Fleet, step: &GroupStep) {
     match *step {
-        GroupStep::Want(number) => fleet.want(number),
-        GroupStep::WantStruck(number, ref faults) => {
-            fleet.want(number);
-            faults.iter().for_each(|fault| fleet.fault(*fault));
+        GroupStep::ChangeMap(number) => fleet.set_desired_map(number),
+        GroupStep::ChangeMapWithFaults(number, ref faults) => {
+            fleet.set_desired_map(number);
+            faults.iter().for_each(|fault| fleet.inject_fault(*fault));
         }
-        GroupStep::Calls(ref faults) => faults.iter().for_each(|fault| fleet.fault(*fault)),
-        GroupStep::Order(rank, lost) => fleet.engine(rank).inject_order_fault(lost),
+        GroupStep::CallFaults(ref faults) => {
+            faults.iter().for_each(|fault| fleet.inject_fault(*fault))
+        }
+        GroupStep::InjectOrderFault(rank, lost) => fleet.engine(rank).inject_order_fault(lost),
         GroupStep::ReplaceAgent(rank) => fleet.replace_agent(rank),
         GroupStep::PauseAgent(rank, paused) => fleet.pause_agent(rank, paused),
         GroupStep::CrashEngine(rank) => fleet.engine(rank).crash(),
@@ -177,6 +179,6 @@
         GroupStep::KeyValueSlow(false) => fleet.kv.set_delay(Duration::ZERO),
         GroupStep::AnswerLost(true) => fleet.kv.lose_answers(1, LostAnswer::AfterEffect),
         GroupStep::AnswerLost(false) => fleet.kv.lose_answers(1, LostAnswer::BeforeEffect),
-        GroupStep::Pass(_) => {}
+        GroupStep::Wait(_) => {}
     }
 }
--- a/crates/proof/src/lib.rs
+++ b/crates/proof/src/lib.rs
@@ -5,7 +5,7 @@
 //! between them, fakes behind them. [`oracle`] knows only what callers asked, what they were told
 //! and what the backend servers carried out. [`machine`] drives the world at random, and [`matrix`]
 //! brings about every fault at every step. [`configuration`] and [`group`] do the same for the
-//! operators' configuration and for map switches. [`fuzz`] is what these share. [`plant`] names known-wrong variants.
+//! operators' configuration and for map switches. [`fuzz`] is what these share. [`mutation`] names known-wrong variants.
 
 pub mod backend;
 pub mod caller;
@@ -15,9 +15,9 @@
 pub mod group;
 pub mod machine;
 pub mod matrix;
+pub mod mutation;
 pub mod network;
 pub mod oracle;
-pub mod plant;
 pub mod relay;
 pub mod servers;
 pub mod world;
--- a/crates/proof/src/machine.rs
+++ b/crates/proof/src/machine.rs
@@ -2,9 +2,9 @@
 
 use crate::entry::MODEL;
 use crate::fuzz::{self, paused_runtime};
+use crate::mutation::Mutation;
 use crate::network::{Direction, MessageFault};
 use crate::oracle::{Kind, Violation};
-use crate::plant::Plant;
 use crate::servers::{ENGINES, SERVERS, SERVICES};
 use crate::world::{ENTRIES, World};
 use bytes::Bytes;
@@ -27,7 +27,7 @@
         /// The entry asked.
         entry: usize,
         /// What is asked.
-        kind: Asked,
+        kind: WorkKind,
         /// How long the caller waits.
         timeout_ms: u64,
     },
@@ -56,19 +56,19 @@
         ms: u64,
     },
     /// Time passes.
-    Pass {
+    Wait {
         /// How much.
         ms: u64,
     },
     /// The next message that way meets a fault.
     Message(Direction, MessageFault),
     /// Something happens to a process or service.
-    Event(Happening),
+    Event(FleetEvent),
 }
 
 /// What is asked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Asked {
+pub enum WorkKind {
     /// A streamed completion of so many tokens.
     Stream(u64),
     /// A completion that is not streamed.
@@ -85,7 +85,7 @@
 
 /// What happens to processes and services.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Happening {
+pub enum FleetEvent {
     /// An agent process dies.
     KillAgent(usize),
     /// An agent process dies and another takes its place at once, as when its VM is replaced.
@@ -145,18 +145,18 @@
     fn transitions(_state: &()) -> BoxedStrategy<Step> {
         let timeout_ms = prop_oneof![Just(500), Just(2_000), Just(8_000)];
         prop_oneof![
-            8 => (0..ENTRIES, asked(), timeout_ms.clone())
+            8 => (0..ENTRIES, work_kind(), timeout_ms.clone())
                 .prop_map(|(entry, kind, timeout_ms)| Step::Ask { entry, kind, timeout_ms }),
             4 => (0..ENTRIES, 0..64usize, timeout_ms)
                 .prop_map(|(entry, work, timeout_ms)| Step::Resend { entry, work, timeout_ms }),
             1 => (0..ENTRIES, 0..64usize).prop_map(|(entry, work)| Step::Void { entry, work }),
             6 => prop_oneof![1..60u64, 100..900u64, 1_000..6_000u64]
-                .prop_map(|ms| Step::Pass { ms }),
+                .prop_map(|ms| Step::Wait { ms }),
             1 => (0..ENTRIES, prop_oneof![50..900u64, 1_000..9_000u64])
                 .prop_map(|(entry, ms)| Step::KeyInOutage { entry, ms }),
             4 => (direction(), message_fault())
                 .prop_map(|(direction, fault)| Step::Message(direction, fault)),
-            5 => happening().prop_map(Step::Event),
+            5 => fleet_event().prop_map(Step::Event),
         ]
         .boxed()
     }
@@ -164,14 +164,14 @@
     fn apply(_state: (), _step: &Step) {}
 }
 
-fn asked() -> impl Strategy<Value = Asked> {
+fn work_kind() -> impl Strategy<Value = WorkKind> {
     prop_oneof![
-        2 => (1..80u64).prop_map(Asked::Stream),
-        1 => (1..30u64).prop_map(Asked::Json),
-        2 => Just(Asked::Status),
-        2 => Just(Asked::Order),
-        2 => Just(Asked::OrderWithTicket),
-        2 => Just(Asked::OrderWithKey),
+        2 => (1..80u64).prop_map(WorkKind::Stream),
+        1 => (1..30u64).prop_map(WorkKind::Json),
+        2 => Just(WorkKind::Status),
+        2 => Just(WorkKind::Order),
+        2 => Just(WorkKind::OrderWithTicket),
+        2 => Just(WorkKind::OrderWithKey),
     ]
 }
 
@@ -183,14 +183,14 @@
     let delay = prop_oneof![5..200u64, 1_000..12_000u64].prop_map(Duration::from_millis);
     prop_oneof![
         1 => Just(MessageFault::Lost),
-        2 => delay.clone().prop_map(MessageFault::Copied),
-        2 => delay.prop_map(MessageFault::Late),
-        1 => Just(MessageFault::Overtaken),
+        2 => delay.clone().prop_map(MessageFault::Duplicated),
+        2 => delay.prop_map(MessageFault::Delayed),
+        1 => Just(MessageFault::Reordered),
     ]
 }
 
-fn happening() -> impl Strategy<Value = Happening> {
-    use Happening::*;
+fn fleet_event() -> impl Strategy<Value = FleetEvent> {
+    use FleetEvent::*;
     prop_oneof![
         2 => (0..SERVERS).prop_map(KillAgent),
         2 => (0..SERVERS).prop_map(ReplaceAgent),
@@ -221,26 +221,26 @@
 pub struct Driver {
     runtime: Runtime,
     world: World,
-    asked: usize,
+    work_count: usize,
 }
 
 impl fuzz::Driver for Driver {
     type Steps = Steps;
     type Violation = Violation;
 
-    const PLANT_SHOWS_WHEN_SETTLED: bool = true;
+    const MUTATION_SHOWS_WHEN_SETTLED: bool = true;
 
-    fn start(_state: &(), plant: Option<Plant>) -> Self {
+    fn start(_state: &(), mutation: Option<Mutation>) -> Self {
         let runtime = paused_runtime();
-        let world = runtime.block_on(World::start(plant));
-        Self { runtime, world, asked: 0 }
+        let world = runtime.block_on(World::start(mutation));
+        Self { runtime, world, work_count: 0 }
     }
 
     fn step(&mut self, step: &Step) -> Result<(), Violation> {
-        let Self { runtime, world, asked } = self;
+        let Self { runtime, world, work_count } = self;
         runtime.block_on(async {
             world.replace_left_entries();
-            take(world, asked, step).await;
+            take(world, work_count, step).await;
             tokio::time::sleep(STEP_TIME).await;
         });
         self.world.check()
@@ -251,11 +251,11 @@
     }
 }
 
-async fn take(world: &mut World, asked: &mut usize, step: &Step) {
+async fn take(world: &mut World, work_count: &mut usize, step: &Step) {
     match step {
         Step::Ask { entry, kind, timeout_ms } => {
-            *asked += 1;
-            ask(world, *entry, *kind, *asked, *timeout_ms).await;
+            *work_count += 1;
+            ask(world, *entry, *kind, *work_count, *timeout_ms).await;
         }
         Step::Resend { entry, work, timeout_ms } if !world.ledger.is_empty() => {
             world.resend(*entry, work % world.ledger.len(), *timeout_ms);
@@ -265,35 +265,35 @@
         }
         Step::Resend { .. } | Step::Void { .. } => {}
         Step::KeyInOutage { entry, ms } => {
-            *asked += 1;
-            key_in_outage(world, *entry, *asked, Duration::from_millis(*ms)).await;
+            *work_count += 1;
+            key_in_outage(world, *entry, *work_count, Duration::from_millis(*ms)).await;
         }
-        Step::Pass { ms } => tokio::time::sleep(Duration::from_millis(*ms)).await,
-        Step::Message(direction, fault) => world.network.fault(*direction, *fault),
-        Step::Event(happening) => happen(world, *happening).await,
+        Step::Wait { ms } => tokio::time::sleep(Duration::from_millis(*ms)).await,
+        Step::Message(direction, fault) => world.network.inject_fault(*direction, *fault),
+        Step::Event(event) => apply_event(world, *event).await,
     }
 }
 
 /// Asks for work with a body that no other work has.
-async fn ask(world: &mut World, entry: usize, kind: Asked, number: usize, timeout_ms: u64) {
+async fn ask(world: &mut World, entry: usize, kind: WorkKind, number: usize, timeout_ms: u64) {
     let plain = || Bytes::from(format!("work {number}"));
     match kind {
-        Asked::Stream(tokens) => {
+        WorkKind::Stream(tokens) => {
             world.ask(entry, Kind::Chat, chat(number, tokens, true), timeout_ms);
         }
-        Asked::Json(tokens) => {
+        WorkKind::Json(tokens) => {
             world.ask(entry, Kind::Chat, chat(number, tokens, false), timeout_ms);
         }
-        Asked::Status => {
+        WorkKind::Status => {
             world.ask(entry, Kind::Status, plain(), timeout_ms);
         }
-        Asked::Order => {
+        WorkKind::Order => {
             world.ask(entry, Kind::Order, plain(), timeout_ms);
         }
-        Asked::OrderWithKey => {
+        WorkKind::OrderWithKey => {
             world.ask_with_key(entry, plain(), timeout_ms);
         }
-        Asked::OrderWithTicket => {
+        WorkKind::OrderWithTicket => {
             world.ask_with_ticket(entry, plain(), timeout_ms).await;
         }
     }
@@ -316,35 +316,37 @@
     Bytes::from(body.to_string())
 }
 
-async fn happen(world: &mut World, happening: Happening) {
-    match happening {
-        Happening::KillAgent(server) => world.kill_agent(server),
-        Happening::ReplaceAgent(server) => {
+async fn apply_event(world: &mut World, event: FleetEvent) {
+    match event {
+        FleetEvent::KillAgent(server) => world.kill_agent(server),
+        FleetEvent::ReplaceAgent(server) => {
             world.kill_agent(server);
             world.start_agent(server);
         }
-        Happening::StartAgent(server) => world.start_agent(server),
-        Happening::PauseAgent(server) => world.pause_agent(server, true),
-        Happening::ResumeAgent(server) => world.pause_agent(server, false),
-        Happening::Leave(server) => world.leave(server).await,
-        Happening::ReplaceVm(server) => world.replace_vm(server).await,
-        Happening::KillEntry(entry) => world.kill_entry(entry),
-        Happening::StartEntry(entry) => world.start_entry(entry),
-        Happening::LeaveEntry(entry) => world.leave_entry(entry),
-        Happening::ReplaceEntry(entry) => world.replace_entry(entry),
-        Happening::CutConnections => world.network.cut_all(),
-        Happening::SilenceConnections => world.network.silence_all(),
-        Happening::CrashService(service) => world.servers.services[service].crash_after_effect(1),
-        Happening::ServiceDown(service, down) => world.servers.services[service].set_down(down),
-        Happening::ServiceSlow(service, ms) => {
+        FleetEvent::StartAgent(server) => world.start_agent(server),
+        FleetEvent::PauseAgent(server) => world.pause_agent(server, true),
+        FleetEvent::ResumeAgent(server) => world.pause_agent(server, false),
+        FleetEvent::Leave(server) => world.leave(server).await,
+        FleetEvent::ReplaceVm(server) => world.replace_vm(server).await,
+        FleetEvent::KillEntry(entry) => world.kill_entry(entry),
+        FleetEvent::StartEntry(entry) => world.start_entry(entry),
+        FleetEvent::LeaveEntry(entry) => world.leave_entry(entry),
+        FleetEvent::ReplaceEntry(entry) => world.replace_entry(entry),
+        FleetEvent::CutConnections => world.network.cut_all(),
+        FleetEvent::SilenceConnections => world.network.silence_all(),
+        FleetEvent::CrashService(service) => world.servers.services[service].crash_after_effect(1),
+        FleetEvent::ServiceDown(service, down) => world.servers.services[service].set_down(down),
+        FleetEvent::ServiceSlow(service, ms) => {
             world.servers.services[service].set_delay(Duration::from_millis(ms));
         }
-        Happening::CrashEngine(engine) => world.servers.engines[engine].crash(),
-        Happening::FreezeEngine(engine, frozen) => world.servers.engines[engine].set_frozen(frozen),
-        Happening::KeyValueDown(down) => world.kv.set_down(down),
-        Happening::KeyValueSlow(true) => world.kv.set_delay(KEY_VALUE_DELAY),
-        Happening::KeyValueSlow(false) => world.kv.set_delay(Duration::ZERO),
-        Happening::KeyValueAnswerLost(true) => world.kv.lose_answers(1, LostAnswer::AfterEffect),
-        Happening::KeyValueAnswerLost(false) => world.kv.lose_answers(1, LostAnswer::BeforeEffect),
+        FleetEvent::CrashEngine(engine) => world.servers.engines[engine].crash(),
+        FleetEvent::FreezeEngine(engine, frozen) => {
+            world.servers.engines[engine].set_frozen(frozen)
+        }
+        FleetEvent::KeyValueDown(down) => world.kv.set_down(down),
+        FleetEvent::KeyValueSlow(true) => world.kv.set_delay(KEY_VALUE_DELAY),
+        FleetEvent::KeyValueSlow(false) => world.kv.set_delay(Duration::ZERO),
+        FleetEvent::KeyValueAnswerLost(true) => world.kv.lose_answers(1, LostAnswer::AfterEffect),
+        FleetEvent::KeyValueAnswerLost(false) => world.kv.lose_answers(1, LostAnswer::BeforeEffect),
     }
 }
--- a/crates/proof/src/matrix/control.rs
+++ b/crates/proof/src/matrix/control.rs
@@ -1,6 +1,6 @@
 //! Cells of configuration changes and map switches.
 
-use super::run::{KEY_VALUE_DELAY, OUTAGE_TIME, PAIR_TIME, Seen};
+use super::run::{KEY_VALUE_DELAY, OUTAGE_TIME, Observed, PAIR_TIME};
 use super::{Fault, Outcome, Step};
 use crate::configuration::{ChangeAnswer, ConfigViolation, Fleet as ConfigFleet};
 use crate::group::fleet::CallFault;
@@ -25,7 +25,7 @@
 
 /// An operator changes the configuration through process 0 while these faults strike, one after the
 /// other.
-pub(super) async fn change(step: Step, faults: &[Fault]) -> Result<Seen, ConfigViolation> {
+pub(super) async fn change(step: Step, faults: &[Fault]) -> Result<Observed, ConfigViolation> {
     let mut fleet = ConfigFleet::start(None).await;
     let value = match step {
         Step::ConfigurationWritten => change_struck(&mut fleet, faults).await,
@@ -48,16 +48,16 @@
         Some(ChangeAnswer::Unknown) => Outcome::Unknown,
         None => Outcome::Broken,
     };
-    Ok(Seen { first, again: None })
+    Ok(Observed { first, resend: None })
 }
 
 /// Here the message on its way is the write itself.
 async fn change_struck(fleet: &mut ConfigFleet, faults: &[Fault]) -> Option<u64> {
     let has = |fault| faults.contains(&fault);
-    if has(Fault::MessageLate) {
+    if has(Fault::MessageDelayed) {
         fleet.kv.delay_write(LATE * 2);
     }
-    if has(Fault::MessageOvertaken) {
+    if has(Fault::MessageReordered) {
         fleet.kv.delay_write(OVERTAKEN_TIME);
     }
     if has(Fault::MessageLost) {
@@ -75,7 +75,7 @@
         silence(fleet);
     }
     sleep(MOMENT).await;
-    if has(Fault::MessageOvertaken) {
+    if has(Fault::MessageReordered) {
         // Another operator's change gets there first.
         fleet.change(1);
     }
@@ -91,11 +91,11 @@
         Fault::ConnectionSilent => silence(fleet),
         Fault::MessageLost => {
             fleet.kv.drop_watch_events(1);
-            fleet.fault(MessageFault::Lost);
+            fleet.inject_fault(MessageFault::Lost);
         }
-        Fault::MessageLate => fleet.fault(MessageFault::Late(LATE)),
-        Fault::MessageCopied => fleet.fault(MessageFault::Copied(RESTART_TIME)),
-        Fault::MessageOvertaken => fleet.fault(MessageFault::Overtaken),
+        Fault::MessageDelayed => fleet.inject_fault(MessageFault::Delayed(LATE)),
+        Fault::MessageDuplicated => fleet.inject_fault(MessageFault::Duplicated(RESTART_TIME)),
+        Fault::MessageReordered => fleet.inject_fault(MessageFault::Reordered),
         _ => strike_key_value(&fleet.kv, fault),
     }
 }
@@ -118,21 +118,21 @@
 pub(super) fn call_fault(fault: Fault) -> Option<CallFault> {
     match fault {
         Fault::MessageLost => Some(CallFault::RequestLost),
-        Fault::MessageLate => Some(CallFault::Late(LATE)),
-        Fault::MessageCopied => Some(CallFault::Copied(RESTART_TIME)),
-        Fault::MessageOvertaken => Some(CallFault::Overtaken),
+        Fault::MessageDelayed => Some(CallFault::Delayed(LATE)),
+        Fault::MessageDuplicated => Some(CallFault::Duplicated(RESTART_TIME)),
+        Fault::MessageReordered => Some(CallFault::Reordered),
         _ => None,
     }
 }
 
 /// A group changes its map while these faults strike, one after the other.
-pub(super) async fn switch(step: Step, faults: &[Fault]) -> Result<Seen, GroupViolation> {
+pub(super) async fn switch(step: Step, faults: &[Fault]) -> Result<Observed, GroupViolation> {
     let mut fleet = GroupFleet::start(EngineKind::IgnoresFence, None).await;
-    fleet.want(MAP);
+    fleet.set_desired_map(MAP);
     reach(&fleet, step).await;
     for fault in faults {
         match call_fault(*fault) {
-            Some(call_fault) => fleet.fault(call_fault),
+            Some(call_fault) => fleet.inject_fault(call_fault),
             None => strike(&mut fleet, *fault),
         }
         if faults.len() > 1 {
@@ -144,7 +144,7 @@
     fleet.settle().await?;
     let is_switched = fleet.engine(RANK).peek_state().map_version == u64::from(MAP);
     let first = if is_switched { Outcome::Complete } else { Outcome::NotRun };
-    Ok(Seen { first, again: None })
+    Ok(Observed { first, resend: None })
 }
 
 /// Waits until the switch is at this step.
--- a/crates/proof/src/matrix/load.rs
+++ b/crates/proof/src/matrix/load.rs
@@ -5,9 +5,9 @@
 //! that this is served; from then on the engine must serve nothing else.
 
 use super::control::{LATE, call_fault, strike_key_value};
-use super::run::{OUTAGE_TIME, PAIR_TIME, Seen};
+use super::run::{OUTAGE_TIME, Observed, PAIR_TIME};
 use super::{Fault, Outcome};
-use crate::backend::Fate;
+use crate::backend::Lifecycle;
 use crate::group::GroupViolation;
 use crate::group::fleet::{Fleet, Link};
 use flamingowheel_backing::fake::{EngineSettings, OrderFault};
@@ -45,7 +45,7 @@
 
 /// A coordinating process with an order on its way.
 struct Coordinating {
-    fate: Fate,
+    lifecycle: Lifecycle,
     running: AbortHandle,
     answer: oneshot::Receiver<Answer>,
 }
@@ -57,7 +57,7 @@
 }
 
 /// A model is loaded while these faults strike one after the other.
-pub(super) async fn load(kind: EngineKind, faults: &[Fault]) -> Result<Seen, GroupViolation> {
+pub(super) async fn load(kind: EngineKind, faults: &[Fault]) -> Result<Observed, GroupViolation> {
     let scene = Scene::start(kind, faults).await?;
     sleep(LOADING_AFTER).await;
     for fault in faults {
@@ -68,13 +68,13 @@
     sleep(ORDER_LIMIT).await;
     let taking_over = scene.take_over().await;
     sleep(OUTAGE_TIME - ORDER_LIMIT).await;
-    scene.mend();
+    scene.repair();
     let last = taking_over.await.unwrap_or(Err(RankError::NoAnswer));
     if let Err(last) = last {
         return Err(GroupViolation::NotOrdered { last: last.to_string() });
     }
     scene.watch().await?;
-    Ok(Seen { first: scene.told(), again: Some(Outcome::Complete) })
+    Ok(Observed { first: scene.outcome(), resend: Some(Outcome::Complete) })
 }
 
 impl Scene {
@@ -93,7 +93,7 @@
             fleet.engine(RANK).inject_order_fault(OrderFault::Delayed(LATE));
         }
         for fault in faults.iter().filter_map(|fault| call_fault(*fault)) {
-            fleet.fault(fault);
+            fleet.inject_fault(fault);
         }
         let first = Coordinating::start(fleet.link(), stored);
         Ok(Self { fleet, records, first })
@@ -112,7 +112,7 @@
                 engine.crash();
             }
             Fault::CoordinatorKilled => self.first.running.abort(),
-            Fault::CoordinatorPaused => self.first.fate.set_paused(true),
+            Fault::CoordinatorPaused => self.first.lifecycle.set_paused(true),
             _ => strike_key_value(&self.fleet.kv, fault),
         }
     }
@@ -122,9 +122,9 @@
         tokio::spawn(until_served(link, records, LAST_VERSION))
     }
 
-    fn mend(&self) {
-        self.fleet.mend();
-        self.first.fate.set_paused(false);
+    fn repair(&self) {
+        self.fleet.repair();
+        self.first.lifecycle.set_paused(false);
     }
 
     /// The newest order that was carried out stays so, whatever else is still on its way. A crashed
@@ -145,7 +145,7 @@
         Ok(())
     }
 
-    fn told(mut self) -> Outcome {
+    fn outcome(mut self) -> Outcome {
         match self.first.answer.try_recv() {
             Ok(Ok(_)) => Outcome::Complete,
             Ok(Err(RankError::EngineSilent | RankError::NoAnswer)) => Outcome::Unknown,
@@ -157,7 +157,7 @@
 
 impl Coordinating {
     fn start(link: Link, stored: StoredRecord) -> Self {
-        let fate = Fate::default();
+        let lifecycle = Lifecycle::default();
         let (sender, answer) = oneshot::channel();
         let work = async move {
             let first = order(&link, &stored, SECOND_VERSION).await;
@@ -168,8 +168,8 @@
                 let _ = order(&link, &stored, SECOND_VERSION).await;
             }
         };
-        let running = tokio::spawn(fate.clone().run(work)).abort_handle();
-        Self { fate, running, answer }
+        let running = tokio::spawn(lifecycle.clone().run(work)).abort_handle();
+        Self { lifecycle, running, answer }
     }
 }
 
--- a/crates/proof/src/matrix/mod.rs
+++ b/crates/proof/src/matrix/mod.rs
@@ -85,7 +85,7 @@
     ];
 
     /// The step in words.
-    pub fn words(self) -> &'static str {
+    pub fn description(self) -> &'static str {
         match self {
             Self::ChatDispatched => "completion dispatched",
             Self::ChatStreaming => "stream half delivered",
@@ -127,11 +127,11 @@
     /// The message on its way is lost.
     MessageLost,
     /// It arrives after every time limit.
-    MessageLate,
+    MessageDelayed,
     /// It arrives twice.
-    MessageCopied,
+    MessageDuplicated,
     /// The next message overtakes it.
-    MessageOvertaken,
+    MessageReordered,
     /// All open connections go silent for good.
     ConnectionSilent,
     /// The key-value service is down for 15 s.
@@ -160,9 +160,9 @@
         Self::EntryPaused,
         Self::AgentPaused,
         Self::MessageLost,
-        Self::MessageLate,
-        Self::MessageCopied,
-        Self::MessageOvertaken,
+        Self::MessageDelayed,
+        Self::MessageDuplicated,
+        Self::MessageReordered,
         Self::ConnectionSilent,
         Self::KeyValueDown,
         Self::KeyValueSlow,
@@ -175,16 +175,16 @@
     ];
 
     /// The fault in words.
-    pub fn words(self) -> &'static str {
+    pub fn description(self) -> &'static str {
         match self {
             Self::EntryKilled => "entry killed",
             Self::AgentKilled => "agent killed",
             Self::EntryPaused => "entry paused 15 s",
             Self::AgentPaused => "agent paused 15 s",
             Self::MessageLost => "message lost",
-            Self::MessageLate => "message late",
-            Self::MessageCopied => "message duplicated",
-            Self::MessageOvertaken => "message reordered",
+            Self::MessageDelayed => "message late",
+            Self::MessageDuplicated => "message duplicated",
+            Self::MessageReordered => "message reordered",
             Self::ConnectionSilent => "connections silent",
             Self::KeyValueDown => "key-value service down",
             Self::KeyValueSlow => "key-value service slow",
@@ -226,7 +226,7 @@
     }
 
     /// Whether it strikes one backend server or its agent.
-    pub fn is_of_server(self) -> bool {
+    pub fn affects_server(self) -> bool {
         matches!(
             self,
             Self::AgentKilled
@@ -238,10 +238,13 @@
     }
 
     /// Whether it strikes one message.
-    pub fn is_of_message(self) -> bool {
+    pub fn affects_message(self) -> bool {
         matches!(
             self,
-            Self::MessageLost | Self::MessageLate | Self::MessageCopied | Self::MessageOvertaken
+            Self::MessageLost
+                | Self::MessageDelayed
+                | Self::MessageDuplicated
+                | Self::MessageReordered
         )
     }
 }
--- a/crates/proof/src/matrix/promise.rs
+++ b/crates/proof/src/matrix/promise.rs
@@ -1,6 +1,6 @@
 //! What is promised in each cell.
 
-use super::run::Seen;
+use super::run::Observed;
 use super::{Fault, Outcome, Step};
 
 /// One cell of the matrix.
@@ -8,7 +8,7 @@
 pub enum Cell {
     /// It is run, and callers are told exactly this. Besides, the oracle holds: what is told is
     /// true, and non-idempotent work runs at most once.
-    Runs(Seen),
+    Runs(Observed),
     /// The fault can't strike at this step, for this reason.
     CannotOccur(&'static str),
     /// It could strike, but no run shows yet what happens.
@@ -52,7 +52,7 @@
         (Step::TicketTaken | Step::AddressAsked, _) => {
             "the entry answers by itself; no message is sent"
         }
-        (Step::ConfigurationWritten, Fault::MessageCopied) => {
+        (Step::ConfigurationWritten, Fault::MessageDuplicated) => {
             "the write is one call over TCP; only its sender repeats it, after a lost answer"
         }
         (Step::ConfigurationWritten | Step::ConfigurationSpreading, _) => {
@@ -74,16 +74,16 @@
 ///
 /// ```
 /// use flamingowheel_proof::matrix::{Cell, Fault, Outcome, Step, cell};
-/// let Cell::Runs(seen) = cell(Step::ChatStreaming, Fault::AgentKilled) else { panic!() };
-/// assert_eq!(seen.first, Outcome::Complete);
+/// let Cell::Runs(observed) = cell(Step::ChatStreaming, Fault::AgentKilled) else { panic!() };
+/// assert_eq!(observed.first, Outcome::Complete);
 /// ```
 pub fn cell(step: Step, fault: Fault) -> Cell {
     let row = PROMISES.iter().find(|(of, _)| *of == step).map_or("", |(_, row)| row);
     let column = Fault::ALL.iter().position(|of| *of == fault).unwrap_or(usize::MAX);
     let mut letters = row.split(' ').nth(column).unwrap_or("xx").chars();
-    let (first, again) = (letters.next().unwrap_or('x'), letters.next().unwrap_or('x'));
+    let (first, resend) = (letters.next().unwrap_or('x'), letters.next().unwrap_or('x'));
     match outcome(first) {
-        Some(first) => Cell::Runs(Seen { first, again: outcome(again) }),
+        Some(first) => Cell::Runs(Observed { first, resend: outcome(resend) }),
         None if first == 'o' => Cell::NotYet,
         None => Cell::CannotOccur(reason(step, fault)),
     }
--- a/crates/proof/src/matrix/report.rs
+++ b/crates/proof/src/matrix/report.rs
@@ -79,27 +79,27 @@
         writeln!(page, "cell is checked. The command runs them all; `cargo test` runs every two");
     let _ = writeln!(page, "faults in one of the two orders.");
     for step in Step::ALL {
-        let _ = writeln!(page, "\n## {}\n", capitalised(step.words()));
+        let _ = writeln!(page, "\n## {}\n", capitalised(step.description()));
         page.push_str("| fault | told | sent again |\n|---|---|---|\n");
         for fault in Fault::ALL {
-            let _ = writeln!(page, "| {} | {} |", fault.words(), told(step, fault));
+            let _ = writeln!(page, "| {} | {} |", fault.description(), outcome_cells(step, fault));
         }
     }
     page
 }
 
-fn told(step: Step, fault: Fault) -> String {
+fn outcome_cells(step: Step, fault: Fault) -> String {
     match cell(step, fault) {
         Cell::CannotOccur(reason) => format!("can't occur: {reason} |"),
         Cell::NotYet => "not run yet |".to_owned(),
-        Cell::Runs(seen) => {
-            let words = |outcome| words(step, outcome);
-            format!("{} | {}", words(seen.first), seen.again.map_or("", words))
+        Cell::Runs(observed) => {
+            let text = |outcome| outcome_text(step, outcome);
+            format!("{} | {}", text(observed.first), observed.resend.map_or("", text))
         }
     }
 }
 
-fn words(step: Step, outcome: Outcome) -> &'static str {
+fn outcome_text(step: Step, outcome: Outcome) -> &'static str {
     let configuration = matches!(step, Step::ConfigurationWritten | Step::ConfigurationSpreading);
     let load = matches!(step, Step::ModelLoaded | Step::ModelLoadedUnfenced);
     let map = matches!(step, Step::MapStaged | Step::MapHeld | Step::MapSwitched);
--- a/crates/proof/src/matrix/run.rs
+++ b/crates/proof/src/matrix/run.rs
@@ -1,6 +1,6 @@
 //! Runs one cell of the matrix.
 
-use crate::caller::Told;
+use crate::caller::CallOutcome;
 use crate::configuration::ConfigViolation;
 use crate::entry::MODEL;
 use crate::fuzz::paused_runtime;
@@ -33,16 +33,16 @@
 
 /// What a run showed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Seen {
+pub struct Observed {
     /// What the call that was hit was told.
     pub first: Outcome,
     /// What a resend through another entry was told, where the caller can send it again.
-    pub again: Option<Outcome>,
+    pub resend: Option<Outcome>,
 }
 
 /// A promise that holds in every cell and was broken.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Broken {
+pub enum InvariantViolation {
     /// About requests.
     #[error(transparent)]
     Request(#[from] Violation),
@@ -58,76 +58,79 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CellFailure {
     /// A promise that holds in every cell was broken.
-    #[error("{step:?}, {fault:?}: {broken}")]
-    Violated {
+    #[error("{step:?}, {fault:?}: {violation}")]
+    InvariantViolated {
         /// The step.
         step: Step,
         /// The fault.
         fault: Fault,
         /// Which promise.
-        broken: Broken,
+        violation: InvariantViolation,
     },
     /// Callers were told something else than the cell promises.
-    #[error("{step:?}, {fault:?}: told {seen:?}, promised {promised:?}")]
-    Otherwise {
+    #[error("{step:?}, {fault:?}: observed {observed:?}, expected {expected:?}")]
+    UnexpectedOutcome {
         /// The step.
         step: Step,
         /// The fault.
         fault: Fault,
         /// What they were told.
-        seen: Seen,
+        observed: Observed,
         /// What was promised.
-        promised: Seen,
+        expected: Observed,
     },
 }
 
 /// Runs a cell under a paused clock of its own and compares it with its promise.
 pub fn check(step: Step, fault: Fault) -> Result<(), CellFailure> {
-    let Cell::Runs(promised) = cell(step, fault) else { return Ok(()) };
-    let seen = paused_runtime()
+    let Cell::Runs(expected) = cell(step, fault) else { return Ok(()) };
+    let observed = paused_runtime()
         .block_on(run(step, fault))
-        .map_err(|broken| CellFailure::Violated { step, fault, broken })?;
-    match seen == promised {
+        .map_err(|violation| CellFailure::InvariantViolated { step, fault, violation })?;
+    match observed == expected {
         true => Ok(()),
-        false => Err(CellFailure::Otherwise { step, fault, seen, promised }),
+        false => Err(CellFailure::UnexpectedOutcome { step, fault, observed, expected }),
     }
 }
 
 /// Runs two faults that meet under a paused clock of their own.
-pub fn check_pair(step: Step, first: Fault, second: Fault) -> Result<(), Broken> {
+pub fn check_pair(step: Step, first: Fault, second: Fault) -> Result<(), InvariantViolation> {
     paused_runtime().block_on(run_pair(step, first, second))
 }
 
 /// Runs a cell. The oracle's checks hold in every cell; what callers are told is compared with the
 /// cell's promise by the caller of this.
-pub async fn run(step: Step, fault: Fault) -> Result<Seen, Broken> {
+pub async fn run(step: Step, fault: Fault) -> Result<Observed, InvariantViolation> {
     match run_elsewhere(step, &[fault]).await {
-        Some(seen) => seen,
+        Some(observed) => observed,
         None => Ok(run_request(step, fault).await?),
     }
 }
 
 /// Runs a step with two faults, the second moments after the first. Only what holds in every cell
 /// is checked.
-pub async fn run_pair(step: Step, first: Fault, second: Fault) -> Result<(), Broken> {
+pub async fn run_pair(step: Step, first: Fault, second: Fault) -> Result<(), InvariantViolation> {
     match run_elsewhere(step, &[first, second]).await {
-        Some(seen) => seen.map(drop),
+        Some(observed) => observed.map(drop),
         None => Ok(run_request_pair(step, first, second).await?),
     }
 }
 
 /// Runs what is not a step of a request.
-async fn run_elsewhere(step: Step, faults: &[Fault]) -> Option<Result<Seen, Broken>> {
-    let seen = match step {
+async fn run_elsewhere(
+    step: Step,
+    faults: &[Fault],
+) -> Option<Result<Observed, InvariantViolation>> {
+    let observed = match step {
         Step::ConfigurationWritten | Step::ConfigurationSpreading => {
-            return Some(control::change(step, faults).await.map_err(Broken::from));
+            return Some(control::change(step, faults).await.map_err(InvariantViolation::from));
         }
         Step::MapStaged | Step::MapHeld | Step::MapSwitched => control::switch(step, faults).await,
         Step::ModelLoaded => load::load(EngineKind::ChecksFence, faults).await,
         Step::ModelLoadedUnfenced => load::load(EngineKind::IgnoresFence, faults).await,
         _ => return None,
     };
-    Some(seen.map_err(Broken::from))
+    Some(observed.map_err(InvariantViolation::from))
 }
 
 async fn run_request_pair(step: Step, first: Fault, second: Fault) -> Result<(), Violation> {
@@ -138,12 +141,12 @@
     scene.world.settle().await
 }
 
-async fn run_request(step: Step, fault: Fault) -> Result<Seen, Violation> {
+async fn run_request(step: Step, fault: Fault) -> Result<Observed, Violation> {
     let mut scene = Scene::set(step, Size::default()).await;
     scene.play(step, fault).await;
     scene.world.check()?;
     scene.world.settle().await?;
-    Ok(scene.seen(step))
+    Ok(scene.observed(step))
 }
 
 /// The backend servers that a step needs, so that the many pairs take less time.
@@ -191,7 +194,7 @@
                 self.hit_after(Kind::Status, fault, Duration::from_millis(200)).await;
             }
             Step::LeaveTold => self.leave(fault).await,
-            Step::TicketTaken => self.take_ticket(fault).await,
+            Step::TicketTaken => self.request_ticket(fault).await,
             Step::TicketDispatched => self.ticketed(fault, Duration::ZERO).await,
             Step::TicketRunning => self.ticketed(fault, Duration::from_millis(200)).await,
             Step::TicketCarriedOut => self.ticketed(fault, Duration::from_millis(700)).await,
@@ -215,7 +218,7 @@
     /// Asks, and strikes after `time`. A message that goes out at once is struck by a fault that
     /// waits for it.
     async fn hit_after(&mut self, kind: Kind, fault: Fault, time: Duration) {
-        let at_once = time.is_zero() && fault.is_of_message();
+        let at_once = time.is_zero() && fault.affects_message();
         if at_once {
             self.strike(fault, Direction::ToAgent, None).await;
         }
@@ -239,7 +242,7 @@
         sleep(OUTAGE_TIME).await;
     }
 
-    async fn take_ticket(&mut self, fault: Fault) {
+    async fn request_ticket(&mut self, fault: Fault) {
         self.strike(fault, Direction::ToAgent, None).await;
         self.work = self.world.ask_with_ticket(0, self.body.clone(), TIMEOUT_MS).await;
         sleep(OUTAGE_TIME).await;
@@ -247,7 +250,7 @@
     }
 
     async fn ticketed(&mut self, fault: Fault, time: Duration) {
-        let at_once = time.is_zero() && fault.is_of_message();
+        let at_once = time.is_zero() && fault.affects_message();
         if at_once {
             self.strike(fault, Direction::ToAgent, None).await;
         }
@@ -291,7 +294,7 @@
     }
 
     async fn void(&mut self, fault: Fault) {
-        self.work = self.world.take_ticket(0, self.body.clone()).await;
+        self.work = self.world.request_ticket(0, self.body.clone()).await;
         let server = self.ticket_server();
         self.strike(fault, Direction::ToAgent, server).await;
         if let Some(work) = self.work {
@@ -317,7 +320,7 @@
             | Step::TicketCarriedOut
             | Step::TicketSentAgain
             | Step::TicketVoided => {
-                let work = world.take_ticket(0, body).await?;
+                let work = world.request_ticket(0, body).await?;
                 return ticket_server(&world, work);
             }
             Step::KeyBound | Step::KeyCarriedOut | Step::KeySentAgain => {
@@ -332,7 +335,7 @@
 
     /// After everything is mended the caller sends it again, through another entry.
     async fn send_again(&mut self) {
-        self.world.mend();
+        self.world.repair();
         self.pass(Duration::from_secs(5)).await;
         self.submit_again();
         self.pass(Duration::from_secs(12)).await;
@@ -360,7 +363,7 @@
     async fn strike_once(&mut self, fault: Fault, direction: Direction, server: Option<usize>) {
         let known = server.or_else(|| self.world.server_of(&self.body));
         let server = match known {
-            None if fault.is_of_server() => self.rehearse().await.unwrap_or(0),
+            None if fault.affects_server() => self.rehearse().await.unwrap_or(0),
             known => known.unwrap_or(0),
         };
         let world = &mut self.world;
@@ -373,12 +376,16 @@
             }
             Fault::EntryPaused => world.pause_entry(0, true),
             Fault::AgentPaused => world.pause_agent(server, true),
-            Fault::MessageLost => world.network.fault(direction, MessageFault::Lost),
-            Fault::MessageLate => world.network.fault(direction, MessageFault::Late(LATE)),
-            Fault::MessageCopied => {
-                world.network.fault(direction, MessageFault::Copied(RESTART_TIME));
+            Fault::MessageLost => world.network.inject_fault(direction, MessageFault::Lost),
+            Fault::MessageDelayed => {
+                world.network.inject_fault(direction, MessageFault::Delayed(LATE))
+            }
+            Fault::MessageDuplicated => {
+                world.network.inject_fault(direction, MessageFault::Duplicated(RESTART_TIME));
+            }
+            Fault::MessageReordered => {
+                world.network.inject_fault(direction, MessageFault::Reordered)
             }
-            Fault::MessageOvertaken => world.network.fault(direction, MessageFault::Overtaken),
             Fault::ConnectionSilent => world.network.silence_all(),
             Fault::KeyValueDown => world.kv.set_down(true),
             Fault::KeyValueSlow => world.kv.set_delay(KEY_VALUE_DELAY),
@@ -394,19 +401,20 @@
         }
     }
 
-    fn seen(&self, step: Step) -> Seen {
+    fn observed(&self, step: Step) -> Observed {
         let Some(work) = self.work.and_then(|work| self.world.ledger.get(work)) else {
-            return Seen { first: Outcome::NoTicket, again: None };
+            return Observed { first: Outcome::NoTicket, resend: None };
         };
-        let mut outcomes = work.submissions.iter().map(|submission| outcome(&submission.told));
+        let mut outcomes =
+            work.submissions.iter().map(|submission| outcome_of(&submission.outcome));
         let first = outcomes.next().unwrap_or(Outcome::NoTicket);
-        let again = outcomes.next();
+        let resend = outcomes.next();
         match step {
             // The call that is hit is the second.
             Step::TicketSentAgain | Step::KeySentAgain => {
-                Seen { first: again.unwrap_or(Outcome::NoTicket), again: None }
+                Observed { first: resend.unwrap_or(Outcome::NoTicket), resend: None }
             }
-            _ => Seen { first, again },
+            _ => Observed { first, resend },
         }
     }
 }
@@ -432,11 +440,11 @@
     Bytes::from(body.to_string())
 }
 
-fn outcome(told: &Told) -> Outcome {
-    match told {
-        Told::Complete(_) => Outcome::Complete,
-        Told::NotRun(_) => Outcome::NotRun,
-        Told::Unknown(_) => Outcome::Unknown,
-        Told::Broken | Told::Pending => Outcome::Broken,
+fn outcome_of(outcome: &CallOutcome) -> Outcome {
+    match outcome {
+        CallOutcome::Complete(_) => Outcome::Complete,
+        CallOutcome::NotRun(_) => Outcome::NotRun,
+        CallOutcome::Unknown(_) => Outcome::Unknown,
+        CallOutcome::Broken | CallOutcome::Pending => Outcome::Broken,
     }
 }
--- a/crates/proof/src/plant.rs
+++ b/crates/proof/src/mutation.rs
@@ -5,7 +5,7 @@
 
 /// A safeguard that is left out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Plant {
+pub enum Mutation {
     /// An agent says "not run" of what it never saw, and writes no tombstone.
     TombstoneSkipped,
     /// Nothing tells one life of an agent from the next, so what was meant for one runs in the
--- a/crates/proof/src/network.rs
+++ b/crates/proof/src/network.rs
@@ -1,7 +1,7 @@
 //! The network between entries and agents: in memory, with faults set by hand.
 
-use crate::backend::Fate;
-use crate::plant::Plant;
+use crate::backend::Lifecycle;
+use crate::mutation::Mutation;
 use crate::relay::{Relay, ToAgent, ToEntry};
 use bytes::Bytes;
 use flamingowheel_agent::control::AgentHandle;
@@ -37,11 +37,11 @@
     /// It never arrives.
     Lost,
     /// It arrives twice, the second time this much later.
-    Copied(Duration),
+    Duplicated(Duration),
     /// It arrives this much later, even if its connection and the process it was sent to are gone.
-    Late(Duration),
+    Delayed(Duration),
     /// It arrives after the next one of its connection.
-    Overtaken,
+    Reordered,
 }
 
 /// An agent process as the network reaches it.
@@ -52,9 +52,9 @@
     /// Its control task.
     pub handle: AgentHandle,
     /// Whether it lives.
-    pub fate: Fate,
+    pub lifecycle: Lifecycle,
     /// What was dispatched to it; for planted faults.
-    pub seen: Arc<Mutex<HashSet<ExecutionKey>>>,
+    pub dispatched: Arc<Mutex<HashSet<ExecutionKey>>>,
 }
 
 #[derive(Default)]
@@ -62,7 +62,7 @@
     endpoints: HashMap<SocketAddr, Endpoint>,
     links: Vec<LinkTokens>,
     faults: VecDeque<(Direction, MessageFault)>,
-    plant: Option<Plant>,
+    mutation: Option<Mutation>,
 }
 
 /// Faults of one open connection.
@@ -82,9 +82,9 @@
 
 impl Network {
     /// A network on which processes lack the given safeguard.
-    pub fn new(plant: Option<Plant>) -> Self {
+    pub fn new(mutation: Option<Mutation>) -> Self {
         let this = Self::default();
-        this.lock().plant = plant;
+        this.lock().mutation = mutation;
         this
     }
 
@@ -104,7 +104,7 @@
     }
 
     /// The next message that way meets with this fault; faults queue up.
-    pub fn fault(&self, direction: Direction, fault: MessageFault) {
+    pub fn inject_fault(&self, direction: Direction, fault: MessageFault) {
         self.lock().faults.push_back((direction, fault));
     }
 
@@ -124,14 +124,14 @@
     }
 
     /// The safeguard that is left out.
-    pub fn plant(&self) -> Option<Plant> {
-        self.lock().plant
+    pub fn mutation(&self) -> Option<Mutation> {
+        self.lock().mutation
     }
 
     /// The fault that strikes the next message.
     pub fn next_fault(&self, direction: Direction) -> Option<MessageFault> {
         let mut state = self.lock();
-        let position = state.faults.iter().position(|(way, _)| *way == direction)?;
+        let position = state.faults.iter().position(|(queued, _)| *queued == direction)?;
         state.faults.remove(position).map(|(_, fault)| fault)
     }
 
@@ -152,20 +152,20 @@
 pub struct NetworkConnector {
     network: Network,
     hello: Hello,
-    fate: Fate,
+    lifecycle: Lifecycle,
 }
 
 impl NetworkConnector {
     /// The connector of an entry process.
-    pub fn new(network: Network, hello: Hello, fate: Fate) -> Self {
-        Self { network, hello, fate }
+    pub fn new(network: Network, hello: Hello, lifecycle: Lifecycle) -> Self {
+        Self { network, hello, lifecycle }
     }
 
     async fn open(&self, address: SocketAddr) -> Result<AgentLink, HandshakeError> {
         let Some(endpoint) = self.network.endpoint(address) else {
             return Err(io::Error::from(io::ErrorKind::ConnectionRefused).into());
         };
-        endpoint.fate.awake().await;
+        endpoint.lifecycle.resumed().await;
         let tokens = self.network.open_link();
         let (entry_out, to_agent) = pipe();
         let (agent_in, agent_source) = pipe();
@@ -187,9 +187,9 @@
             network: self.network.clone(),
             address,
             tokens,
-            entry: self.fate.clone(),
-            agent: endpoint.fate.clone(),
-            seen: endpoint.seen.clone(),
+            entry: self.lifecycle.clone(),
+            agent: endpoint.lifecycle.clone(),
+            dispatched: endpoint.dispatched.clone(),
         };
         let agent_sender = agent_side.sender.downgrade();
         let inward = ToAgent { agent_sender, answers: entry_in.downgrade() };
@@ -204,7 +204,7 @@
 impl Connector for NetworkConnector {
     fn connect(&self, address: SocketAddr) -> BoxFuture<'_, Result<AgentLink, HandshakeError>> {
         Box::pin(async move {
-            if self.fate.is_killed() {
+            if self.lifecycle.is_killed() {
                 return std::future::pending().await;
             }
             self.open(address).await
--- a/crates/proof/src/oracle.rs
+++ b/crates/proof/src/oracle.rs
@@ -3,7 +3,7 @@
 //! It knows nothing of entries, agents or messages. Every piece of work has a body of its own, by
 //! which fakes count what ran.
 
-use crate::caller::Told;
+use crate::caller::CallOutcome;
 use bytes::Bytes;
 use flamingowheel_backing::fake::FakeService;
 use flamingowheel_backing::fake::text::{GenerationRequest, whole_json, whole_stream};
@@ -29,7 +29,7 @@
     /// Gives the work's ticket up.
     pub void: bool,
     /// What the caller was told.
-    pub told: Told,
+    pub outcome: CallOutcome,
 }
 
 /// A piece of work.
@@ -108,7 +108,7 @@
 
 /// Names one submission in the book.
 #[derive(Clone, Copy, Debug)]
-pub struct Entry {
+pub struct SubmissionId {
     /// Index of the work.
     pub work: usize,
     /// Index of the submission.
@@ -144,16 +144,16 @@
     }
 
     /// Enters a submission that begins now.
-    pub fn submit(&self, work: usize, void: bool) -> Entry {
+    pub fn submit(&self, work: usize, void: bool) -> SubmissionId {
         let mut works = self.lock();
         let submissions = &mut works[work].submissions;
-        submissions.push(Submission { void, told: Told::Pending });
-        Entry { work, submission: submissions.len() - 1 }
+        submissions.push(Submission { void, outcome: CallOutcome::Pending });
+        SubmissionId { work, submission: submissions.len() - 1 }
     }
 
     /// Notes what the caller was told.
-    pub fn tell(&self, entry: Entry, told: Told) {
-        self.lock()[entry.work].submissions[entry.submission].told = told;
+    pub fn record_outcome(&self, id: SubmissionId, outcome: CallOutcome) {
+        self.lock()[id.work].submissions[id.submission].outcome = outcome;
     }
 
     /// Checks every promise that can be checked at any time.
@@ -167,7 +167,8 @@
     /// Checks, once all faults are mended and time has passed, that nobody waits for good.
     pub fn check_settled(&self) -> Result<(), Violation> {
         for work in self.lock().iter() {
-            if work.submissions.iter().any(|submission| submission.told == Told::Pending) {
+            if work.submissions.iter().any(|submission| submission.outcome == CallOutcome::Pending)
+            {
                 return Err(Violation::NoOutcome { work: work.to_string() });
             }
         }
@@ -192,7 +193,7 @@
             return Err(Violation::NotRunButRan { work: self.to_string(), runs });
         }
         for submission in &self.submissions {
-            if let Told::Complete(answer) = &submission.told
+            if let CallOutcome::Complete(answer) = &submission.outcome
                 && !self.is_whole(answer, runs)
             {
                 return Err(Violation::NotWhole { work: self.to_string() });
@@ -204,7 +205,7 @@
     /// "Not run" speaks of its own submission, so earlier ones may have run; giving a ticket up
     /// speaks of all of them.
     fn is_said_not_to_have_run(&self) -> bool {
-        let not_run = |s: &Submission| matches!(s.told, Told::NotRun(_));
+        let not_run = |s: &Submission| matches!(s.outcome, CallOutcome::NotRun(_));
         let voided = self.submissions.iter().any(|s| s.void && not_run(s));
         let all = !self.submissions.is_empty() && self.submissions.iter().all(not_run);
         voided || all
@@ -250,7 +251,7 @@
         write!(f, "{:?} {}", self.kind, String::from_utf8_lossy(&self.body))?;
         for submission in &self.submissions {
             let void = if submission.void { "void " } else { "" };
-            write!(f, "; {void}{:?}", submission.told)?;
+            write!(f, "; {void}{:?}", submission.outcome)?;
         }
         Ok(())
     }
--- a/crates/proof/src/relay.rs
+++ b/crates/proof/src/relay.rs
@@ -1,8 +1,8 @@
 //! Carries the messages of one connection, and does to them what the network is told to.
 
-use crate::backend::Fate;
+use crate::backend::Lifecycle;
+use crate::mutation::Mutation;
 use crate::network::{Direction, LinkTokens, MessageFault, Network};
-use crate::plant::Plant;
 use bytes::Bytes;
 use flamingowheel_agent::control::Command;
 use flamingowheel_protocol::codec::{decode, encode};
@@ -26,15 +26,15 @@
     /// Faults of the connection.
     pub tokens: LinkTokens,
     /// The entry process.
-    pub entry: Fate,
+    pub entry: Lifecycle,
     /// The agent process.
-    pub agent: Fate,
+    pub agent: Lifecycle,
     /// What was dispatched to the agent process.
-    pub seen: Arc<Mutex<HashSet<ExecutionKey>>>,
+    pub dispatched: Arc<Mutex<HashSet<ExecutionKey>>>,
 }
 
 /// One way of a connection.
-pub trait Way: Send + 'static {
+pub trait RelayDirection: Send + 'static {
     /// Its messages.
     type Message: Serialize + DeserializeOwned + Clone + Send + Sync + 'static;
 
@@ -42,14 +42,14 @@
     const DIRECTION: Direction;
 
     /// Does a planted fault; `None` swallows the message.
-    fn plant(&mut self, relay: &Relay, message: Self::Message) -> Option<Self::Message>;
+    fn apply_mutation(&mut self, relay: &Relay, message: Self::Message) -> Option<Self::Message>;
 
     /// Whether faults may strike it. Heartbeats and the word that an answer is no longer needed
     /// are left alone: they are so many that nothing else would be struck.
     fn is_target(message: &Self::Message) -> bool;
 
     /// Notes that a message is delivered now.
-    fn note(_relay: &Relay, _message: &Self::Message) {}
+    fn on_delivery(_relay: &Relay, _message: &Self::Message) {}
 
     /// Delivers a message that the connection lost.
     fn deliver_late(&self, relay: &Relay, message: Self::Message, delay: Duration);
@@ -61,9 +61,9 @@
         self,
         mut from: mpsc::UnboundedReceiver<Bytes>,
         to: mpsc::UnboundedSender<Bytes>,
-        mut way: W,
+        mut direction: W,
     ) where
-        W: Way,
+        W: RelayDirection,
     {
         let mut overtaken = Vec::new();
         loop {
@@ -83,10 +83,10 @@
             if paused && W::DIRECTION == Direction::ToAgent {
                 // A process that wakes reads what its kernel kept before it notices how late it
                 // is; its end of the connection has meanwhile timed out in this one clock.
-                messages.into_iter().for_each(|m| way.deliver_late(&self, m, Duration::ZERO));
+                messages.into_iter().for_each(|m| direction.deliver_late(&self, m, Duration::ZERO));
                 continue;
             }
-            let kept = self.mangle(&mut way, messages, &mut overtaken);
+            let kept = self.apply_faults(&mut direction, messages, &mut overtaken);
             let Ok(bytes) = encode(stamp, &kept) else { return };
             if to.send(bytes.into()).is_err() {
                 return;
@@ -99,45 +99,45 @@
     async fn both_awake(&self) -> bool {
         let paused = self.entry.is_paused() || self.agent.is_paused();
         tokio::select! {
-            () = async { self.entry.awake().await; self.agent.awake().await } => {}
+            () = async { self.entry.resumed().await; self.agent.resumed().await } => {}
             () = self.tokens.cut.cancelled() => {}
         }
         paused
     }
 
-    fn mangle<W>(
+    fn apply_faults<W>(
         &self,
-        way: &mut W,
+        direction: &mut W,
         messages: Vec<W::Message>,
         overtaken: &mut Vec<W::Message>,
     ) -> Vec<W::Message>
     where
-        W: Way,
+        W: RelayDirection,
     {
         let mut kept = Vec::with_capacity(messages.len());
         for message in messages {
-            let Some(message) = way.plant(self, message) else { continue };
+            let Some(message) = direction.apply_mutation(self, message) else { continue };
             let fault = match W::is_target(&message) {
                 true => self.network.next_fault(W::DIRECTION),
                 false => None,
             };
             match fault {
                 Some(MessageFault::Lost) => continue,
-                Some(MessageFault::Late(delay)) => {
-                    way.deliver_late(self, message, delay);
+                Some(MessageFault::Delayed(delay)) => {
+                    direction.deliver_late(self, message, delay);
                     continue;
                 }
-                Some(MessageFault::Overtaken) => {
+                Some(MessageFault::Reordered) => {
                     overtaken.push(message);
                     continue;
                 }
-                Some(MessageFault::Copied(delay)) => {
-                    way.deliver_late(self, message.clone(), delay);
+                Some(MessageFault::Duplicated(delay)) => {
+                    direction.deliver_late(self, message.clone(), delay);
                 }
                 None => {}
             }
             let is_target = W::is_target(&message);
-            W::note(self, &message);
+            W::on_delivery(self, &message);
             kept.push(message);
             if is_target {
                 kept.append(overtaken);
@@ -155,18 +155,18 @@
     pub answers: mpsc::WeakUnboundedSender<Bytes>,
 }
 
-impl Way for ToAgent {
+impl RelayDirection for ToAgent {
     type Message = EntryMessage;
 
     const DIRECTION: Direction = Direction::ToAgent;
 
-    fn plant(&mut self, relay: &Relay, message: EntryMessage) -> Option<EntryMessage> {
-        match (relay.network.plant(), &message) {
+    fn apply_mutation(&mut self, relay: &Relay, message: EntryMessage) -> Option<EntryMessage> {
+        match (relay.network.mutation(), &message) {
             (
-                Some(Plant::TombstoneSkipped),
+                Some(Mutation::TombstoneSkipped),
                 EntryMessage::Cancel { attempt, key, .. }
                 | EntryMessage::Attach { attempt, key, .. },
-            ) if !was_seen(relay, *key) => {
+            ) if !was_dispatched(relay, *key) => {
                 self.claim_not_run(*attempt);
                 None
             }
@@ -178,9 +178,9 @@
         !matches!(message, EntryMessage::Release { .. })
     }
 
-    fn note(relay: &Relay, message: &EntryMessage) {
+    fn on_delivery(relay: &Relay, message: &EntryMessage) {
         if let EntryMessage::Dispatch(dispatch) = message {
-            note_seen(&relay.seen, dispatch.key);
+            record_dispatched(&relay.dispatched, dispatch.key);
         }
     }
 
@@ -192,7 +192,7 @@
             // Whatever process is there by then gets it, even on a connection that is gone.
             let Some(endpoint) = network.endpoint(address) else { return };
             if let EntryMessage::Dispatch(dispatch) = &message {
-                note_seen(&endpoint.seen, dispatch.key);
+                record_dispatched(&endpoint.dispatched, dispatch.key);
             }
             let sender = sender.upgrade().unwrap_or_else(|| mpsc::channel(1).0);
             let received = Command::Received { sender, message };
@@ -211,12 +211,12 @@
     }
 }
 
-fn note_seen(seen: &Mutex<HashSet<ExecutionKey>>, key: ExecutionKey) {
-    seen.lock().unwrap_or_else(PoisonError::into_inner).insert(key);
+fn record_dispatched(dispatched: &Mutex<HashSet<ExecutionKey>>, key: ExecutionKey) {
+    dispatched.lock().unwrap_or_else(PoisonError::into_inner).insert(key);
 }
 
-fn was_seen(relay: &Relay, key: ExecutionKey) -> bool {
-    relay.seen.lock().unwrap_or_else(PoisonError::into_inner).contains(&key)
+fn was_dispatched(relay: &Relay, key: ExecutionKey) -> bool {
+    relay.dispatched.lock().unwrap_or_else(PoisonError::into_inner).contains(&key)
 }
 
 /// From the agent to the entry.
@@ -232,13 +232,13 @@
     }
 }
 
-impl Way for ToEntry {
+impl RelayDirection for ToEntry {
     type Message = AgentMessage;
 
     const DIRECTION: Direction = Direction::ToEntry;
 
-    fn plant(&mut self, relay: &Relay, message: AgentMessage) -> Option<AgentMessage> {
-        if relay.network.plant() != Some(Plant::TruncatedStreamAccepted) {
+    fn apply_mutation(&mut self, relay: &Relay, message: AgentMessage) -> Option<AgentMessage> {
+        if relay.network.mutation() != Some(Mutation::TruncatedStreamAccepted) {
             return Some(message);
         }
         Some(match message {
--- a/crates/proof/src/world.rs
+++ b/crates/proof/src/world.rs
@@ -1,12 +1,12 @@
 //! A small fleet in one thread: two entries, three plain services and two engines, each with its
 //! agent, and a key-value service.
 
-use crate::backend::{Fate, ProcessBackend, Sent};
-use crate::caller::{Ask, Call, Told, send, take_ticket};
+use crate::backend::{Lifecycle, ProcessBackend, SentBodies};
+use crate::caller::{Call, CallKind, CallOutcome, request_ticket, send};
 use crate::entry::{Entry, fleet_key};
+use crate::mutation::Mutation;
 use crate::network::{Endpoint, Network};
 use crate::oracle::{Kind, Ledger, Violation, Work};
-use crate::plant::Plant;
 use crate::servers::{Servers, Size};
 use bytes::Bytes;
 use flamingowheel_agent::archive::Archive;
@@ -39,7 +39,7 @@
 
 /// A running agent process.
 struct Agent {
-    fate: Fate,
+    lifecycle: Lifecycle,
     control: AbortHandle,
     archive: Archive,
     leaving_since: Option<Instant>,
@@ -65,29 +65,29 @@
     entries: Vec<Entry>,
     agents: Vec<Option<Agent>>,
     late_work: Vec<LateWork>,
-    sent: Vec<Sent>,
-    plant: Option<Plant>,
+    sent: Vec<SentBodies>,
+    mutation: Option<Mutation>,
     started: usize,
 }
 
 impl World {
     /// A world whose processes lack the given safeguard, with all connections open.
-    pub async fn start(plant: Option<Plant>) -> Self {
-        Self::start_sized(plant, Size::default()).await
+    pub async fn start(mutation: Option<Mutation>) -> Self {
+        Self::start_sized(mutation, Size::default()).await
     }
 
     /// The same with another number of backend servers.
-    pub async fn start_sized(plant: Option<Plant>, size: Size) -> Self {
+    pub async fn start_sized(mutation: Option<Mutation>, size: Size) -> Self {
         let mut world = Self {
-            network: Network::new(plant),
+            network: Network::new(mutation),
             kv: FakeKeyValue::new(),
             servers: Servers::start(size),
             ledger: Ledger::default(),
             entries: Vec::new(),
             agents: (0..size.services + size.engines).map(|_| None).collect(),
             late_work: Vec::new(),
-            sent: (0..size.services + size.engines).map(|_| Sent::default()).collect(),
-            plant,
+            sent: (0..size.services + size.engines).map(|_| SentBodies::default()).collect(),
+            mutation,
             started: 0,
         };
         (0..world.servers.count()).for_each(|server| world.start_agent(server));
@@ -109,10 +109,10 @@
         if self.agents[server].is_some() {
             return;
         }
-        let fate = Fate::default();
+        let lifecycle = Lifecycle::default();
         let mut config =
             AgentConfig::new(&format!("runner-{server}"), "a", self.servers.profile(server));
-        if self.plant == Some(Plant::IncarnationIgnored) {
+        if self.mutation == Some(Mutation::IncarnationIgnored) {
             config.incarnation = Incarnation(1 + server as u64);
         }
         let hello = Hello {
@@ -130,20 +130,21 @@
         let recorder = Recorder::for_tests(&config.name);
         let backend = {
             let (backend, sent) = (self.servers.backend(server), self.sent[server].clone());
-            ProcessBackend::new(backend, fate.clone(), sent)
+            ProcessBackend::new(backend, lifecycle.clone(), sent)
         };
         let (control, handle, commands) = Control::new(config, Arc::new(backend), recorder);
         let control = tokio::spawn(control.run(commands)).abort_handle();
-        let endpoint = Endpoint { hello, handle, fate: fate.clone(), seen: Arc::default() };
+        let endpoint =
+            Endpoint { hello, handle, lifecycle: lifecycle.clone(), dispatched: Arc::default() };
         self.network.attach(address(server), endpoint);
-        self.agents[server] = Some(Agent { fate, control, archive, leaving_since: None });
+        self.agents[server] = Some(Agent { lifecycle, control, archive, leaving_since: None });
     }
 
     /// Kills an agent process.
     pub fn kill_agent(&mut self, server: usize) {
         let Some(agent) = self.agents[server].take() else { return };
         self.network.detach(address(server));
-        agent.fate.kill();
+        agent.lifecycle.kill();
         agent.control.abort();
         // The next process at this place was not told to leave.
         self.late_work.retain(|late| late.server != server);
@@ -152,7 +153,7 @@
     /// Pauses an agent process, or lets it go on.
     pub fn pause_agent(&self, server: usize, paused: bool) {
         if let Some(agent) = &self.agents[server] {
-            agent.fate.set_paused(paused);
+            agent.lifecycle.set_paused(paused);
         }
     }
 
@@ -160,7 +161,7 @@
     pub async fn leave(&mut self, server: usize) {
         let Some(agent) = &mut self.agents[server] else { return };
         let Some(endpoint) = self.network.endpoint(address(server)) else { return };
-        if agent.leaving_since.is_none() && !agent.fate.is_paused() {
+        if agent.leaving_since.is_none() && !agent.lifecycle.is_paused() {
             let _ = endpoint.handle.commands().send(Command::Leave).await;
             agent.leaving_since = Some(Instant::now());
         }
@@ -184,7 +185,7 @@
     /// The backend server that this body was sent to last.
     pub fn server_of(&self, body: &Bytes) -> Option<usize> {
         let was_sent =
-            |sent: &Sent| sent.lock().unwrap_or_else(PoisonError::into_inner).contains(body);
+            |sent: &SentBodies| sent.lock().unwrap_or_else(PoisonError::into_inner).contains(body);
         self.sent.iter().rposition(was_sent)
     }
 
@@ -223,7 +224,7 @@
 
     /// Starts an entry process, if none runs.
     pub fn start_entry(&mut self, entry: usize) {
-        if self.entries[entry].fate.is_killed() {
+        if self.entries[entry].lifecycle.is_killed() {
             self.entries[entry] = self.new_entry(entry);
         }
     }
@@ -255,7 +256,7 @@
 
     /// Pauses an entry process, or lets it go on.
     pub fn pause_entry(&self, entry: usize, paused: bool) {
-        self.entries[entry].fate.set_paused(paused);
+        self.entries[entry].lifecycle.set_paused(paused);
     }
 
     /// Asks for a new piece of work at an entry; gives its index in the ledger.
@@ -273,12 +274,12 @@
     }
 
     /// Takes a ticket, without using it yet; gives the index of the work that it is for.
-    pub async fn take_ticket(&mut self, entry: usize, body: Bytes) -> Option<usize> {
+    pub async fn request_ticket(&mut self, entry: usize, body: Bytes) -> Option<usize> {
         let at = &self.entries[entry];
         if at.leaving {
             return None;
         }
-        let taking = take_ticket(at.router.clone(), at.fate.clone());
+        let taking = request_ticket(at.router.clone(), at.lifecycle.clone());
         let ticket = tokio::time::timeout(START_TIME, taking).await.ok().flatten()?;
         let submissions = Vec::new();
         let work = Work { kind: Kind::Order, body, ticket: Some(ticket), key: None, submissions };
@@ -292,7 +293,7 @@
         body: Bytes,
         timeout_ms: u64,
     ) -> Option<usize> {
-        let index = self.take_ticket(entry, body.clone()).await?;
+        let index = self.request_ticket(entry, body.clone()).await?;
         self.note_late_work(&body);
         self.submit(entry, index, false, timeout_ms);
         Some(index)
@@ -346,35 +347,38 @@
 
     fn submit(&self, entry: usize, index: usize, void: bool, timeout_ms: u64) {
         let Some(work) = self.ledger.get(index) else { return };
-        let ask = match (&work.ticket, &work.key, work.kind) {
-            (Some(ticket), _, _) if void => Ask::Void(ticket.clone()),
-            (Some(ticket), _, _) => Ask::Ticket(ticket.clone()),
-            (None, Some(key), _) => Ask::Key(key.clone()),
-            (None, None, Kind::Chat) => Ask::Chat,
-            (None, None, Kind::Status) => Ask::Status,
-            (None, None, Kind::Order) => Ask::Order,
-            (None, None, Kind::Addresses) => Ask::Addresses,
+        let kind = match (&work.ticket, &work.key, work.kind) {
+            (Some(ticket), _, _) if void => CallKind::Void(ticket.clone()),
+            (Some(ticket), _, _) => CallKind::Ticket(ticket.clone()),
+            (None, Some(key), _) => CallKind::Key(key.clone()),
+            (None, None, Kind::Chat) => CallKind::Chat,
+            (None, None, Kind::Status) => CallKind::Status,
+            (None, None, Kind::Order) => CallKind::Order,
+            (None, None, Kind::Addresses) => CallKind::Addresses,
         };
-        let repeats = ask == Ask::Order && self.plant == Some(Plant::NonIdempotentRetried);
-        let call = Call { ask, body: work.body, timeout_ms };
+        let repeats =
+            kind == CallKind::Order && self.mutation == Some(Mutation::NonIdempotentRetried);
+        let call = Call { kind, body: work.body, timeout_ms };
         let at = &self.entries[entry];
         if at.leaving {
             // It listens no more.
-            return self.ledger.tell(self.ledger.submit(index, void), Told::Broken);
+            return self
+                .ledger
+                .record_outcome(self.ledger.submit(index, void), CallOutcome::Broken);
         }
-        let (router, fate) = (at.router.clone(), at.fate.clone());
+        let (router, lifecycle) = (at.router.clone(), at.lifecycle.clone());
         let (ledger, submission) = (self.ledger.clone(), self.ledger.submit(index, void));
         tokio::spawn(async move {
-            let mut told = send(router.clone(), fate.clone(), call.clone()).await;
-            if repeats && matches!(told, Told::Unknown(_)) {
-                told = send(router, fate, call).await;
+            let mut outcome = send(router.clone(), lifecycle.clone(), call.clone()).await;
+            if repeats && matches!(outcome, CallOutcome::Unknown(_)) {
+                outcome = send(router, lifecycle, call).await;
             }
-            ledger.tell(submission, told);
+            ledger.record_outcome(submission, outcome);
         });
     }
 
     /// Mends everything: no fault remains, every process runs.
-    pub fn mend(&mut self) {
+    pub fn repair(&mut self) {
         self.network.clear_faults();
         self.kv.set_down(false);
         self.kv.set_delay(Duration::ZERO);
@@ -410,7 +414,7 @@
 
     /// Mends everything, lets all requests end and checks every promise.
     pub async fn settle(&mut self) -> Result<(), Violation> {
-        self.mend();
+        self.repair();
         let end = Instant::now() + SETTLE_TIME;
         sleep(QUIET_TIME).await;
         while Instant::now() < end && self.ledger.check_settled().is_err() {
--- a/crates/proof/tests/cells.rs
+++ b/crates/proof/tests/cells.rs
@@ -4,7 +4,7 @@
 use flamingowheel_entry::agents::{AgentVm, Target};
 use flamingowheel_entry::links::IDLE_LIMIT;
 use flamingowheel_policy::key::Fingerprint;
-use flamingowheel_proof::caller::Told;
+use flamingowheel_proof::caller::CallOutcome;
 use flamingowheel_proof::entry::MODEL;
 use flamingowheel_proof::oracle::{Kind, Runs};
 use flamingowheel_proof::servers::SERVERS;
@@ -54,8 +54,8 @@
     world
 }
 
-fn told(world: &World, index: usize) -> Told {
-    world.ledger.get(index).unwrap().submissions.pop().unwrap().told
+fn outcome(world: &World, index: usize) -> CallOutcome {
+    world.ledger.get(index).unwrap().submissions.pop().unwrap().outcome
 }
 
 // A caller keeps an address for long and goes on to use an entry whose cells don't serve its model.
@@ -65,7 +65,11 @@
     let mut world = world_with_bare_entry().await;
     let index = world.ask(1, Kind::Chat, chat(20), TIMEOUT_MS);
     sleep(Duration::from_secs(5)).await;
-    assert!(matches!(told(&world, index), Told::Complete(_)), "{:?}", told(&world, index));
+    assert!(
+        matches!(outcome(&world, index), CallOutcome::Complete(_)),
+        "{:?}",
+        outcome(&world, index)
+    );
     world.settle().await.unwrap();
 }
 
@@ -75,14 +79,14 @@
 async fn ask_ticket_home_outside_cell_served() {
     let mut world = world_with_bare_entry().await;
     let body = Bytes::from_static(b"pay once");
-    let index = world.take_ticket(0, body.clone()).await.unwrap();
+    let index = world.request_ticket(0, body.clone()).await.unwrap();
     world.resend(1, index, TIMEOUT_MS);
     sleep(Duration::from_secs(5)).await;
-    let first = told(&world, index);
-    assert!(matches!(first, Told::Complete(_)), "{first:?}");
+    let first = outcome(&world, index);
+    assert!(matches!(first, CallOutcome::Complete(_)), "{first:?}");
     world.resend(0, index, TIMEOUT_MS);
     sleep(Duration::from_secs(5)).await;
-    assert_eq!(told(&world, index), first);
+    assert_eq!(outcome(&world, index), first);
     assert_eq!(world.servers.started(&body), 1);
     world.settle().await.unwrap();
 }
@@ -102,7 +106,11 @@
         sleep(Duration::from_secs(1)).await;
         world.entry(0).agents.set_vms(&[]);
     }
-    assert!(matches!(told(&world, index), Told::Complete(_)), "{:?}", told(&world, index));
+    assert!(
+        matches!(outcome(&world, index), CallOutcome::Complete(_)),
+        "{:?}",
+        outcome(&world, index)
+    );
     sleep(IDLE_LIMIT).await;
     world.entry(0).agents.set_vms(&[]);
     sleep(Duration::from_millis(10)).await;
@@ -114,7 +122,11 @@
     sleep(Duration::from_secs(2)).await;
     let index = world.ask(0, Kind::Chat, chat(5), TIMEOUT_MS);
     sleep(Duration::from_secs(2)).await;
-    assert!(matches!(told(&world, index), Told::Complete(_)), "{:?}", told(&world, index));
+    assert!(
+        matches!(outcome(&world, index), CallOutcome::Complete(_)),
+        "{:?}",
+        outcome(&world, index)
+    );
     world.settle().await.unwrap();
 }
 
@@ -124,7 +136,7 @@
 async fn ask_stale_record_no_second_run() {
     let mut world = world_with_bare_entry().await;
     let body = Bytes::from_static(b"pay once");
-    let index = world.take_ticket(0, body.clone()).await.unwrap();
+    let index = world.request_ticket(0, body.clone()).await.unwrap();
     for server in 0..SERVERS {
         world.kill_agent(server);
         world.start_agent(server);
@@ -133,9 +145,17 @@
     world.resend(1, index, TIMEOUT_MS);
     let other = world.ask(1, Kind::Chat, chat(5), TIMEOUT_MS);
     sleep(Duration::from_secs(5)).await;
-    assert!(matches!(told(&world, index), Told::Unknown(_)), "{:?}", told(&world, index));
+    assert!(
+        matches!(outcome(&world, index), CallOutcome::Unknown(_)),
+        "{:?}",
+        outcome(&world, index)
+    );
     assert_eq!(world.servers.started(&body), 0);
-    assert!(matches!(told(&world, other), Told::Complete(_)), "{:?}", told(&world, other));
+    assert!(
+        matches!(outcome(&world, other), CallOutcome::Complete(_)),
+        "{:?}",
+        outcome(&world, other)
+    );
     world.settle().await.unwrap();
 }
 
--- a/crates/proof/tests/fuzz_configuration.rs
+++ b/crates/proof/tests/fuzz_configuration.rs
@@ -3,16 +3,16 @@
 #![allow(clippy::print_stdout, reason = "figures of the run")]
 
 use flamingowheel_proof::configuration::machine::{ConfigDriver, ConfigStep};
-use flamingowheel_proof::fuzz::{Driver, hold_promises, steps_until_found};
-use flamingowheel_proof::plant::Plant;
+use flamingowheel_proof::fuzz::{Driver, assert_invariants, steps_until_found};
+use flamingowheel_proof::mutation::Mutation;
 
 const CASES: u32 = 100;
 const SEED: u64 = 20261202;
 const MAX_STEPS_TO_FIND: usize = 10_000;
 
 #[test]
-fn fuzz_configuration_holds_promises() {
-    hold_promises::<ConfigDriver>(CASES, SEED);
+fn fuzz_configuration_holds_invariants() {
+    assert_invariants::<ConfigDriver>(CASES, SEED);
 }
 
 // A process that was cut off comes back with what it had, and another takes that for the newest:
@@ -20,7 +20,7 @@
 #[test]
 fn fuzz_finds_older_peer_taken() {
     let (steps, violation) =
-        steps_until_found::<ConfigDriver>(Plant::OlderPeerTaken, MAX_STEPS_TO_FIND, SEED)
+        steps_until_found::<ConfigDriver>(Mutation::OlderPeerTaken, MAX_STEPS_TO_FIND, SEED)
             .expect("planted fault not found");
     println!("OlderPeerTaken: found after {steps} steps: {violation}");
 }
@@ -42,13 +42,13 @@
         ConfigStep::KeyValueDown(true),
         ConfigStep::Kill(4),
         ConfigStep::EventsSwallowed(1),
-        ConfigStep::Pass(5_000),
+        ConfigStep::Wait(5_000),
         ConfigStep::KeyValueDown(false),
         ConfigStep::Change(0),
         ConfigStep::Kill(2),
         ConfigStep::Cut(3, true),
         ConfigStep::KeyValueSlow(true),
-        ConfigStep::Pass(12_000),
+        ConfigStep::Wait(12_000),
     ];
     assert_steps_hold(&steps);
 }
@@ -60,14 +60,14 @@
 #[test]
 fn change_watches_silent_service_lost() {
     let steps = [
-        ConfigStep::Pass(14_200),
-        ConfigStep::Pass(7_302),
+        ConfigStep::Wait(14_200),
+        ConfigStep::Wait(7_302),
         ConfigStep::WatchesSilent,
-        ConfigStep::Pass(47),
+        ConfigStep::Wait(47),
         ConfigStep::Change(2),
         ConfigStep::KeyValueDown(true),
         ConfigStep::Kill(1),
-        ConfigStep::Pass(10_999),
+        ConfigStep::Wait(10_999),
     ];
     assert_steps_hold(&steps);
 }
--- a/crates/proof/tests/fuzz_group.rs
+++ b/crates/proof/tests/fuzz_group.rs
@@ -2,17 +2,17 @@
 
 #![allow(clippy::print_stdout, reason = "figures of the run")]
 
-use flamingowheel_proof::fuzz::{hold_promises, steps_until_found};
+use flamingowheel_proof::fuzz::{assert_invariants, steps_until_found};
 use flamingowheel_proof::group::machine::GroupDriver;
-use flamingowheel_proof::plant::Plant;
+use flamingowheel_proof::mutation::Mutation;
 
 const CASES: u32 = 100;
 const SEED: u64 = 20261202;
 const MAX_STEPS_TO_FIND: usize = 10_000;
 
 #[test]
-fn fuzz_group_holds_promises() {
-    hold_promises::<GroupDriver>(CASES, SEED);
+fn fuzz_group_holds_invariants() {
+    assert_invariants::<GroupDriver>(CASES, SEED);
 }
 
 // An order waits behind another until a newer coordinator is in charge, and is then written all the
@@ -20,7 +20,7 @@
 #[test]
 fn fuzz_finds_fence_at_receipt_only() {
     let (steps, violation) =
-        steps_until_found::<GroupDriver>(Plant::FenceAtReceiptOnly, MAX_STEPS_TO_FIND, SEED)
+        steps_until_found::<GroupDriver>(Mutation::FenceAtReceiptOnly, MAX_STEPS_TO_FIND, SEED)
             .expect("planted fault not found");
     println!("FenceAtReceiptOnly: found after {steps} steps: {violation}");
 }
--- a/crates/proof/tests/keys.rs
+++ b/crates/proof/tests/keys.rs
@@ -1,7 +1,7 @@
 //! Callers' own idempotency keys while the key-value service is in trouble.
 
 use bytes::Bytes;
-use flamingowheel_proof::caller::Told;
+use flamingowheel_proof::caller::CallOutcome;
 use flamingowheel_proof::oracle::Runs;
 use flamingowheel_proof::world::World;
 use std::time::Duration;
@@ -23,8 +23,8 @@
     }
     sleep(Duration::from_millis(TIMEOUT_MS + 100)).await;
     for work in world.ledger.all() {
-        let told = &work.submissions[0].told;
-        assert!(matches!(told, Told::NotRun(_)), "{work}");
+        let outcome = &work.submissions[0].outcome;
+        assert!(matches!(outcome, CallOutcome::NotRun(_)), "{work}");
     }
     world.settle().await.unwrap();
     assert!((0..CALLERS).all(|number| world.servers.started(&body(number)) == 0));
@@ -43,7 +43,7 @@
     world.kv.set_delay(Duration::from_millis(400));
     let last = world.ask_with_key(0, Bytes::from_static(b"the last"), TIMEOUT_MS);
     sleep(Duration::from_millis(TIMEOUT_MS)).await;
-    let told = world.ledger.get(last).unwrap().submissions.remove(0).told;
-    assert!(matches!(told, Told::Complete(_)), "{told:?}");
+    let outcome = world.ledger.get(last).unwrap().submissions.remove(0).outcome;
+    assert!(matches!(outcome, CallOutcome::Complete(_)), "{outcome:?}");
     world.settle().await.unwrap();
 }
--- a/crates/proof/tests/poison.rs
+++ b/crates/proof/tests/poison.rs
@@ -1,7 +1,7 @@
 //! Requests that kill the backend server that runs them, sent again and again.
 
 use bytes::Bytes;
-use flamingowheel_proof::caller::Told;
+use flamingowheel_proof::caller::CallOutcome;
 use flamingowheel_proof::entry::MODEL;
 use flamingowheel_proof::oracle::{Kind, Runs};
 use flamingowheel_proof::servers::{ENGINES, SERVICES};
@@ -94,8 +94,8 @@
     world.settle().await.unwrap();
     for work in bystanders {
         let submissions = world.ledger.get(work).unwrap().submissions;
-        let last = &submissions.last().unwrap().told;
-        assert!(matches!(last, Told::Complete(_)), "{last:?}");
+        let last = &submissions.last().unwrap().outcome;
+        assert!(matches!(last, CallOutcome::Complete(_)), "{last:?}");
     }
     assert!(crashes(&world) <= MAX_CRASHES, "{} crashes", crashes(&world));
     assert!(world.servers.started(&chat("poison", 5)) <= 2);
--- a/crates/proof/tests/prefix.rs
+++ b/crates/proof/tests/prefix.rs
@@ -11,7 +11,7 @@
 use flamingowheel_observe::reason::RouteReason;
 use flamingowheel_policy::key::ServerKey;
 use flamingowheel_policy::prefix::BlockHash;
-use flamingowheel_proof::caller::{Ask, Call, Told, send};
+use flamingowheel_proof::caller::{Call, CallKind, CallOutcome, send};
 use flamingowheel_proof::entry::{MODEL, fleet_key};
 use flamingowheel_proof::servers::{ENGINES, SERVICES};
 use flamingowheel_proof::world::World;
@@ -33,16 +33,16 @@
     Bytes::from(body)
 }
 
-async fn ask(world: &World, body: Bytes) -> Told {
+async fn ask(world: &World, body: Bytes) -> CallOutcome {
     let entry = world.entry(0);
-    let call = Call { ask: Ask::Chat, body, timeout_ms: 5_000 };
-    send(entry.router.clone(), entry.fate.clone(), call).await
+    let call = Call { kind: CallKind::Chat, body, timeout_ms: 5_000 };
+    send(entry.router.clone(), entry.lifecycle.clone(), call).await
 }
 
 /// Asks and gives the engine that answered.
 async fn ask_engine(world: &World, body: Bytes) -> usize {
-    let told = ask(world, body.clone()).await;
-    assert!(matches!(told, Told::Complete(_)), "{told:?}");
+    let outcome = ask(world, body.clone()).await;
+    assert!(matches!(outcome, CallOutcome::Complete(_)), "{outcome:?}");
     let ran = |engine: &usize| world.servers.engines[*engine].runs_of_body(&body).started > 0;
     (0..ENGINES).find(ran).unwrap()
 }
--- a/crates/proof/tests/rebind.rs
+++ b/crates/proof/tests/rebind.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use flamingowheel_backing::fake::LostAnswer;
 use flamingowheel_entry::claims::{Claim, PREFIX};
-use flamingowheel_proof::caller::Told;
+use flamingowheel_proof::caller::CallOutcome;
 use flamingowheel_proof::network::{Direction, MessageFault};
 use flamingowheel_proof::oracle::Runs;
 use flamingowheel_proof::servers::SERVICES;
@@ -25,8 +25,8 @@
     (0..SERVICES).find(|server| name == format!("runner-{server}")).unwrap()
 }
 
-fn told(world: &World, work: usize, submission: usize) -> Told {
-    world.ledger.get(work).unwrap().submissions[submission].told.clone()
+fn outcome(world: &World, work: usize, submission: usize) -> CallOutcome {
+    world.ledger.get(work).unwrap().submissions[submission].outcome.clone()
 }
 
 /// A key that is bound, though its entry died before it sent anything under it.
@@ -43,12 +43,12 @@
     work
 }
 
-async fn resent(world: &mut World, work: usize) -> Told {
+async fn resent(world: &mut World, work: usize) -> CallOutcome {
     world.resend(1, work, TIMEOUT_MS);
     sleep(Duration::from_secs(8)).await;
-    let told = world.ledger.get(work).unwrap().submissions.pop().unwrap().told;
+    let outcome = world.ledger.get(work).unwrap().submissions.pop().unwrap().outcome;
     world.settle().await.unwrap();
-    told
+    outcome
 }
 
 // A key is bound to an agent that is told to leave before anything is sent under the key. It refuses
@@ -59,7 +59,7 @@
     let work = bound_unused(&mut world).await;
     let left = home(&world);
     world.leave(left).await;
-    assert!(matches!(resent(&mut world, work).await, Told::Complete(_)));
+    assert!(matches!(resent(&mut world, work).await, CallOutcome::Complete(_)));
     assert_ne!(home(&world), left);
     assert_eq!(claim(&world).unwrap().epoch, 1);
     assert_eq!(world.servers.started(BODY), 1);
@@ -72,7 +72,7 @@
     let work = bound_unused(&mut world).await;
     let stopped = home(&world);
     world.stop_agent(stopped).await;
-    assert!(matches!(resent(&mut world, work).await, Told::Complete(_)));
+    assert!(matches!(resent(&mut world, work).await, CallOutcome::Complete(_)));
     assert_eq!(world.servers.started(BODY), 1);
 }
 
@@ -81,12 +81,12 @@
 #[tokio::test(start_paused = true)]
 async fn resend_ticket_home_stopped_unused_not_run() {
     let mut world = World::start(None).await;
-    let work = world.take_ticket(0, Bytes::from_static(BODY)).await.unwrap();
+    let work = world.request_ticket(0, Bytes::from_static(BODY)).await.unwrap();
     let name = world.ticket_home(&world.ledger.get(work).unwrap().ticket.unwrap()).unwrap();
     let server = (0..SERVICES).find(|server| name == format!("runner-{server}")).unwrap();
     world.stop_agent(server).await;
     world.start_agent(server);
-    assert!(matches!(resent(&mut world, work).await, Told::NotRun(_)));
+    assert!(matches!(resent(&mut world, work).await, CallOutcome::NotRun(_)));
     assert_eq!(world.servers.started(BODY), 0);
 }
 
@@ -98,7 +98,7 @@
     let killed = home(&world);
     world.kill_agent(killed);
     world.start_agent(killed);
-    assert!(matches!(resent(&mut world, work).await, Told::Unknown(_)));
+    assert!(matches!(resent(&mut world, work).await, CallOutcome::Unknown(_)));
     assert_eq!(home(&world), killed);
     assert_eq!(world.servers.started(BODY), 0);
 }
@@ -112,7 +112,7 @@
     world.kv.set_down(true);
     world.stop_agent(stopped).await;
     world.kv.set_down(false);
-    assert!(matches!(resent(&mut world, work).await, Told::Unknown(_)));
+    assert!(matches!(resent(&mut world, work).await, CallOutcome::Unknown(_)));
     assert_eq!(world.servers.started(BODY), 0);
 }
 
@@ -124,10 +124,12 @@
     let work = bound_unused(&mut world).await;
     let down = home(&world);
     world.servers.services[down].set_down(true);
-    world.network.fault(Direction::ToAgent, MessageFault::Copied(Duration::from_secs(20)));
+    world
+        .network
+        .inject_fault(Direction::ToAgent, MessageFault::Duplicated(Duration::from_secs(20)));
     world.resend(1, work, TIMEOUT_MS);
     sleep(Duration::from_secs(4)).await;
-    assert!(matches!(told(&world, work, 1), Told::Complete(_)));
+    assert!(matches!(outcome(&world, work, 1), CallOutcome::Complete(_)));
     world.servers.services[down].set_down(false);
     world.settle().await.unwrap();
     assert_eq!(world.servers.started(BODY), 1);
@@ -143,8 +145,8 @@
     world.kv.set_delay(Duration::from_millis(50));
     (0..2).for_each(|entry| world.resend(entry, work, TIMEOUT_MS));
     sleep(Duration::from_secs(4)).await;
-    assert!(matches!(told(&world, work, 1), Told::Complete(_)));
-    assert_eq!(told(&world, work, 1), told(&world, work, 2));
+    assert!(matches!(outcome(&world, work, 1), CallOutcome::Complete(_)));
+    assert_eq!(outcome(&world, work, 1), outcome(&world, work, 2));
     assert_eq!(claim(&world).unwrap().epoch, 1);
     world.settle().await.unwrap();
     assert_eq!(world.servers.started(BODY), 1);
@@ -161,9 +163,9 @@
         world.kv.lose_write_answers(1, lost);
         world.resend(1, work, TIMEOUT_MS);
         sleep(Duration::from_secs(6)).await;
-        let told = told(&world, work, 1);
-        assert!(!matches!(told, Told::Unknown(_)), "{lost:?}: {told:?}");
-        assert!(matches!(resent(&mut world, work).await, Told::Complete(_)), "{lost:?}");
+        let outcome = outcome(&world, work, 1);
+        assert!(!matches!(outcome, CallOutcome::Unknown(_)), "{lost:?}: {outcome:?}");
+        assert!(matches!(resent(&mut world, work).await, CallOutcome::Complete(_)), "{lost:?}");
         assert_eq!(world.servers.started(BODY), 1, "{lost:?}");
     }
 }
@@ -189,7 +191,7 @@
         sleep(Duration::from_secs(1)).await;
         world.resend(1, work, TIMEOUT_MS);
         sleep(Duration::from_secs(4)).await;
-        assert!(matches!(told(&world, work, 2), Told::Complete(_)), "step {step}");
+        assert!(matches!(outcome(&world, work, 2), CallOutcome::Complete(_)), "step {step}");
         assert_eq!(world.servers.started(BODY), 1, "step {step}");
     }
     assert!(epochs.contains(&0) && epochs.contains(&1), "{epochs:?}");
--- a/crates/proof/tests/resume.rs
+++ b/crates/proof/tests/resume.rs
@@ -1,7 +1,7 @@
 //! Answers whose agent process is replaced half-way.
 
 use bytes::Bytes;
-use flamingowheel_proof::caller::Told;
+use flamingowheel_proof::caller::CallOutcome;
 use flamingowheel_proof::entry::MODEL;
 use flamingowheel_proof::oracle::Kind;
 use flamingowheel_proof::servers::{ENGINES, SERVICES};
@@ -34,8 +34,8 @@
     world.kill_agent(server);
     world.start_agent(server);
     world.settle().await.unwrap();
-    let told = world.ledger.get(0).unwrap().submissions.remove(0).told;
-    assert!(matches!(told, Told::Unknown(_)), "{told:?}");
+    let outcome = world.ledger.get(0).unwrap().submissions.remove(0).outcome;
+    assert!(matches!(outcome, CallOutcome::Unknown(_)), "{outcome:?}");
 }
 
 // The same with a stream: the engine goes on from the event that the caller lacks.
@@ -49,6 +49,6 @@
     world.kill_agent(server);
     world.start_agent(server);
     world.settle().await.unwrap();
-    let told = world.ledger.get(0).unwrap().submissions.remove(0).told;
-    assert!(matches!(told, Told::Complete(_)), "{told:?}");
+    let outcome = world.ledger.get(0).unwrap().submissions.remove(0).outcome;
+    assert!(matches!(outcome, CallOutcome::Complete(_)), "{outcome:?}");
 }
--- a/crates/proof/tests/stop.rs
+++ b/crates/proof/tests/stop.rs
@@ -1,8 +1,8 @@
 //! Work orders whose agent process ends, as planned or not, before the caller resends.
 
 use bytes::Bytes;
-use flamingowheel_proof::backend::Fate;
-use flamingowheel_proof::caller::{Ask, Call, Told, send};
+use flamingowheel_proof::backend::Lifecycle;
+use flamingowheel_proof::caller::{Call, CallKind, CallOutcome, send};
 use flamingowheel_proof::oracle::Runs;
 use flamingowheel_proof::servers::SERVICES;
 use flamingowheel_proof::world::World;
@@ -18,7 +18,7 @@
     let work = world.ask_with_ticket(0, Bytes::from_static(body.as_bytes()), TIMEOUT_MS).await;
     let work = work.unwrap();
     sleep(Duration::from_secs(1)).await;
-    assert!(matches!(told(world, work, 0), Told::Complete(_)));
+    assert!(matches!(outcome(world, work, 0), CallOutcome::Complete(_)));
     (work, home(world, work))
 }
 
@@ -28,15 +28,15 @@
     (0..SERVICES).find(|server| name == format!("runner-{server}")).unwrap()
 }
 
-fn told(world: &World, work: usize, submission: usize) -> Told {
-    world.ledger.get(work).unwrap().submissions[submission].told.clone()
+fn outcome(world: &World, work: usize, submission: usize) -> CallOutcome {
+    world.ledger.get(work).unwrap().submissions[submission].outcome.clone()
 }
 
 /// Resends at the other entry and waits for what it is told.
-async fn resent(world: &mut World, work: usize) -> Told {
+async fn resent(world: &mut World, work: usize) -> CallOutcome {
     world.resend(1, work, TIMEOUT_MS);
     world.settle().await.unwrap();
-    told(world, work, 1)
+    outcome(world, work, 1)
 }
 
 // A VM is replaced as planned right after a work order ended, and the caller, whose own connection
@@ -48,7 +48,7 @@
     let (work, server) = finished(&mut world, "payout 5").await;
     world.stop_agent(server).await;
     world.start_agent(server);
-    assert_eq!(resent(&mut world, work).await, told(&world, work, 0));
+    assert_eq!(resent(&mut world, work).await, outcome(&world, work, 0));
     assert_eq!(world.servers.started(b"payout 5"), 1);
 }
 
@@ -60,7 +60,7 @@
     world.stop_agent(server).await;
     world.resend(1, work, TIMEOUT_MS);
     sleep(Duration::from_secs(8)).await;
-    assert_eq!(told(&world, work, 1), told(&world, work, 0));
+    assert_eq!(outcome(&world, work, 1), outcome(&world, work, 0));
     world.settle().await.unwrap();
     assert_eq!(world.servers.started(b"payout 6"), 1);
 }
@@ -76,9 +76,9 @@
     sleep(Duration::from_secs(1)).await;
     let ticket = world.ledger.get(work).unwrap().ticket.unwrap();
     let body = Bytes::from_static(b"box 18");
-    let call = Call { ask: Ask::Ticket(ticket), body, timeout_ms: TIMEOUT_MS };
-    let told = send(world.router(1), Fate::default(), call).await;
-    assert!(matches!(told, Told::Unknown(_)), "{told:?}");
+    let call = Call { kind: CallKind::Ticket(ticket), body, timeout_ms: TIMEOUT_MS };
+    let outcome = send(world.router(1), Lifecycle::default(), call).await;
+    assert!(matches!(outcome, CallOutcome::Unknown(_)), "{outcome:?}");
     assert_eq!(world.servers.started(b"box 18"), 0);
 }
 
@@ -89,8 +89,8 @@
     let (work, server) = finished(&mut world, "payout 7").await;
     world.kill_agent(server);
     world.start_agent(server);
-    let told = resent(&mut world, work).await;
-    assert!(matches!(told, Told::Unknown(_)), "{told:?}");
+    let outcome = resent(&mut world, work).await;
+    assert!(matches!(outcome, CallOutcome::Unknown(_)), "{outcome:?}");
     assert_eq!(world.servers.started(b"payout 7"), 1);
 }
 
@@ -111,8 +111,8 @@
         world.stop_agent(server).await;
         assert!(began.elapsed() < STOP_LIMIT, "{:?}", began.elapsed());
         world.start_agent(server);
-        let told = resent(&mut world, work).await;
-        assert!(matches!(told, Told::Unknown(_)), "{told:?}");
+        let outcome = resent(&mut world, work).await;
+        assert!(matches!(outcome, CallOutcome::Unknown(_)), "{outcome:?}");
         assert_eq!(world.servers.started(b"payout 8"), 1);
     }
 }
@@ -130,7 +130,7 @@
     world.kv.set_delay(Duration::from_secs(3_600));
     world.resend(1, work, TIMEOUT_MS);
     sleep(Duration::from_secs(2)).await;
-    assert!(matches!(told(&world, work, 1), Told::Unknown(_)));
+    assert!(matches!(outcome(&world, work, 1), CallOutcome::Unknown(_)));
 }
 
 // Hundreds of agents may leave in one roll-out. Each must cost the service's rate a few calls, not
@@ -153,6 +153,6 @@
     world.start_agent(server);
     (0..ORDERS).for_each(|work| world.resend(1, work, 30_000));
     world.settle().await.unwrap();
-    let same = |work: &usize| told(&world, *work, 0) == told(&world, *work, 1);
+    let same = |work: &usize| outcome(&world, *work, 0) == outcome(&world, *work, 1);
     assert_eq!((0..ORDERS).filter(same).count(), ORDERS);
 }
