--- a/crates/backing/src/client/etcd.rs
+++ b/crates/backing/src/client/etcd.rs
@@ -108,7 +108,7 @@
             success: transaction.on_success.into_iter().map(wire_operation).collect(),
             failure: transaction.on_failure.into_iter().map(wire_operation).collect(),
         };
-        // A reused connection fails more often with `NoAnswer`, which costs the writer a read back.
+        // A new connection: reused ones fail more often with `NoAnswer`, which costs a read back.
         let answer: TxnResponse = self.post("/v3/kv/txn", &request, Reuse::Never).await?;
         let reads = answer
             .responses
--- a/crates/backing/src/client/http.rs
+++ b/crates/backing/src/client/http.rs
@@ -172,14 +172,14 @@
     ) -> Result<BufferedResponse, HttpError> {
         let (parts, mut body) = self.send(request, reuse).await?.into_parts();
         let limit_bytes = self.limits.max_body_bytes;
-        let mut whole = BytesMut::new();
+        let mut buffer = BytesMut::new();
         while let Some(chunk) = self.next_chunk(&mut body).await? {
-            if whole.len() + chunk.len() > limit_bytes {
+            if buffer.len() + chunk.len() > limit_bytes {
                 return Err(HttpError::TooLarge { limit_bytes });
             }
-            whole.extend_from_slice(&chunk);
+            buffer.extend_from_slice(&chunk);
         }
-        Ok(BufferedResponse { status: parts.status, headers: parts.headers, body: whole.freeze() })
+        Ok(BufferedResponse { status: parts.status, headers: parts.headers, body: buffer.freeze() })
     }
 
     /// Reads the next bytes of a body; `None` is its end.
--- a/crates/backing/src/client/wire.rs
+++ b/crates/backing/src/client/wire.rs
@@ -176,7 +176,7 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct RangeResponse {
-    /// The header.
+    /// Has the store's revision at the read.
     pub header: Header,
     /// The entries, sorted by key.
     pub kvs: Vec<WireEntry>,
@@ -199,17 +199,17 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct RequestOp {
-    /// Write.
+    /// Writes a key.
     #[serde(rename = "requestPut", alias = "request_put", skip_serializing_if = "Option::is_none")]
     pub put: Option<PutRequest>,
-    /// Read.
+    /// Reads one key.
     #[serde(
         rename = "requestRange",
         alias = "request_range",
         skip_serializing_if = "Option::is_none"
     )]
     pub range: Option<RangeRequest>,
-    /// Delete.
+    /// Deletes one key.
     #[serde(
         rename = "requestDeleteRange",
         alias = "request_delete_range",
@@ -268,11 +268,11 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct TxnRequest {
-    /// All must hold.
+    /// Comparisons, all of which must hold for `success` to run.
     pub compare: Vec<WireCompare>,
-    /// Run if they hold.
+    /// Run if all comparisons hold.
     pub success: Vec<RequestOp>,
-    /// Run if one does not.
+    /// Run if at least one comparison does not hold.
     pub failure: Vec<RequestOp>,
 }
 
@@ -289,9 +289,9 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct TxnResponse {
-    /// The header.
+    /// Has the store's revision after the transaction.
     pub header: Header,
-    /// Whether all comparisons held.
+    /// Whether all comparisons held, so that `success` ran.
     pub succeeded: bool,
     /// One element for each step that ran.
     pub responses: Vec<ResponseOp>,
@@ -312,7 +312,7 @@
 /// An element of a streamed answer.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Streamed<T> {
-    /// The element.
+    /// The element, under the name that the gateway gives it.
     pub result: T,
 }
 
@@ -367,7 +367,7 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct WatchResponse {
-    /// The header.
+    /// Has the store's revision when the answer was sent.
     pub header: Header,
     /// Set in the first answer, which confirms the watch.
     #[serde(skip_serializing_if = "std::ops::Not::not")]
--- a/crates/backing/src/fake/engine/mod.rs
+++ b/crates/backing/src/fake/engine/mod.rs
@@ -30,7 +30,7 @@
 pub enum FencePolicy {
     /// Refuses the order as stale.
     Refuses,
-    /// Carries the order out whatever its number.
+    /// Ignores the number and carries the order out.
     Ignores,
 }
 
--- a/crates/backing/src/fake/engine/run.rs
+++ b/crates/backing/src/fake/engine/run.rs
@@ -167,7 +167,8 @@
         }
     }
 
-    /// Waits for the generation of one token and applies crashes and freezes during it.
+    /// Waits for the generation of the token at `index`, if there is one, and applies crashes and
+    /// freezes.
     async fn generate_token(&mut self, index: u64) -> Result<(), Ending> {
         if index >= self.engine.settings().crash_after_tokens && self.triggers_crash() {
             self.engine.crash();
--- a/crates/backing/src/fake/kv.rs
+++ b/crates/backing/src/fake/kv.rs
@@ -172,8 +172,8 @@
     }
 
     /// Sets how long a call waits before it fails with [`KeyValueError::NoAnswer`].
-    pub fn set_answer_timeout(&self, limit: Duration) {
-        lock(&self.state).answer_timeout = limit;
+    pub fn set_answer_timeout(&self, timeout: Duration) {
+        lock(&self.state).answer_timeout = timeout;
     }
 
     /// Sets how often watches get [`WatchEvent::Progress`].
@@ -253,14 +253,14 @@
         T: Send + 'static,
         F: FnOnce(&mut State) -> Result<T, KeyValueError> + Send + 'static,
     {
-        let (delay, limit, lost) = self.admit(count)?;
+        let (delay, timeout, lost) = self.admit(count)?;
         if lost == Some(LostAnswer::BeforeEffect) {
-            return self.no_answer(limit).await;
+            return self.no_answer(timeout).await;
         }
         if delay.is_zero() {
             let result = self.apply(effect)?;
             return match lost {
-                Some(_) => self.no_answer(limit).await,
+                Some(_) => self.no_answer(timeout).await,
                 None => Ok(result),
             };
         }
@@ -272,10 +272,10 @@
             tokio::time::sleep(delay - delay / 2).await;
             result
         });
-        match tokio::time::timeout(limit, task).await {
-            Ok(Ok(_)) if lost.is_some() => self.no_answer(limit).await,
+        match tokio::time::timeout(timeout, task).await {
+            Ok(Ok(_)) if lost.is_some() => self.no_answer(timeout).await,
             Ok(Ok(result)) => result,
-            Ok(Err(_)) | Err(_) => Err(no_answer(limit)),
+            Ok(Err(_)) | Err(_) => Err(no_answer(timeout)),
         }
     }
 
@@ -304,9 +304,9 @@
         effect(&mut state)
     }
 
-    async fn no_answer<T>(&self, limit: Duration) -> Result<T, KeyValueError> {
-        tokio::time::sleep(limit).await;
-        Err(no_answer(limit))
+    async fn no_answer<T>(&self, timeout: Duration) -> Result<T, KeyValueError> {
+        tokio::time::sleep(timeout).await;
+        Err(no_answer(timeout))
     }
 
     fn open_watch(&self, prefix: &str, after: Revision) -> Watch {
@@ -334,8 +334,8 @@
     }
 }
 
-fn no_answer(limit: Duration) -> KeyValueError {
-    KeyValueError::NoAnswer { limit_ms: u64::try_from(limit.as_millis()).unwrap_or(u64::MAX) }
+fn no_answer(timeout: Duration) -> KeyValueError {
+    KeyValueError::NoAnswer { limit_ms: u64::try_from(timeout.as_millis()).unwrap_or(u64::MAX) }
 }
 
 async fn send_progress(state: Weak<Mutex<State>>, sender: mpsc::WeakSender<WatchEvent>) {
--- a/crates/backing/src/fake/service.rs
+++ b/crates/backing/src/fake/service.rs
@@ -68,8 +68,8 @@
     }
 
     /// Sets how long a call waits before it fails with [`BackendError::Silent`].
-    pub fn set_silence_timeout(&self, limit: Duration) {
-        lock(&self.state).silence_timeout = limit;
+    pub fn set_silence_timeout(&self, timeout: Duration) {
+        lock(&self.state).silence_timeout = timeout;
     }
 
     /// Refuses connections, or accepts them again as a new process.
--- a/crates/backing/src/fake/store.rs
+++ b/crates/backing/src/fake/store.rs
@@ -179,7 +179,7 @@
         self.history.retain(|event| event_revision(event).0 > compacted_revision);
     }
 
-    /// The events after `after`, or the oldest valid start revision if they are compacted_revision.
+    /// The events after `after`, or the oldest valid start revision if they are compacted.
     pub(super) fn events_after(
         &self,
         prefix: &str,
--- a/crates/backing/src/orders.rs
+++ b/crates/backing/src/orders.rs
@@ -25,11 +25,11 @@
 pub enum OrderTarget {
     /// Serve this model version with these adapters in this role.
     Serve {
-        /// The model's name.
+        /// Name of the model to load.
         model: String,
-        /// The model's version.
+        /// Version of the model to load.
         version: String,
-        /// The adapters to hold.
+        /// All adapters to hold, not only new ones.
         adapters: Vec<String>,
         /// The engine's role, for example `prefill`, `decode` or `both`.
         role: String,
@@ -71,13 +71,13 @@
     pub process_id: u64,
     /// Highest fencing number seen; `None` before the first order and for engines that ignore it.
     pub highest_fence: Option<Fence>,
-    /// The model in use.
+    /// Name of the model in use; empty before the first is loaded.
     pub model: String,
-    /// The model's version.
+    /// Version of the model in use.
     pub version: String,
-    /// Adapters held.
+    /// All adapters held.
     pub adapters: Vec<String>,
-    /// The engine's role.
+    /// The engine's role, as in [`OrderTarget::Serve`].
     pub role: String,
     /// Version of the expert map in use.
     pub map_version: u64,
