--- a/crates/flamingowheel/tests/tool/commands.rs
+++ b/crates/flamingowheel/tests/tool/commands.rs
@@ -1,6 +1,6 @@
 //! Tests of commands against fake entries.
 
-use crate::session::{ClosedPort, FakeEntry, Reply, terminal};
+use crate::session::{ClosedPort, FakeEntry, Reply, run_line};
 use serde_json::{Value, json};
 
 const APPLY: &str = "apply -f tests/documents/change.yaml";
@@ -43,7 +43,7 @@
 #[tokio::test]
 async fn status_shows_silent_processes() {
     let entry = FakeEntry::default().answers("/v1/status", status());
-    insta::assert_snapshot!(terminal("status", &[entry.listen().await]).await);
+    insta::assert_snapshot!(run_line("status", &[entry.listen().await]).await);
 }
 
 // A rank that could not be verified after a switch keeps its group held; the operator must see which
@@ -59,7 +59,7 @@
     let mut status = status();
     status["processes"][0]["operators_address"] = json!(address);
     let entry = entry.answers("/v1/status", status);
-    insta::assert_snapshot!(terminal("status", &[address]).await);
+    insta::assert_snapshot!(run_line("status", &[address]).await);
     assert_eq!(entry.requests().len(), 2);
 }
 
@@ -83,7 +83,7 @@
     let mut status = status();
     status["processes"][0]["operators_address"] = json!(address);
     entry.answers("/v1/status", status);
-    insta::assert_snapshot!(terminal("status", &[address]).await);
+    insta::assert_snapshot!(run_line("status", &[address]).await);
 }
 
 #[tokio::test]
@@ -91,7 +91,7 @@
     let path = "/v1/config/apply";
     let entry = FakeEntry::default().answers("/v1/status", status()).answers(path, applied(true));
     let line = format!("{APPLY} --wait 11s --again {AGAIN} --comment new-template");
-    insta::assert_snapshot!(terminal(&line, &[entry.listen().await]).await);
+    insta::assert_snapshot!(run_line(&line, &[entry.listen().await]).await);
     insta::assert_snapshot!(entry.requests().join("\n"));
 }
 
@@ -101,7 +101,7 @@
 async fn apply_not_in_force_in_time_has_its_own_exit() {
     let entry = FakeEntry::default().answers("/v1/config/apply", applied(false));
     let line = format!("{APPLY} --wait 2 --seen 7");
-    insta::assert_snapshot!(terminal(&line, &[entry.listen().await]).await);
+    insta::assert_snapshot!(run_line(&line, &[entry.listen().await]).await);
 }
 
 // Two operators change the same workspace; the second must see what the first changed.
@@ -119,7 +119,7 @@
         }],
     });
     let entry = FakeEntry::default().replies("/v1/config/apply", Reply::Json(409, conflict));
-    insta::assert_snapshot!(terminal(&format!("{APPLY} --seen 6"), &[entry.listen().await]).await);
+    insta::assert_snapshot!(run_line(&format!("{APPLY} --seen 6"), &[entry.listen().await]).await);
 }
 
 #[tokio::test]
@@ -138,7 +138,7 @@
         ],
     });
     let entry = FakeEntry::default().replies("/v1/config/apply", Reply::Json(422, refusal));
-    insta::assert_snapshot!(terminal(&format!("{APPLY} --seen 6"), &[entry.listen().await]).await);
+    insta::assert_snapshot!(run_line(&format!("{APPLY} --seen 6"), &[entry.listen().await]).await);
 }
 
 // The entry receives the change and the connection breaks before the answer. No other entry can be
@@ -148,7 +148,7 @@
     let entry = FakeEntry::default().replies("/v1/config/apply", Reply::Disconnect);
     let closed = ClosedPort::new();
     let entries = [entry.listen().await, closed.address()];
-    let shown = terminal(&format!("{APPLY} --seen 7 --again {AGAIN}"), &entries).await;
+    let shown = run_line(&format!("{APPLY} --seen 7 --again {AGAIN}"), &entries).await;
     assert!(shown.ends_with("[exit 6 UnknownOutcome]"), "{shown}");
     assert!(shown.contains(&format!("--again {AGAIN} --seen 7")), "{shown}");
 }
@@ -160,7 +160,7 @@
     let disconnecting = FakeEntry::default().replies("/v1/config/apply", Reply::Disconnect);
     let answering = FakeEntry::default().answers("/v1/config/apply", applied(true));
     let entries = [disconnecting.listen().await, answering.listen().await];
-    let shown = terminal(&format!("{APPLY} --seen 7"), &entries).await;
+    let shown = run_line(&format!("{APPLY} --seen 7"), &entries).await;
     assert!(shown.ends_with("[exit 0 Success]"), "{shown}");
     assert_eq!(disconnecting.requests(), answering.requests());
 }
@@ -171,7 +171,7 @@
 async fn apply_answer_not_readable_is_unknown() {
     for reply in [Reply::Json(200, json!({})), Reply::Json(502, json!("bad gateway"))] {
         let entry = FakeEntry::default().replies("/v1/config/apply", reply);
-        let shown = terminal(&format!("{APPLY} --seen 7"), &[entry.listen().await]).await;
+        let shown = run_line(&format!("{APPLY} --seen 7"), &[entry.listen().await]).await;
         assert!(shown.ends_with("[exit 6 UnknownOutcome]"), "{shown}");
     }
 }
@@ -183,7 +183,7 @@
 async fn apply_entry_silent_is_unknown() {
     let entry = FakeEntry::default().replies("/v1/config/apply", Reply::Silent);
     let line = format!("{APPLY} --seen 7 --timeout 50ms");
-    let shown = terminal(&line, &[entry.listen().await]).await;
+    let shown = run_line(&line, &[entry.listen().await]).await;
     assert!(shown.contains("gave no answer: timed out after 50 ms"), "{shown}");
     assert!(shown.ends_with("[exit 6 UnknownOutcome]"), "{shown}");
 }
@@ -192,7 +192,7 @@
 async fn apply_answer_lost_in_dry_run_is_no_unknown_outcome() {
     let entry = FakeEntry::default().replies("/v1/config/apply", Reply::Disconnect);
     let line = format!("{APPLY} --seen 7 --dry-run");
-    let shown = terminal(&line, &[entry.listen().await]).await;
+    let shown = run_line(&line, &[entry.listen().await]).await;
     assert!(shown.ends_with("[exit 3 Unreachable]"), "{shown}");
 }
 
@@ -201,14 +201,14 @@
     let entry = FakeEntry::default().answers("/v1/status", status());
     let closed = ClosedPort::new();
     let entries = [closed.address(), entry.listen().await];
-    let shown = terminal("status", &entries).await;
+    let shown = run_line("status", &entries).await;
     assert!(shown.ends_with("[exit 0 Success]"), "{shown}");
 }
 
 #[tokio::test]
 async fn status_no_entry_reached_is_unreachable() {
     let closed = ClosedPort::new();
-    insta::assert_snapshot!(terminal("status", &[closed.address()]).await);
+    insta::assert_snapshot!(run_line("status", &[closed.address()]).await);
 }
 
 #[tokio::test]
@@ -216,7 +216,7 @@
     let answer = json!({ "change": CHANGE, "state": { "state": "unknown" } });
     let entry = FakeEntry::default().answers(&format!("/v1/config/changes/{CHANGE}"), answer);
     let line = format!("change {CHANGE}");
-    insta::assert_snapshot!(terminal(&line, &[entry.listen().await]).await);
+    insta::assert_snapshot!(run_line(&line, &[entry.listen().await]).await);
 }
 
 #[tokio::test]
@@ -233,7 +233,7 @@
     let entry = FakeEntry::default()
         .answers(path, first)
         .answers(&format!("{path}?limit=1000&after=bibb"), second);
-    insta::assert_snapshot!(terminal("get workspaces", &[entry.listen().await]).await);
+    insta::assert_snapshot!(run_line("get workspaces", &[entry.listen().await]).await);
 }
 
 #[tokio::test]
@@ -250,7 +250,7 @@
         "effective": { "priority": 9 },
     });
     let entry = FakeEntry::default().answers("/v1/config/workspaces/bibb", answer);
-    let shown = terminal("get workspaces bibb", &[entry.listen().await]).await;
+    let shown = run_line("get workspaces bibb", &[entry.listen().await]).await;
     insta::assert_snapshot!(shown);
     let printed: String = shown
         .lines()
@@ -268,7 +268,7 @@
         "edits": ["workspace bibb-county"],
     });
     let entry = FakeEntry::default().answers("/v1/config/history", json!({ "changes": [change] }));
-    insta::assert_snapshot!(terminal("history", &[entry.listen().await]).await);
+    insta::assert_snapshot!(run_line("history", &[entry.listen().await]).await);
 }
 
 #[tokio::test]
@@ -282,7 +282,7 @@
     });
     let entry = FakeEntry::default().answers("/v1/entries", answer);
     let entries = [entry.listen().await];
-    insta::assert_snapshot!(terminal("entries --workspace bibb-county", &entries).await);
+    insta::assert_snapshot!(run_line("entries --workspace bibb-county", &entries).await);
 }
 
 // One agent can't be reached and one has no known address. The timeline must show the events of the
@@ -303,7 +303,7 @@
     });
     let entry = FakeEntry::default().answers("/v1/status", status).answers("/v1/events", events);
     let entries = [entry.listen().await, unreachable];
-    insta::assert_snapshot!(terminal("timeline --workspace bibb", &entries).await);
+    insta::assert_snapshot!(run_line("timeline --workspace bibb", &entries).await);
 }
 
 // If no entry can list the processes, as may happen during a failure, the addresses that the operator
@@ -315,7 +315,7 @@
         "now": "1796256000100.0", "overwritten": 0, "events": [],
     });
     let entry = FakeEntry::default().answers("/v1/events", events);
-    let shown = terminal("timeline --since 5m", &[entry.listen().await]).await;
+    let shown = run_line("timeline --since 5m", &[entry.listen().await]).await;
     assert!(shown.contains("0 events from 1 process"), "{shown}");
     assert!(shown.contains("NOT REACHED the list of processes: [entry 1] answered 404"), "{shown}");
     assert!(shown.ends_with("[exit 0 Success]"), "{shown}");
@@ -324,7 +324,7 @@
 #[tokio::test]
 async fn timeline_no_process_reached_is_unreachable() {
     let closed = ClosedPort::new();
-    let shown = terminal("timeline --since 5m", &[closed.address()]).await;
+    let shown = run_line("timeline --since 5m", &[closed.address()]).await;
     assert!(shown.ends_with("[exit 3 Unreachable]"), "{shown}");
 }
 
@@ -332,7 +332,7 @@
 async fn token_wrong_is_refused() {
     let entry = FakeEntry::default();
     let entries = [entry.listen().await];
-    let shown = terminal("status --token-file tests/documents/wrong-token", &entries).await;
+    let shown = run_line("status --token-file tests/documents/wrong-token", &entries).await;
     assert!(shown.contains("refused the operators' token"), "{shown}");
     assert!(shown.ends_with("[exit 4 Refused]"), "{shown}");
 }
@@ -341,7 +341,7 @@
 async fn token_malformed_is_not_sent() {
     let entry = FakeEntry::default();
     let line = "status --token-file tests/documents/change.yaml";
-    let shown = terminal(line, &[entry.listen().await]).await;
+    let shown = run_line(line, &[entry.listen().await]).await;
     assert!(shown.contains("operators' token is empty, too long or"), "{shown}");
     assert!(entry.requests().is_empty());
 }
--- a/crates/flamingowheel/tests/tool/contract.rs
+++ b/crates/flamingowheel/tests/tool/contract.rs
@@ -18,7 +18,7 @@
 use flamingowheel_protocol::peer::{MemberRecord, MemberState, PeerAnswer, PeerRequest};
 use tokio::net::TcpListener;
 
-use crate::session::terminal;
+use crate::session::run_line;
 
 const FIRST: &str = "tests/documents/first.yaml";
 const SECOND: &str = "tests/documents/second.yaml";
@@ -100,7 +100,7 @@
     ];
     let mut shown = Vec::new();
     for line in lines {
-        shown.push(terminal(&line, &entries).await);
+        shown.push(run_line(&line, &entries).await);
     }
     insta::assert_snapshot!(mask_durations(&shown.join("\n\n")));
 }
@@ -117,15 +117,15 @@
 #[tokio::test]
 async fn session_history_status_and_timeline() {
     let entries = [entry().await];
-    terminal(&apply(FIRST, 1, "--comment first"), &entries).await;
-    let history = terminal("history", &entries).await;
+    run_line(&apply(FIRST, 1, "--comment first"), &entries).await;
+    let history = run_line("history", &entries).await;
     assert!(history.contains("put template callbox, put workspace bibb-county"), "{history}");
     assert!(history.contains("maria") && history.contains("first"), "{history}");
-    let status = terminal("status", &entries).await;
+    let status = run_line("status", &entries).await;
     assert!(status.contains("configuration: revision 1"), "{status}");
     assert!(status.contains("processes: 1 live, 0 leaving, 0 silent"), "{status}");
     // Both the process list and the operator name the entry, but it must be asked only once.
-    let timeline = terminal("timeline --since 1h", &entries).await;
+    let timeline = run_line("timeline --since 1h", &entries).await;
     assert_eq!(timeline.matches("lease runners-a lost").count(), 1, "{timeline}");
     assert!(timeline.contains("accepted as revision 1"), "{timeline}");
     assert!(!timeline.contains("NOT REACHED"), "{timeline}");
--- a/crates/flamingowheel/tests/tool/session.rs
+++ b/crates/flamingowheel/tests/tool/session.rs
@@ -117,8 +117,8 @@
     }
 }
 
-/// Runs a command line and returns it with what the terminal shows and the exit code.
-pub async fn terminal(line: &str, entries: &[SocketAddr]) -> String {
+/// Runs a command line; returns the line, what the terminal would show and the exit code.
+pub async fn run_line(line: &str, entries: &[SocketAddr]) -> String {
     let environment = environment(entries);
     let arguments = line.split_whitespace().map(Into::into).collect();
     let (shown, exit) = match run(arguments, &environment).await {
--- a/crates/flamingowheel/tests/tool/usage.rs
+++ b/crates/flamingowheel/tests/tool/usage.rs
@@ -1,13 +1,13 @@
 //! Tests of help texts and invalid command lines.
 
-use crate::session::{ClosedPort, terminal};
+use crate::session::{ClosedPort, run_line};
 
 #[tokio::test]
 async fn help_all_texts() {
-    let mut shown = vec![terminal("--help", &[]).await];
+    let mut shown = vec![run_line("--help", &[]).await];
     let commands = ["apply", "get", "diff", "history", "change", "status", "timeline", "entries"];
     for command in commands {
-        shown.push(terminal(&format!("{command} --help"), &[]).await);
+        shown.push(run_line(&format!("{command} --help"), &[]).await);
     }
     assert!(shown.iter().flat_map(|text| text.lines()).all(|line| line.chars().count() <= 100));
     insta::assert_snapshot!(shown.join("\n\n"));
@@ -38,7 +38,7 @@
     ];
     let mut shown = Vec::new();
     for line in lines {
-        shown.push(terminal(line, &entries).await);
+        shown.push(run_line(line, &entries).await);
     }
     assert!(shown.iter().all(|text| text.ends_with("[exit 2 Usage]")), "{shown:#?}");
     insta::assert_snapshot!(shown.join("\n\n"));
@@ -46,6 +46,6 @@
 
 #[tokio::test]
 async fn command_line_without_entries_is_usage() {
-    let shown = terminal("status", &[]).await;
+    let shown = run_line("status", &[]).await;
     assert!(shown.contains("no entry given"), "{shown}");
 }
