--- a/crates/flamingowheeld/tests/soak.rs
+++ b/crates/flamingowheeld/tests/soak.rs
@@ -19,7 +19,7 @@
     };
     let folder = std::env::temp_dir().join(format!("flamingowheel-soak-ci-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
-    let tally = run::seed(&options, options.seed, &folder).await.unwrap();
+    let tally = run::run_seed(&options, options.seed, &folder).await.unwrap();
     assert!(tally.violations.is_empty(), "{tally}\nlogs: {}", folder.display());
     assert!(tally.served > 0, "{tally}");
     // The error is ignored: a leftover directory in the temporary directory is harmless.
--- a/crates/flamingowheeld/tests/stop.rs
+++ b/crates/flamingowheeld/tests/stop.rs
@@ -6,9 +6,9 @@
 use flamingowheel_soak::fleet::free_ports;
 use flamingowheel_soak::process::{Daemon, Reaper};
 use flamingowheel_standin::platform::messages::{
-    CONFIGURATION_KEY, caller_headers, configuration, entry_settings, server_entry, server_key,
+    CONFIGURATION_KEY, caller_headers, configuration, entry_settings, server_key, server_record,
 };
-use flamingowheel_standin::platform::server::{Ledger, PlatformServer};
+use flamingowheel_standin::platform::server::{PlatformServer, RunCounter};
 use flamingowheel_standin::platform::store;
 use http::Method;
 use rustix::process::Signal;
@@ -39,9 +39,9 @@
     tokio::spawn(store::serve(listener, kv.clone()));
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let server_address = listener.local_addr().unwrap();
-    let ledger = Ledger::default();
+    let ledger = RunCounter::default();
     tokio::spawn(PlatformServer::new("s-1", ledger.clone(), WORK_DURATION, 4).serve(listener));
-    write(&kv, &server_key("s-1"), server_entry(server_address, 4, false)).await;
+    write(&kv, &server_key("s-1"), server_record(server_address, 4, false)).await;
     write(&kv, CONFIGURATION_KEY, configuration(1, API_KEY, WORK_LIMIT_MS)).await;
 
     let ports = free_ports().await.unwrap();
--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -1,13 +1,15 @@
 //! Callers: each sends requests one after the other on connections that it keeps, and judges the
 //! answers.
 
-use crate::report::{Shared, Violation};
+use crate::report::{SharedTally, Violation};
 use bytes::Bytes;
 use flamingowheel_backing::client::http::{
     BufferedResponse, HttpClient, HttpError, HttpLimits, Reuse,
 };
 use flamingowheel_standin::platform::messages::{caller_headers, is_signed};
-use flamingowheel_standin::platform::server::{EVENTS, Ledger, answer_to, event_of};
+use flamingowheel_standin::platform::server::{
+    RunCounter, STREAM_EVENTS, answer_body, stream_event,
+};
 use http::Method;
 use http_body_util::Full;
 use rand::{Rng, RngExt, SeedableRng};
@@ -18,7 +20,7 @@
 use tokio_util::sync::CancellationToken;
 
 /// Time limit of all routes, and the time that a caller gives a request, in milliseconds.
-pub const ROUTE_LIMIT_MS: u64 = 2_000;
+pub const ROUTE_TIMEOUT_MS: u64 = 2_000;
 
 /// Time after a caller's deadline until it gives up for good, in milliseconds.
 const SLACK_MS: u64 = 500;
@@ -62,9 +64,9 @@
     /// The entries.
     pub entries: Vec<SocketAddr>,
     /// What backend servers ran.
-    pub ledger: Ledger,
+    pub run_counter: RunCounter,
     /// Where it counts.
-    pub tally: Shared,
+    pub tally: SharedTally,
 }
 
 impl Caller {
@@ -102,7 +104,7 @@
             }
             _ => None,
         };
-        self.tally.with(|tally| {
+        self.tally.update(|tally| {
             tally.asked += 1;
             match status {
                 200 => tally.served += 1,
@@ -115,19 +117,19 @@
     }
 
     fn check_runs(&self, sent: &Sent) {
-        let runs = self.ledger.runs(&sent.attempt);
+        let runs = self.run_counter.runs(&sent.attempt);
         let attempt = sent.attempt.clone();
         let violation = match sent.refused_with {
             Some(status) if runs > 0 => Some(Violation::FalseRefusal { attempt, status }),
             _ if sent.kind == Kind::Once && runs > 1 => Some(Violation::RanTwice { attempt, runs }),
             _ => None,
         };
-        self.tally.with(|tally| tally.violations.extend(violation));
+        self.tally.update(|tally| tally.violations.extend(violation));
     }
 }
 
 fn client(entry: SocketAddr) -> Option<HttpClient> {
-    let head_ms = ROUTE_LIMIT_MS + SLACK_MS;
+    let head_ms = ROUTE_TIMEOUT_MS + SLACK_MS;
     let limits =
         HttpLimits { head_timeout_ms: head_ms, read_timeout_ms: head_ms, ..HttpLimits::default() };
     Some(HttpClient::new(entry.to_string().parse().ok()?, limits))
@@ -139,15 +141,15 @@
     attempt: &str,
 ) -> Result<BufferedResponse, HttpError> {
     let request = client.request(Method::POST, kind.path());
-    let request = caller_headers(request, attempt, API_KEY, ROUTE_LIMIT_MS)
+    let request = caller_headers(request, attempt, API_KEY, ROUTE_TIMEOUT_MS)
         .body(Full::new(Bytes::from_static(b"{}")));
     client.fetch(request.map_err(|_| HttpError::Malformed)?, Reuse::Allowed).await
 }
 
 fn wrong_answer(kind: Kind, attempt: &str, answer: &BufferedResponse) -> Option<Violation> {
     let expected = match kind {
-        Kind::Stream => (1..=EVENTS).map(|id| event_of(attempt, id)).collect(),
-        _ => answer_to(attempt),
+        Kind::Stream => (1..=STREAM_EVENTS).map(|id| stream_event(attempt, id)).collect(),
+        _ => answer_body(attempt),
     };
     if is_signed(&answer.headers) && answer.body == expected.as_bytes() {
         return None;
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -1,7 +1,7 @@
 //! Faults drawn at random. Each lasts for a while of its own, so that they overlap.
 
 use crate::fleet::Fleet;
-use crate::proxy::Harm;
+use crate::proxy::LinkFault;
 use flamingowheel_backing::fake::LostAnswer;
 use rand::{Rng, RngExt};
 use rustix::process::Signal;
@@ -24,9 +24,9 @@
     /// An entry is told that its settings have changed.
     Hangup(usize),
     /// An entry's connections to the store are harmed.
-    StoreLink(usize, Harm),
+    StoreLink(usize, LinkFault),
     /// The connections to a backend server are harmed.
-    ServerLink(usize, Harm),
+    ServerLink(usize, LinkFault),
     /// The store refuses all calls.
     StoreDown,
     /// The store answers late.
@@ -42,7 +42,7 @@
 }
 
 /// Draws the next fault.
-pub fn draw<R>(fleet: &Fleet, rng: &mut R) -> Fault
+pub fn random_fault<R>(fleet: &Fleet, rng: &mut R) -> Fault
 where
     R: Rng,
 {
@@ -64,26 +64,26 @@
     }
 }
 
-fn harm<R>(rng: &mut R) -> Harm
+fn harm<R>(rng: &mut R) -> LinkFault
 where
     R: Rng,
 {
     match rng.random_range(0..5) {
-        0 => Harm::Delay(rng.random_range(5..200)),
-        1 => Harm::Silence,
-        2 => Harm::CutRequests,
-        3 => Harm::CutAnswers,
-        _ => Harm::Reset,
+        0 => LinkFault::Delay(rng.random_range(5..200)),
+        1 => LinkFault::Silence,
+        2 => LinkFault::CutRequests,
+        3 => LinkFault::CutAnswers,
+        _ => LinkFault::Reset,
     }
 }
 
 /// Strikes, and mends what it did after `time`.
-pub async fn strike(fleet: Arc<Fleet>, fault: Fault, time: Duration) {
+pub async fn inject(fleet: Arc<Fleet>, fault: Fault, time: Duration) {
     match fault {
         Fault::Kill(entry) => {
             fleet.entries[entry].daemon.signal(Signal::KILL);
             sleep(time).await;
-            fleet.start(entry);
+            fleet.start_entry(entry);
         }
         Fault::Pause(entry) => {
             fleet.entries[entry].daemon.signal(Signal::STOP);
@@ -101,18 +101,18 @@
             }
             fleet.entries[entry].daemon.signal(Signal::KILL);
             sleep(step).await;
-            fleet.start(entry);
+            fleet.start_entry(entry);
         }
         Fault::Hangup(entry) => fleet.entries[entry].daemon.signal(Signal::HUP),
         Fault::StoreLink(entry, harm) => {
-            fleet.entries[entry].store_link.set(harm);
+            fleet.entries[entry].store_proxy.set_fault(harm);
             sleep(time).await;
-            fleet.entries[entry].store_link.set(Harm::None);
+            fleet.entries[entry].store_proxy.set_fault(LinkFault::None);
         }
         Fault::ServerLink(server, harm) => {
-            fleet.servers[server].link.set(harm);
+            fleet.servers[server].proxy.set_fault(harm);
             sleep(time).await;
-            fleet.servers[server].link.set(Harm::None);
+            fleet.servers[server].proxy.set_fault(LinkFault::None);
         }
         Fault::StoreDown => {
             fleet.kv.set_down(true);
@@ -130,10 +130,10 @@
             fleet.kv.compact(newest);
         }
         Fault::Drain(server) => {
-            fleet.list(server, true).await;
+            fleet.publish_server(server, true).await;
             sleep(time).await;
-            fleet.list(server, false).await;
+            fleet.publish_server(server, false).await;
         }
-        Fault::Configuration => fleet.configure().await,
+        Fault::Configuration => fleet.publish_configuration().await,
     }
 }
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -1,6 +1,6 @@
 //! The processes, stand-ins and proxies of one soak.
 
-use crate::callers::{API_KEY, ROUTE_LIMIT_MS};
+use crate::callers::{API_KEY, ROUTE_TIMEOUT_MS};
 use crate::cli::Options;
 use crate::faults::GRACE_S;
 use crate::process::{Daemon, Reaper};
@@ -8,9 +8,9 @@
 use flamingowheel_backing::fake::FakeKeyValue;
 use flamingowheel_backing::kv::{KeyValue, Operation, Transaction};
 use flamingowheel_standin::platform::messages::{
-    CONFIGURATION_KEY, EntryPorts, configuration, entry_settings, server_entry, server_key,
+    CONFIGURATION_KEY, EntryPorts, configuration, entry_settings, server_key, server_record,
 };
-use flamingowheel_standin::platform::server::{Ledger, PlatformServer};
+use flamingowheel_standin::platform::server::{PlatformServer, RunCounter};
 use flamingowheel_standin::platform::store;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -36,7 +36,7 @@
     /// Where callers connect.
     pub callers: SocketAddr,
     /// The way to the store.
-    pub store_link: Proxy,
+    pub store_proxy: Proxy,
 }
 
 /// A backend server, and the proxy before it.
@@ -45,7 +45,7 @@
     /// Its name.
     pub id: String,
     /// The way to it.
-    pub link: Proxy,
+    pub proxy: Proxy,
 }
 
 /// All of them.
@@ -58,7 +58,7 @@
     /// The backend servers.
     pub servers: Vec<Server>,
     /// What these ran.
-    pub ledger: Ledger,
+    pub run_counter: RunCounter,
     version: AtomicU64,
     _reaper: Reaper,
 }
@@ -70,53 +70,53 @@
         let store = TcpListener::bind("127.0.0.1:0").await?;
         let store_address = store.local_addr()?;
         tokio::spawn(store::serve(store, kv.clone()));
-        let ledger = Ledger::default();
+        let run_counter = RunCounter::default();
         let mut servers = Vec::new();
         for number in 0..options.servers {
             let listener = TcpListener::bind("127.0.0.1:0").await?;
-            let link = Proxy::start(listener.local_addr()?).await?;
+            let proxy = Proxy::start(listener.local_addr()?).await?;
             let id = format!("s-{number}");
-            let server = PlatformServer::new(&id, ledger.clone(), WORK, SLOTS);
+            let server = PlatformServer::new(&id, run_counter.clone(), WORK, SLOTS);
             tokio::spawn(server.serve(listener));
-            servers.push(Server { id, link });
+            servers.push(Server { id, proxy });
         }
         let mut entries = Vec::new();
         for number in 0..options.entries {
-            let store_link = Proxy::start(store_address).await?;
+            let store_proxy = Proxy::start(store_address).await?;
             let ports = free_ports().await?;
             let name = format!("entry-{number}");
-            let settings = entry_settings(&name, store_link.address, ports, GRACE_S);
+            let settings = entry_settings(&name, store_proxy.address, ports, GRACE_S);
             let daemon = Daemon::new(&options.program, folder, &name, &settings)?;
             let callers = SocketAddr::from(([127, 0, 0, 1], ports.callers));
-            entries.push(Entry { daemon, callers, store_link });
+            entries.push(Entry { daemon, callers, store_proxy });
         }
         let reaper = Reaper(entries.iter().map(|entry| entry.daemon.clone()).collect());
         let version = AtomicU64::new(0);
-        let fleet = Self { kv, entries, servers, ledger, version, _reaper: reaper };
+        let fleet = Self { kv, entries, servers, run_counter, version, _reaper: reaper };
         for server in 0..fleet.servers.len() {
-            fleet.list(server, false).await;
+            fleet.publish_server(server, false).await;
         }
-        fleet.configure().await;
-        (0..fleet.entries.len()).for_each(|entry| fleet.start(entry));
+        fleet.publish_configuration().await;
+        (0..fleet.entries.len()).for_each(|entry| fleet.start_entry(entry));
         Ok(fleet)
     }
 
     /// Starts an entry, unless it runs.
-    pub fn start(&self, entry: usize) {
+    pub fn start_entry(&self, entry: usize) {
         // One that can't be started serves nobody, which the checks show.
         let _ = self.entries[entry].daemon.start();
     }
 
     /// Lists a backend server as taking work or as leaving.
-    pub async fn list(&self, server: usize, is_draining: bool) {
-        let Server { id, link } = &self.servers[server];
-        self.write(&server_key(id), server_entry(link.address, SLOTS, is_draining)).await;
+    pub async fn publish_server(&self, server: usize, is_draining: bool) {
+        let Server { id, proxy } = &self.servers[server];
+        self.write(&server_key(id), server_record(proxy.address, SLOTS, is_draining)).await;
     }
 
     /// Accepts a new version of the configuration; its routes stay as they are.
-    pub async fn configure(&self) {
+    pub async fn publish_configuration(&self) {
         let version = self.version.fetch_add(VERSION_STEP, Ordering::SeqCst) + VERSION_STEP;
-        self.write(CONFIGURATION_KEY, configuration(version, API_KEY, ROUTE_LIMIT_MS)).await;
+        self.write(CONFIGURATION_KEY, configuration(version, API_KEY, ROUTE_TIMEOUT_MS)).await;
     }
 
     /// Writes until the store has taken it, as operators and backend servers do.
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -20,7 +20,7 @@
         let name = format!("flamingowheel-soak-{}-{seed}", std::process::id());
         let folder = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&folder)?;
-        let tally = runtime.block_on(run::seed(&options, seed, &folder))?;
+        let tally = runtime.block_on(run::run_seed(&options, seed, &folder))?;
         println!("seed {seed}: {tally}");
         if tally.violations.is_empty() {
             std::fs::remove_dir_all(&folder)?;
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -12,7 +12,7 @@
 
 /// What the proxy does to connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Harm {
+pub enum LinkFault {
     /// Nothing.
     #[default]
     None,
@@ -33,7 +33,7 @@
 pub struct Proxy {
     /// Where it listens.
     pub address: SocketAddr,
-    harm: Arc<watch::Sender<Harm>>,
+    harm: Arc<watch::Sender<LinkFault>>,
 }
 
 #[derive(Clone, Copy)]
@@ -47,7 +47,7 @@
     pub async fn start(target: SocketAddr) -> std::io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
-        let (sender, harm) = watch::channel(Harm::None);
+        let (sender, harm) = watch::channel(LinkFault::None);
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 tokio::spawn(pass(stream, target, harm.clone()));
@@ -57,13 +57,13 @@
     }
 
     /// Harms connections from now on.
-    pub fn set(&self, harm: Harm) {
+    pub fn set_fault(&self, harm: LinkFault) {
         self.harm.send_replace(harm);
     }
 }
 
-async fn pass(caller: TcpStream, target: SocketAddr, harm: watch::Receiver<Harm>) {
-    if *harm.borrow() == Harm::Reset {
+async fn pass(caller: TcpStream, target: SocketAddr, harm: watch::Receiver<LinkFault>) {
+    if *harm.borrow() == LinkFault::Reset {
         reset(&caller);
         return;
     }
@@ -74,7 +74,7 @@
     let mut resets = harm.clone();
     let is_reset = async move {
         // The sender lives as long as the proxy; its end is the end of the soak.
-        let _ = resets.wait_for(|harm| *harm == Harm::Reset).await.map(|_| ());
+        let _ = resets.wait_for(|harm| *harm == LinkFault::Reset).await.map(|_| ());
     };
     let (caller, server) = (Arc::new(caller), Arc::new(server));
     let requests = copy(Arc::clone(&caller), Arc::clone(&server), harm.clone(), Way::Request);
@@ -86,7 +86,12 @@
     }
 }
 
-async fn copy(from: Arc<TcpStream>, to: Arc<TcpStream>, mut harm: watch::Receiver<Harm>, way: Way) {
+async fn copy(
+    from: Arc<TcpStream>,
+    to: Arc<TcpStream>,
+    mut harm: watch::Receiver<LinkFault>,
+    way: Way,
+) {
     let mut piece = vec![0; PIECE_BYTES];
     loop {
         let Ok(count) = read(&from, &mut piece).await else { return };
@@ -94,7 +99,7 @@
             return;
         }
         let current = *harm.borrow();
-        if let Harm::Delay(delay_ms) = current {
+        if let LinkFault::Delay(delay_ms) = current {
             sleep(Duration::from_millis(delay_ms)).await;
         }
         if harm.wait_for(|harm| !holds_back(*harm, way)).await.is_err() {
@@ -106,12 +111,12 @@
     }
 }
 
-fn holds_back(harm: Harm, way: Way) -> bool {
+fn holds_back(harm: LinkFault, way: Way) -> bool {
     let cuts_way = match way {
-        Way::Request => Harm::CutRequests,
-        Way::Answer => Harm::CutAnswers,
+        Way::Request => LinkFault::CutRequests,
+        Way::Answer => LinkFault::CutAnswers,
     };
-    harm == Harm::Silence || harm == cuts_way
+    harm == LinkFault::Silence || harm == cuts_way
 }
 
 async fn read(stream: &TcpStream, piece: &mut [u8]) -> std::io::Result<usize> {
--- a/crates/soak/src/report.rs
+++ b/crates/soak/src/report.rs
@@ -65,11 +65,11 @@
 
 /// A tally that all callers share.
 #[derive(Clone, Debug, Default)]
-pub struct Shared(Arc<Mutex<Tally>>);
+pub struct SharedTally(Arc<Mutex<Tally>>);
 
-impl Shared {
+impl SharedTally {
     /// Changes the tally.
-    pub fn with<F>(&self, change: F)
+    pub fn update<F>(&self, change: F)
     where
         F: FnOnce(&mut Tally),
     {
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -4,7 +4,7 @@
 use crate::cli::Options;
 use crate::faults;
 use crate::fleet::Fleet;
-use crate::report::{Shared, Tally};
+use crate::report::{SharedTally, Tally};
 use eyre::{Context, Result};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -31,34 +31,35 @@
 const PROBES: u32 = 30;
 
 /// Runs one seed. Settings, logs and the list of faults lie in `folder`.
-pub async fn seed(options: &Options, seed: u64, folder: &Path) -> Result<Tally> {
+pub async fn run_seed(options: &Options, seed: u64, folder: &Path) -> Result<Tally> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let fleet = Arc::new(Fleet::start_all(options, folder).await?);
     sleep(WARM_UP).await;
     let entries: Vec<_> = fleet.entries.iter().map(|entry| entry.callers).collect();
-    let (tally, stop, callers) = (Shared::default(), CancellationToken::new(), TaskTracker::new());
+    let (tally, stop, callers) =
+        (SharedTally::default(), CancellationToken::new(), TaskTracker::new());
     for _ in 0..options.callers {
-        let (entries, ledger) = (entries.clone(), fleet.ledger.clone());
-        let caller = Caller { entries, ledger, tally: tally.clone() };
+        let (entries, run_counter) = (entries.clone(), fleet.run_counter.clone());
+        let caller = Caller { entries, run_counter, tally: tally.clone() };
         callers.spawn(caller.run(rng.random(), stop.clone()));
     }
     let (strikes, mut played) = (TaskTracker::new(), String::new());
     let begun = Instant::now();
     while begun.elapsed() < Duration::from_secs(options.seconds) {
-        let fault = faults::draw(&fleet, &mut rng);
+        let fault = faults::random_fault(&fleet, &mut rng);
         let time = Duration::from_millis(rng.random_range(FAULT_TIME_MS));
         played += &format!("{} ms: {fault:?} for {time:?}\n", begun.elapsed().as_millis());
-        strikes.spawn(faults::strike(Arc::clone(&fleet), fault, time));
+        strikes.spawn(faults::inject(Arc::clone(&fleet), fault, time));
         sleep(Duration::from_millis(rng.random_range(FAULT_GAP_MS))).await;
     }
     std::fs::write(folder.join("faults.txt"), played).wrap_err("list of faults")?;
     strikes.close();
     strikes.wait().await;
     // An entry that was stopped while another fault started it again must not stay away.
-    (0..fleet.entries.len()).for_each(|entry| fleet.start(entry));
+    (0..fleet.entries.len()).for_each(|entry| fleet.start_entry(entry));
     sleep(RECOVERY).await;
     let violation = probe(&entries, PROBES, &mut rng).await;
-    tally.with(|tally| tally.violations.extend(violation));
+    tally.update(|tally| tally.violations.extend(violation));
     stop.cancel();
     callers.close();
     callers.wait().await;
--- a/crates/soak/tests/checks.rs
+++ b/crates/soak/tests/checks.rs
@@ -5,11 +5,11 @@
 use axum::http::{HeaderMap, StatusCode};
 use axum::response::{IntoResponse, Response};
 use flamingowheel_backing::client::http::{BufferedResponse, HttpClient, HttpLimits, Reuse};
-use flamingowheel_soak::callers::{Caller, ROUTE_LIMIT_MS};
-use flamingowheel_soak::proxy::{Harm, Proxy};
-use flamingowheel_soak::report::{Shared, Tally, Violation};
-use flamingowheel_standin::platform::messages::{attempt_of, caller_headers};
-use flamingowheel_standin::platform::server::{Ledger, PlatformServer};
+use flamingowheel_soak::callers::{Caller, ROUTE_TIMEOUT_MS};
+use flamingowheel_soak::proxy::{LinkFault, Proxy};
+use flamingowheel_soak::report::{SharedTally, Tally, Violation};
+use flamingowheel_standin::platform::messages::{attempt_id, caller_headers};
+use flamingowheel_standin::platform::server::{PlatformServer, RunCounter};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::net::TcpListener;
@@ -33,7 +33,7 @@
 impl Entry {
     async fn forward(&self, path: &str, headers: &HeaderMap) -> BufferedResponse {
         let request = self.server.request(http::Method::POST, path);
-        let request = caller_headers(request, attempt_of(headers), "k", ROUTE_LIMIT_MS);
+        let request = caller_headers(request, attempt_id(headers), "k", ROUTE_TIMEOUT_MS);
         let request = request.body(Default::default()).unwrap();
         self.server.fetch(request, Reuse::Allowed).await.unwrap()
     }
@@ -64,16 +64,16 @@
 
 /// One caller before one entry with this fault, until it was answered a few times.
 async fn play(fault: Fault) -> Tally {
-    let ledger = Ledger::default();
+    let run_counter = RunCounter::default();
     let (listener, address) = listen().await;
-    let server = PlatformServer::new("s", ledger.clone(), Duration::ZERO, 8);
+    let server = PlatformServer::new("s", run_counter.clone(), Duration::ZERO, 8);
     tokio::spawn(server.serve(listener));
     let server = HttpClient::new(address.to_string().parse().unwrap(), HttpLimits::default());
     let (listener, address) = listen().await;
     let router = Router::new().fallback(handle).with_state(Entry { server, fault });
     tokio::spawn(async move { axum::serve(listener, router).await });
-    let (tally, stop) = (Shared::default(), CancellationToken::new());
-    let caller = Caller { entries: vec![address], ledger, tally: tally.clone() };
+    let (tally, stop) = (SharedTally::default(), CancellationToken::new());
+    let caller = Caller { entries: vec![address], run_counter, tally: tally.clone() };
     let running = tokio::spawn(caller.run(7, stop.clone()));
     while tally.read().asked < 8 {
         tokio::task::yield_now().await;
@@ -119,7 +119,7 @@
 #[tokio::test]
 async fn set_harm_shows() {
     let (listener, address) = listen().await;
-    let server = PlatformServer::new("s", Ledger::default(), Duration::ZERO, 8);
+    let server = PlatformServer::new("s", RunCounter::default(), Duration::ZERO, 8);
     tokio::spawn(server.serve(listener));
     let proxy = Proxy::start(address).await.unwrap();
     let limits = HttpLimits { head_timeout_ms: 200, ..HttpLimits::default() };
@@ -129,10 +129,10 @@
         client.fetch(request.body(Default::default()).unwrap(), Reuse::Never).await
     };
     assert!(ask().await.is_ok());
-    proxy.set(Harm::Silence);
+    proxy.set_fault(LinkFault::Silence);
     let silent = ask().await.unwrap_err();
     assert!(matches!(silent, flamingowheel_backing::client::http::HttpError::Silent { .. }));
-    proxy.set(Harm::Reset);
+    proxy.set_fault(LinkFault::Reset);
     let reset = ask().await.unwrap_err();
     assert!(matches!(reset, flamingowheel_backing::client::http::HttpError::Lost));
 }
--- a/crates/standin/src/platform/messages.rs
+++ b/crates/standin/src/platform/messages.rs
@@ -26,7 +26,7 @@
 }
 
 /// How a backend server lists itself.
-pub fn server_entry(address: SocketAddr, slots: u32, is_draining: bool) -> String {
+pub fn server_record(address: SocketAddr, slots: u32, is_draining: bool) -> String {
     let state = if is_draining { "draining" } else { "ready" };
     json!({
         "service": SERVICE, "addr": address.to_string(), "zone": "z", "version": "1",
@@ -67,7 +67,7 @@
 }
 
 /// The attempt that a caller's request belongs to; empty if it names none.
-pub fn attempt_of(headers: &HeaderMap) -> &str {
+pub fn attempt_id(headers: &HeaderMap) -> &str {
     headers.get(ATTEMPT).and_then(|value| value.to_str().ok()).unwrap_or("")
 }
 
--- a/crates/standin/src/platform/server.rs
+++ b/crates/standin/src/platform/server.rs
@@ -1,6 +1,6 @@
 //! A backend server in the platform's form, and the ledger in which all of them note what they ran.
 
-use super::messages::{ATTEMPT, SIGNATURE, attempt_of};
+use super::messages::{ATTEMPT, SIGNATURE, attempt_id};
 use axum::Router;
 use axum::body::Body;
 use axum::extract::{Request, State};
@@ -16,13 +16,13 @@
 use tokio::time::sleep;
 
 /// Events of every stream.
-pub const EVENTS: u64 = 8;
+pub const STREAM_EVENTS: u64 = 8;
 
 /// How often each attempt of a caller began to run, over all backend servers.
 #[derive(Clone, Debug, Default)]
-pub struct Ledger(Arc<Mutex<HashMap<String, u32>>>);
+pub struct RunCounter(Arc<Mutex<HashMap<String, u32>>>);
 
-impl Ledger {
+impl RunCounter {
     /// Runs of an attempt so far.
     pub fn runs(&self, attempt: &str) -> u32 {
         self.lock().get(attempt).copied().unwrap_or(0)
@@ -43,9 +43,9 @@
     /// Its name, as it is listed.
     pub id: String,
     /// Where its runs are noted.
-    pub ledger: Ledger,
+    pub run_counter: RunCounter,
     /// Time that a plain answer takes, and that lies between two events.
-    pub work: Duration,
+    pub delay: Duration,
     /// Requests that it works on at once; more are refused.
     pub slots: u32,
     taken: Arc<AtomicU32>,
@@ -61,19 +61,19 @@
 }
 
 /// The plain answer to an attempt.
-pub fn answer_to(attempt: &str) -> String {
+pub fn answer_body(attempt: &str) -> String {
     format!("answer to {attempt}")
 }
 
 /// One event of the stream for an attempt.
-pub fn event_of(attempt: &str, id: u64) -> String {
+pub fn stream_event(attempt: &str, id: u64) -> String {
     format!("id: {id}\ndata: {attempt} {id}\n\n")
 }
 
 impl PlatformServer {
     /// A server that has run nothing yet.
-    pub fn new(id: &str, ledger: Ledger, work: Duration, slots: u32) -> Self {
-        Self { id: id.to_owned(), ledger, work, slots, taken: Arc::default() }
+    pub fn new(id: &str, run_counter: RunCounter, delay: Duration, slots: u32) -> Self {
+        Self { id: id.to_owned(), run_counter, delay, slots, taken: Arc::default() }
     }
 
     /// Serves until dropped.
@@ -99,7 +99,7 @@
 }
 
 async fn handle(State(server): State<PlatformServer>, request: Request) -> Response {
-    let attempt = attempt_of(request.headers()).to_owned();
+    let attempt = attempt_id(request.headers()).to_owned();
     let expected = text(request.headers(), "flamingowheel-expect-instance");
     if !expected.is_empty() && expected != server.id {
         return response(StatusCode::MISDIRECTED_REQUEST, &[(ATTEMPT, &attempt)], Body::empty());
@@ -108,22 +108,22 @@
         let headers = [(ATTEMPT, attempt.as_str()), ("flamingowheel-not-executed", "1")];
         return response(StatusCode::SERVICE_UNAVAILABLE, &headers, Body::empty());
     };
-    server.ledger.note(&attempt);
+    server.run_counter.note(&attempt);
     let headers = [(ATTEMPT, attempt.as_str()), (SIGNATURE, server.id.as_str())];
     if !request.uri().path().starts_with("/stream/") {
-        sleep(server.work).await;
-        return response(StatusCode::OK, &headers, Body::from(answer_to(&attempt)));
+        sleep(server.delay).await;
+        return response(StatusCode::OK, &headers, Body::from(answer_body(&attempt)));
     }
     let after: u64 = text(request.headers(), "last-event-id").parse().unwrap_or(0);
-    let work = server.work;
+    let work = server.delay;
     let events = stream::unfold(
         (after + 1, attempt.clone(), place),
         move |(id, attempt, place)| async move {
-            if id > EVENTS {
+            if id > STREAM_EVENTS {
                 return None;
             }
             sleep(work).await;
-            let event = Ok::<_, std::io::Error>(Bytes::from(event_of(&attempt, id)));
+            let event = Ok::<_, std::io::Error>(Bytes::from(stream_event(&attempt, id)));
             Some((event, (id + 1, attempt, place)))
         },
     );
