--- a/crates/proof/benches/capacity.rs
+++ b/crates/proof/benches/capacity.rs
@@ -1,8 +1,8 @@
-//! What one more of each thing costs: memory, processor time and bytes, measured on the code that
-//! ships. Prints `name=value` lines; docs/CAPACITY.md multiplies them.
+//! Measures the marginal cost of entries, agents, links and messages in memory, CPU time and bytes,
+//! on the production code. Prints `name=value` lines; docs/CAPACITY.md multiplies them.
 //!
-//! Memory is what the allocator handed out and did not get back. Processor time is that of the one
-//! thread that does the work, as the kernel counts it.
+//! Memory is allocated minus freed bytes. CPU time is that of the one thread that does the work, as
+//! the kernel counts it.
 #![allow(clippy::print_stdout, missing_docs, reason = "a program")]
 
 #[path = "capacity/configuration.rs"]
@@ -27,16 +27,16 @@
 
 type Failure = Box<dyn std::error::Error + Send + Sync>;
 
-/// Sizes of letter 1.
+/// Sizes of the planned fleet.
 const WORKSPACES: usize = 27_000;
 const ENTRIES: usize = 380;
 const SERVERS: usize = 7_300;
 const LAYERS: usize = 58;
 const EXPERTS: usize = 64;
 const RANKS: usize = 32;
-/// Processor time that one measurement takes at the least.
-const LEAST_CPU_NS: f64 = 400e6;
-/// A smaller size, to take the slope to the larger one.
+/// CPU time that one measurement takes at least.
+const MIN_CPU_NS: f64 = 400e6;
+/// Divisor of the smaller size; costs per item are the slope between the two sizes.
 const FEWER: usize = 10;
 
 fn main() -> Result<(), Failure> {
@@ -68,7 +68,7 @@
     change.bytes_allocated as f64 - change.bytes_deallocated as f64
 }
 
-/// Bytes that each of `count` things adds beyond a tenth of them.
+/// Bytes per item: the slope between a tenth of `count` items and all of them.
 fn bytes_each<T, F>(count: usize, make: F) -> f64
 where
     F: Fn(usize) -> T,
@@ -79,21 +79,21 @@
     (large_bytes - small_bytes) / (count - fewer) as f64
 }
 
-/// Processor time of this thread, in nanoseconds.
+/// CPU time of this thread, in nanoseconds.
 fn thread_cpu_ns() -> Result<f64, Failure> {
     let text = std::fs::read_to_string("/proc/thread-self/schedstat")?;
     Ok(text.split_whitespace().next().unwrap_or_default().parse()?)
 }
 
-/// Processor time in microseconds of one call. The kernel may count in ticks of 4 ms, so calls go on
-/// until they have taken many of these.
+/// CPU time in microseconds of one call. The kernel may count in ticks of 4 ms, so calls are
+/// repeated until they have taken many ticks.
 fn cpu_us_each<F>(batch: u32, mut work: F) -> Result<f64, Failure>
 where
     F: FnMut(u32),
 {
     let before = thread_cpu_ns()?;
     let (mut rounds, mut taken_ns) = (0, 0.0);
-    while taken_ns < LEAST_CPU_NS {
+    while taken_ns < MIN_CPU_NS {
         (rounds..rounds + batch).for_each(&mut work);
         rounds += batch;
         taken_ns = thread_cpu_ns()? - before;
--- a/crates/proof/benches/capacity/decisions.rs
+++ b/crates/proof/benches/capacity/decisions.rs
@@ -1,4 +1,4 @@
-//! What the decisions know, and the cuts of the fleet they are made within.
+//! Memory of the policy state, cost of computing cells, and cost of a group's plan.
 
 use std::time::Duration;
 
@@ -24,49 +24,49 @@
 };
 
 pub fn measure() -> Result<(), Failure> {
-    books();
+    policy_state();
     subsets()?;
     groups()
 }
 
-fn books() {
+fn policy_state() {
     let load = Load { running: 3, waiting: 0, places: 8, service_ms: 2_000 };
-    let book = |count: usize| {
-        let mut book = LoadTracker::default();
+    let tracker = |count: usize| {
+        let mut tracker = LoadTracker::default();
         for server in (0..count as u64).map(ServerKey) {
-            book.insert(server);
-            book.on_current_load(server, load, Duration::from_secs(1));
-            book.on_sent(server, Duration::from_secs(2));
+            tracker.insert(server);
+            tracker.on_current_load(server, load, Duration::from_secs(1));
+            tracker.on_sent(server, Duration::from_secs(2));
         }
-        book
+        tracker
     };
-    print("load_bytes_per_server", bytes_each(4_000, book));
+    print("load_bytes_per_server", bytes_each(4_000, tracker));
     let limits = Limits { requests_per_s: 10.0, tokens_per_s: 2_000.0, in_flight: 32 };
     let members: Vec<EntryKey> = (0..2).map(EntryKey).collect();
     let workspaces = |count: usize| {
-        let own = |_| {
+        let workspace = |_| {
             let config = SplitConfig::default();
-            let mut own = WorkspaceLimits::new(config, limits, EntryKey(0), Duration::ZERO);
-            own.set_members(&members, Duration::ZERO);
-            own
+            let mut limits = WorkspaceLimits::new(config, limits, EntryKey(0), Duration::ZERO);
+            limits.set_members(&members, Duration::ZERO);
+            limits
         };
-        (0..count).map(own).collect::<Vec<_>>()
+        (0..count).map(workspace).collect::<Vec<_>>()
     };
     print("limits_bytes_per_workspace", bytes_each(10_000, workspaces));
     let blocks = |count: usize| {
         let config = PrefixConfig { max_blocks: 2 * count, ..PrefixConfig::default() };
-        let mut book = PrefixIndex::new(config);
+        let mut index = PrefixIndex::new(config);
         let stored = CacheChange::Stored((0..count as u64).map(BlockHash).collect());
-        book.on_event(ServerKey(1), CacheEvent { number: 1, change: stored }, Duration::ZERO);
-        book
+        index.on_event(ServerKey(1), CacheEvent { number: 1, change: stored }, Duration::ZERO);
+        index
     };
     print("prefix_bytes_per_block", bytes_each(16_384, blocks));
     let suspects = |count: usize| {
-        let mut book = SuspectTracker::new(SuspicionConfig::default());
+        let mut tracker = SuspectTracker::new(SuspicionConfig::default());
         let crash = CrashId { server: ServerKey(1), number: 1 };
         let running: Vec<Fingerprint> = (0..count as u128).map(Fingerprint).collect();
-        book.on_crash(crash, &running, Duration::ZERO);
-        book
+        tracker.on_crash(crash, &running, Duration::ZERO);
+        tracker
     };
     print("suspicion_bytes_per_fingerprint", bytes_each(8_000, suspects));
     let (_recorder, ring_bytes) = allocated(|| {
@@ -79,7 +79,7 @@
     print("events_ring_bytes", ring_bytes);
 }
 
-/// Cells of the whole fleet, as each entry computes them when the membership changes.
+/// Computes the cells of the whole fleet, as each entry does when the membership changes.
 fn subsets() -> Result<(), Failure> {
     // Three data centres in one region, two in the other.
     let region = |number: usize| RegionKey(u64::from(number % 5 >= 3));
@@ -93,9 +93,9 @@
     let entries: Vec<EntryInfo> = (0..ENTRIES).map(entry).collect();
     const MODELS: usize = 14;
     let servers = |model: usize, within: u64| -> Vec<ServerKey> {
-        let own = (0..SERVERS).filter(|server| server % MODELS == model);
-        let own = own.filter(|server| region(*server) == RegionKey(within));
-        own.map(|server| ServerKey::from_name(&format!("server-{server}"))).collect()
+        let of_model = (0..SERVERS).filter(|server| server % MODELS == model);
+        let of_model = of_model.filter(|server| region(*server) == RegionKey(within));
+        of_model.map(|server| ServerKey::from_name(&format!("server-{server}"))).collect()
     };
     let scope = |model: usize, within: u64| {
         let key = ScopeKey(model as u64).within(RegionKey(within));
@@ -115,21 +115,21 @@
     print("subset_links_per_agent_max", most_entries as f64);
     let build_us = cpu_us_each(5, |_| drop(std::hint::black_box(build())))?;
     print("subset_build_cpu_us_of_fleet", build_us);
-    let own = DataCentreKey(1);
+    let data_centre = DataCentreKey(1);
     let answer_us = cpu_us_each(2_000, |round| {
         let workspace = WorkspaceKey(u64::from(round));
         std::hint::black_box(cells.entries_for(
             workspace,
             &[ScopeKey(3).within(RegionKey(0))],
             1.0,
-            own,
+            data_centre,
         ));
     })?;
     print("subset_answer_cpu_us", answer_us);
     Ok(())
 }
 
-/// What one group's coordinator holds and plans with.
+/// Memory of one group's coordinator and the cost of a plan.
 fn groups() -> Result<(), Failure> {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let speeds = vec![1.0; RANKS];
--- a/crates/proof/benches/capacity/directory.rs
+++ b/crates/proof/benches/capacity/directory.rs
@@ -1,4 +1,4 @@
-//! The directory of agents, and the VM list that it is found through.
+//! The directory of agents, and the VM list from which agents are discovered.
 
 use flamingowheel_backing::vm::{Vm, VmState};
 use flamingowheel_control::directory::Directory;
@@ -40,25 +40,27 @@
     directory
 }
 
-fn news_bytes(agents: Vec<AgentRecord>) -> Result<usize, Failure> {
+fn update_bytes(agents: Vec<AgentRecord>) -> Result<usize, Failure> {
     Ok(encode(0, &[MembershipUpdate { agents, ..MembershipUpdate::default() }])?.len())
 }
 
 pub fn measure() -> Result<(), Failure> {
     print("directory_bytes_per_agent", bytes_each(SERVERS, directory));
-    let known = directory(SERVERS);
-    let all = known.changed_after(0);
-    let one = news_bytes(all[..1].to_vec())?;
-    print("directory_record_wire_bytes", (news_bytes(all[..2].to_vec())? - one) as f64);
-    print("directory_whole_wire_bytes", news_bytes(all)? as f64);
-    print("directory_digests_wire_bytes", encode(0, known.digests())?.len() as f64);
-    let mut other = known.clone();
+    let directory = directory(SERVERS);
+    let all = directory.changed_after(0);
+    let one = update_bytes(all[..1].to_vec())?;
+    print("directory_record_wire_bytes", (update_bytes(all[..2].to_vec())? - one) as f64);
+    print("directory_whole_wire_bytes", update_bytes(all)? as f64);
+    print("directory_digests_wire_bytes", encode(0, directory.digests())?.len() as f64);
+    let mut other = directory.clone();
     let changed = AgentRecord { version: 2, ..agent(17) };
     other.merge(changed, SERVERS as u64 + 1, Instant::now());
-    let parts = known.differing_parts(other.digests());
-    print("directory_part_wire_bytes", news_bytes(other.records_in_parts(&parts))? as f64);
+    let parts = directory.differing_parts(other.digests());
+    print("directory_part_wire_bytes", update_bytes(other.records_in_parts(&parts))? as f64);
     let compare_us = cpu_us_each(200, |_| {
-        std::hint::black_box(known.records_in_parts(&known.differing_parts(other.digests())));
+        std::hint::black_box(
+            directory.records_in_parts(&directory.differing_parts(other.digests())),
+        );
     })?;
     print("directory_compare_cpu_us", compare_us);
     let vm = |number: usize| Vm {
--- a/crates/proof/benches/capacity/links.rs
+++ b/crates/proof/benches/capacity/links.rs
@@ -50,8 +50,8 @@
 type EntryEnd = Link<EntryMessage, AgentMessage>;
 type AgentEnd = Link<AgentMessage, EntryMessage>;
 
-/// Idle links between one entry and agents over loopback, both ends in this thread. The agents'
-/// ends send the heartbeat with their load once a second, as an idle agent does.
+/// Measures idle links between one entry and agents over loopback, both ends in this thread. The
+/// agents' ends send a heartbeat with their load once a second, as an idle agent does.
 async fn links() -> Result<(), Failure> {
     const FEW: usize = 20;
     const MANY: usize = 220;
@@ -97,7 +97,7 @@
     Ok(links)
 }
 
-/// Finished work that a ticket's resend may still ask for.
+/// Measures records of finished work that a resend under a ticket may still need.
 async fn records() -> Result<(), Failure> {
     const FEW: usize = 1_000;
     const MANY: usize = 20_000;
--- a/crates/proof/benches/capacity/membership.rs
+++ b/crates/proof/benches/capacity/membership.rs
@@ -1,4 +1,4 @@
-//! The table of entries and its heartbeats.
+//! The membership table of entries and its heartbeats.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -33,15 +33,15 @@
     }
 }
 
-/// A node that has heard of `count` entries.
+/// A node whose membership table has `count` entries.
 async fn node_of(own: usize, count: usize) -> Node {
     let node = Node::new(member(own), Recorder::for_tests("entry"));
     let others = Node::new(member(count), Recorder::for_tests("other"));
     let records: Vec<MemberRecord> =
         (0..count).filter(|number| *number != own).map(member).collect();
-    let news = MembershipUpdate { records, ..MembershipUpdate::default() };
+    let update = MembershipUpdate { records, ..MembershipUpdate::default() };
     let mut heartbeat = others.heartbeat(None, Duration::ZERO);
-    heartbeat.updates = news;
+    heartbeat.updates = update;
     node.answer(PeerRequest::Heartbeat(Box::new(heartbeat))).await;
     node
 }
@@ -71,20 +71,20 @@
     let both_ends = (thread_cpu_ns()? - before) / 1_000.0 / f64::from(ROUNDS);
     print("membership_heartbeat_cpu_us_both_ends", both_ends);
     let mut table = Table::new(member(1), Instant::now());
-    let news = MembershipUpdate {
+    let update = MembershipUpdate {
         records: (0..ENTRIES).map(member).collect(),
         ..MembershipUpdate::default()
     };
-    table.merge(news, Instant::now());
+    table.merge(update, Instant::now());
     let duties_us = cpu_us_each(200, |_| drop(std::hint::black_box(Duties::new(&table))))?;
     print("membership_duties_cpu_us_per_change_of_members", duties_us);
     let links = |own: usize| -> usize {
-        let news = MembershipUpdate {
+        let update = MembershipUpdate {
             records: (0..ENTRIES).map(member).collect(),
             ..MembershipUpdate::default()
         };
         let mut table = Table::new(member(own), Instant::now());
-        table.merge(news, Instant::now());
+        table.merge(update, Instant::now());
         let duties = Duties::new(&table);
         duties.poll_targets.len() + duties.pollers.len()
     };
@@ -96,12 +96,12 @@
 
 /// One heartbeat and its answer, encoded and decoded; returns the bytes of both.
 async fn heartbeat(child: &Node, parent: &Node) -> Result<(usize, usize), Failure> {
-    let asked = SentHeartbeat { table_version: child.table_version(), sent_at: Instant::now() };
+    let sent = SentHeartbeat { table_version: child.table_version(), sent_at: Instant::now() };
     let name = parent.own_record().name;
     let request = PeerRequest::Heartbeat(Box::new(child.heartbeat(Some(&name), Duration::ZERO)));
     let (request, request_bytes) = through_codec(request)?;
     let (answer, answer_bytes) = through_codec(parent.answer(request).await)?;
     let PeerAnswer::Heartbeat(answer) = answer else { return Err("no heartbeat".into()) };
-    child.apply_heartbeat_answer(*answer, asked);
+    child.apply_heartbeat_answer(*answer, sent);
     Ok((request_bytes, answer_bytes))
 }
--- a/crates/proof/benches/capacity/wire.rs
+++ b/crates/proof/benches/capacity/wire.rs
@@ -1,4 +1,4 @@
-//! Bytes and coding time of single messages.
+//! Size and codec time of single messages.
 
 use bytes::Bytes;
 use flamingowheel_policy::key::Fingerprint;
--- a/crates/proof/benches/outage.rs
+++ b/crates/proof/benches/outage.rs
@@ -1,7 +1,8 @@
-//! What non-idempotent work costs and what becomes of it while the key-value service is down.
+//! Measures the cost and the outcomes of non-idempotent work while the key-value service is down.
 //!
-//! Runs on a paused clock. Prints `name=value` lines; `--seed N` draws other arrivals and kills. The
-//! code under test draws identities of its own, so counts of a seed can differ a little.
+//! Runs on a paused clock. Prints `name=value` lines; `--seed N` changes arrivals and kills. The
+//! code under test draws random ids of its own, so counts for one seed can differ slightly between
+//! runs.
 #![allow(clippy::print_stdout, missing_docs, reason = "a program")]
 
 #[path = "outage/keys.rs"]
@@ -22,7 +23,7 @@
     runtime()?.block_on(keys::measure(seed))
 }
 
-/// A runtime of its own for each measurement, so that no task of one goes on in the next.
+/// Creates a runtime per measurement, so that no task continues into the next measurement.
 fn runtime() -> std::io::Result<tokio::runtime::Runtime> {
     tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build()
 }
--- a/crates/proof/benches/outage/keys.rs
+++ b/crates/proof/benches/outage/keys.rs
@@ -19,37 +19,37 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep};
 
-/// A small fleet, and the planned one with and without handing claims to few entries.
+/// A small fleet, and the planned one with and without forwarding claims to a few writers.
 const FLEETS: [Fleet; 3] = [
-    Fleet { name: "8_entries", entries: 8, regions: 1, hands: true },
-    Fleet { name: "380_entries_each_writes", entries: 380, regions: 2, hands: false },
-    Fleet { name: "380_entries", entries: 380, regions: 2, hands: true },
+    Fleet { name: "8_entries", entries: 8, regions: 1, forwards_claims: true },
+    Fleet { name: "380_entries_each_writes", entries: 380, regions: 2, forwards_claims: false },
+    Fleet { name: "380_entries", entries: 380, regions: 2, forwards_claims: true },
 ];
-/// A message between two entries of a region.
-const HAND_TIME: Duration = Duration::from_millis(1);
+/// One-way latency between two entries of a region.
+const FORWARD_TIME: Duration = Duration::from_millis(1);
 const KEYS_PER_S: [u32; 3] = [10, 100, 650];
 const ANSWER_TIMES: [Duration; 3] =
     [Duration::from_millis(2), Duration::from_millis(10), Duration::from_millis(50)];
 /// How long a caller waits.
 const DEADLINE: Duration = Duration::from_secs(10);
-const LENGTH: Duration = Duration::from_secs(60);
-/// Longer than the service's clients wait.
-const SILENT: Duration = Duration::from_secs(3_600);
+const RUN_TIME: Duration = Duration::from_secs(60);
+/// Longer than the timeout of the service's clients.
+const SILENT_DELAY: Duration = Duration::from_secs(3_600);
 
 #[derive(Clone, Copy)]
 struct Fleet {
     name: &'static str,
     entries: usize,
     regions: usize,
-    /// Claims are handed to the entries that write for others.
-    hands: bool,
+    /// Whether entries forward claims to the entries that write for others.
+    forwards_claims: bool,
 }
 
 /// The other entries of a region, in memory.
 struct Region {
     own: String,
     entries: Arc<BTreeMap<String, Claims>>,
-    handed: Arc<AtomicU32>,
+    forwarded: Arc<AtomicU32>,
 }
 
 impl Peers for Region {
@@ -61,29 +61,29 @@
     fn forward<'a>(
         &'a self,
         writer: &'a str,
-        handed: &'a ForwardedClaim,
+        forwarded: &'a ForwardedClaim,
     ) -> BoxFuture<'a, Option<BindReply>> {
-        self.handed.fetch_add(1, Ordering::Relaxed);
+        self.forwarded.fetch_add(1, Ordering::Relaxed);
         Box::pin(async move {
-            sleep(HAND_TIME).await;
-            let settled = self.entries.get(writer)?.bind_for_peer(handed.clone()).await;
-            sleep(HAND_TIME).await;
-            Some(settled)
+            sleep(FORWARD_TIME).await;
+            let reply = self.entries.get(writer)?.bind_for_peer(forwarded.clone()).await;
+            sleep(FORWARD_TIME).await;
+            Some(reply)
         })
     }
 }
 
-/// What the service is like during a measurement.
+/// How the service behaves during a measurement.
 #[derive(Clone, Copy)]
 enum Service {
     Answers(Duration),
-    /// It refuses connections.
+    /// Refuses connections.
     Refuses,
-    /// It takes calls and answers none.
+    /// Accepts calls and never answers.
     Silent,
 }
 
-/// Counts every call that is tried, served or not.
+/// Counts every attempted call, whether or not it succeeds.
 #[derive(Clone)]
 struct Counting {
     kv: FakeKeyValue,
@@ -138,7 +138,7 @@
 
 /// Measures all rates.
 pub async fn measure(seed: u64) -> Result<(), Failure> {
-    println!("keys_length_s={}", LENGTH.as_secs());
+    println!("keys_length_s={}", RUN_TIME.as_secs());
     for fleet in FLEETS {
         for keys_per_s in KEYS_PER_S {
             measure_rate(seed, fleet, keys_per_s).await?;
@@ -168,26 +168,26 @@
 ) -> Result<(), Failure> {
     let kv = FakeKeyValue::new();
     let counting = Counting { kv: kv.clone(), transacts: Arc::default(), others: Arc::default() };
-    let handed = Arc::new(AtomicU32::new(0));
+    let forwarded = Arc::new(AtomicU32::new(0));
     let entries: Vec<_> = (0..fleet.entries).map(|entry| start(entry, &counting)).collect();
     for (number, claims) in entries.iter().enumerate() {
-        // An entry in use has a lease already.
+        // An entry in use already has a lease.
         let deadline = Instant::now() + DEADLINE;
         claims.bind("workspace", &format!("first-{number}"), claim(), deadline).await?;
     }
-    if fleet.hands {
-        connect(&entries, fleet.regions, &handed);
+    if fleet.forwards_claims {
+        connect(&entries, fleet.regions, &forwarded);
     }
     match service {
         Service::Answers(time) => kv.set_delay(time),
         Service::Refuses => kv.set_down(true),
-        Service::Silent => kv.set_delay(SILENT),
+        Service::Silent => kv.set_delay(SILENT_DELAY),
     }
     let before = [&counting.transacts, &counting.others].map(|count| count.load(Ordering::Relaxed));
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let (begin, mut calls) = (Instant::now(), JoinSet::new());
     let (mut asked, mut due_s) = (0_u32, 0.0);
-    while due_s < LENGTH.as_secs_f64() {
+    while due_s < RUN_TIME.as_secs_f64() {
         tokio::time::sleep_until(begin + Duration::from_secs_f64(due_s)).await;
         let (claims, key) =
             (entries[rng.random_range(0..fleet.entries)].clone(), format!("key-{asked}"));
@@ -200,7 +200,7 @@
         due_s += gap_s(&mut rng, keys_per_s);
     }
     let counts = [&counting.transacts, &counting.others].map(|count| count.load(Ordering::Relaxed));
-    let per_s = |index: usize| f64::from(counts[index] - before[index]) / LENGTH.as_secs_f64();
+    let per_s = |index: usize| f64::from(counts[index] - before[index]) / RUN_TIME.as_secs_f64();
     let mut waits = Vec::new();
     let mut bound = 0_u32;
     while let Some(call) = calls.join_next().await {
@@ -214,10 +214,10 @@
     println!("{name}_bound={bound}");
     println!("{name}_transactions_per_s={:.2}", per_s(0));
     println!("{name}_other_calls_per_s={:.2}", per_s(1));
-    let handed = f64::from(handed.load(Ordering::Relaxed)) / LENGTH.as_secs_f64();
-    println!("{name}_handed_per_s={handed:.2}");
+    let forwarded = f64::from(forwarded.load(Ordering::Relaxed)) / RUN_TIME.as_secs_f64();
+    println!("{name}_handed_per_s={forwarded:.2}");
     println!("{name}_wait_p99_ms={}", p99.as_millis());
-    // A settled service, so that nothing of this run goes on in the next.
+    // Lets all calls end, so that none continues into the next run.
     sleep(Duration::from_secs(5)).await;
     Ok(())
 }
@@ -228,15 +228,15 @@
     -(1.0 - uniform).ln() / f64::from(per_s)
 }
 
-/// Lets each entry reach the others of its region.
-fn connect(entries: &[Claims], regions: usize, handed: &Arc<AtomicU32>) {
+/// Connects each entry to the others of its region.
+fn connect(entries: &[Claims], regions: usize, forwarded: &Arc<AtomicU32>) {
     for region in 0..regions {
-        let own = entries.iter().enumerate().skip(region).step_by(regions);
-        let named = own.map(|(entry, claims)| (entry_name(entry), claims.clone()));
+        let in_region = entries.iter().enumerate().skip(region).step_by(regions);
+        let named = in_region.map(|(entry, claims)| (entry_name(entry), claims.clone()));
         let peers: Arc<BTreeMap<_, _>> = Arc::new(named.collect());
         for (name, claims) in peers.iter() {
             let (own, entries) = (name.clone(), Arc::clone(&peers));
-            claims.set_peers(Arc::new(Region { own, entries, handed: Arc::clone(handed) }));
+            claims.set_peers(Arc::new(Region { own, entries, forwarded: Arc::clone(forwarded) }));
         }
     }
 }
--- a/crates/proof/benches/outage/tickets.rs
+++ b/crates/proof/benches/outage/tickets.rs
@@ -1,4 +1,4 @@
-//! Ticketed work while the key-value service is down, with and without kills.
+//! Work under tickets while the key-value service is down, with and without kills.
 
 use crate::Failure;
 use bytes::Bytes;
@@ -14,21 +14,20 @@
 
 /// How long the key-value service is down.
 const OUTAGE: Duration = Duration::from_secs(300);
-/// Time between two pieces of work.
-const ARRIVAL: Duration = Duration::from_millis(50);
+const ARRIVAL_INTERVAL: Duration = Duration::from_millis(50);
 /// How long a service takes for a piece of work.
 const SERVICE_TIME: Duration = Duration::from_millis(100);
 /// How long a caller waits for an answer.
 const TIMEOUT_MS: u64 = 5_000;
-/// One kill in so many arrivals: one in three seconds.
+/// Arrivals per kill: about one kill every three seconds.
 const KILL_ONE_IN: u32 = 60;
-/// Times that a caller resends work under its ticket, if it was told anything but "complete".
+/// Resends under the ticket until the outcome is "complete".
 const RESENDS: u32 = 3;
-/// Arrivals between two tries of a caller; a second.
+/// Arrivals between two attempts of a caller; one second.
 const RESEND_AFTER: u32 = 20;
-/// Share of ticketed work that must be accepted and run while nothing but the key-value service
+/// Minimum share of work under tickets that is accepted and run while only the key-value service
 /// fails.
-const LEAST_SHARE: f64 = 0.99;
+const MIN_SHARE: f64 = 0.99;
 
 struct Outstanding {
     work: usize,
@@ -70,9 +69,9 @@
         run.restart_due();
         run.ask().await;
         run.resend();
-        sleep(ARRIVAL).await;
+        sleep(ARRIVAL_INTERVAL).await;
     }
-    // Every promise is checked here; a broken one fails the run.
+    // Checks every invariant; a violation fails the run.
     run.world.settle().await?;
     run.report(if kills { "kills" } else { "no_kills" }, !kills)
 }
@@ -165,8 +164,8 @@
         if double_runs > 0 {
             return Err(format!("{double_runs} pieces of work ran twice").into());
         }
-        if must_reach_share && share < LEAST_SHARE {
-            return Err(format!("share {share} below {LEAST_SHARE}").into());
+        if must_reach_share && share < MIN_SHARE {
+            return Err(format!("share {share} below {MIN_SHARE}").into());
         }
         Ok(())
     }
--- a/crates/proof/examples/faults.rs
+++ b/crates/proof/examples/faults.rs
@@ -1,4 +1,5 @@
-//! Runs every cell of the fault matrix and every two faults that meet, and writes the page about it.
+//! Runs every cell of the fault matrix and every two faults that meet, and writes the page about
+//! it.
 
 #![allow(clippy::print_stdout, clippy::print_stderr, reason = "the page is the output")]
 
--- a/crates/proof/src/backend.rs
+++ b/crates/proof/src/backend.rs
@@ -11,10 +11,11 @@
 use tokio::sync::{mpsc, watch};
 use tokio_util::sync::CancellationToken;
 
-/// Pieces that wait in the process's socket.
+/// Capacity of the process's socket buffer, in body pieces.
 const BODY_CAPACITY: usize = 8;
 
-/// What befalls a process as a whole. All its connections share one.
+/// Whether a simulated process runs, is paused or was killed. Clones share it; all connections of
+/// the process hold one.
 #[derive(Clone, Debug)]
 pub struct Lifecycle {
     killed: CancellationToken,
@@ -33,7 +34,7 @@
         self.killed.cancel();
     }
 
-    /// Whether it was killed.
+    /// Whether the process was killed.
     pub fn is_killed(&self) -> bool {
         self.killed.is_cancelled()
     }
@@ -43,7 +44,7 @@
         self.killed.cancelled().await;
     }
 
-    /// Stops the process without closing anything, or lets it go on.
+    /// Pauses the process without closing its connections, or resumes it.
     pub fn set_paused(&self, paused: bool) {
         self.paused.send_replace(paused);
     }
@@ -59,13 +60,13 @@
         let _ = paused.wait_for(|paused| *paused).await;
     }
 
-    /// Waits while the process is paused.
+    /// Waits until the process is not paused.
     pub async fn resumed(&self) {
         let mut paused = self.paused.subscribe();
         let _ = paused.wait_for(|paused| !paused).await;
     }
 
-    /// Runs what the process does; nothing of it runs while the process is paused.
+    /// Runs a task of the process; it makes no progress while the process is paused.
     pub async fn run<F>(self, work: F)
     where
         F: Future<Output = ()>,
@@ -81,8 +82,8 @@
         }
     }
 
-    /// Runs a call of the process to the outside. Killed, it never returns to its caller; the
-    /// call is dropped, as the kernel closes a dead process's sockets.
+    /// Runs an outgoing call of the process. Once the process is killed, the call is dropped and
+    /// never returns, as the kernel closes a dead process's sockets.
     pub async fn run_call<F>(&self, call: F) -> F::Output
     where
         F: Future,
@@ -98,10 +99,10 @@
     }
 }
 
-/// Bodies that were sent to a backend server, by whatever process.
+/// Bodies that were sent to a backend server, by any process.
 pub type SentBodies = Arc<Mutex<HashSet<Bytes>>>;
 
-/// The backend server of an agent process.
+/// The connection of one agent process to its backend server.
 pub struct ProcessBackend {
     backend: Arc<dyn BackendServer>,
     lifecycle: Lifecycle,
@@ -109,7 +110,7 @@
 }
 
 impl ProcessBackend {
-    /// The view of one process.
+    /// `sent` receives the body of every call.
     pub fn new(backend: Arc<dyn BackendServer>, lifecycle: Lifecycle, sent: SentBodies) -> Self {
         Self { backend, lifecycle, sent }
     }
@@ -117,7 +118,11 @@
 
 type Piece = Result<BodyPiece, BackendError>;
 
-async fn carry(mut from: mpsc::Receiver<Piece>, to: mpsc::Sender<Piece>, lifecycle: Lifecycle) {
+async fn forward_pieces(
+    mut from: mpsc::Receiver<Piece>,
+    to: mpsc::Sender<Piece>,
+    lifecycle: Lifecycle,
+) {
     loop {
         lifecycle.resumed().await;
         let piece = tokio::select! {
@@ -133,7 +138,7 @@
         }
     }
     drop(from);
-    // A dead process sees no end either.
+    // A dead process sees no end of the body either.
     std::future::pending::<()>().await;
 }
 
@@ -144,7 +149,7 @@
             self.sent.lock().unwrap_or_else(PoisonError::into_inner).insert(body);
             let answer = self.lifecycle.run_call(self.backend.call(call)).await?;
             let (sender, body) = mpsc::channel(BODY_CAPACITY);
-            tokio::spawn(carry(answer.body, sender, self.lifecycle.clone()));
+            tokio::spawn(forward_pieces(answer.body, sender, self.lifecycle.clone()));
             Ok(BackendAnswer { body, ..answer })
         })
     }
--- a/crates/proof/src/caller.rs
+++ b/crates/proof/src/caller.rs
@@ -1,4 +1,4 @@
-//! Callers as they see the fleet: over HTTP, with nothing but status, headers and body.
+//! Callers of the fleet: over HTTP, with nothing but status, headers and body.
 
 use crate::backend::Lifecycle;
 use crate::entry::{SERVICE, TOKEN};
@@ -15,48 +15,48 @@
 use http_body_util::BodyExt;
 use tower::ServiceExt;
 
-/// What a caller was told.
+/// The outcome of a call as its caller sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// Nothing yet.
+    /// No answer yet.
     Pending,
-    /// A whole answer.
+    /// A complete answer.
     Complete(Bytes),
-    /// It did not run and won't.
+    /// The call did not run and will not; has the body of the answer.
     NotRun(String),
-    /// Nobody can know.
+    /// Whether the call ran is unknown; has the body of the answer.
     Unknown(String),
-    /// The connection broke, which tells as little.
+    /// The connection broke; whether the call ran is unknown.
     Broken,
 }
 
-/// What is asked.
+/// Kind of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallKind {
     /// A chat completion.
     Chat,
     /// An idempotent service call.
     Status,
-    /// A non-idempotent one.
+    /// A non-idempotent service call.
     Order,
-    /// A non-idempotent one under a ticket.
+    /// A non-idempotent service call under a ticket.
     Ticket(String),
-    /// A non-idempotent one under a key of the caller's own.
+    /// A non-idempotent service call under the caller's idempotency key.
     Key(String),
-    /// Give a ticket up.
+    /// Voids a ticket.
     Void(String),
-    /// Which addresses to use.
+    /// Asks which entry addresses to use.
     Addresses,
 }
 
 /// One call.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// What is asked.
+    /// Selects method, path and headers.
     pub kind: CallKind,
-    /// The body.
+    /// Body of the HTTP request.
     pub body: Bytes,
-    /// How long the caller waits for the answer to begin.
+    /// Timeout for the start of the answer, sent as a header.
     pub timeout_ms: u64,
 }
 
@@ -71,7 +71,7 @@
             CallKind::Void(ticket) => (Method::DELETE, format!("{TICKETS_PATH}/{ticket}")),
             CallKind::Addresses => (Method::GET, ENTRIES_PATH.to_owned()),
         };
-        let mut request = base(method, &path).header(TIMEOUT_HEADER, self.timeout_ms);
+        let mut request = authorized_request(method, &path).header(TIMEOUT_HEADER, self.timeout_ms);
         request = match &self.kind {
             CallKind::Ticket(ticket) => request.header(TICKET_HEADER, ticket),
             CallKind::Key(key) => request.header(IDEMPOTENCY_KEY_HEADER, key),
@@ -81,16 +81,16 @@
     }
 }
 
-fn base(method: Method, path: &str) -> http::request::Builder {
+fn authorized_request(method: Method, path: &str) -> http::request::Builder {
     let token = format!("Bearer {TOKEN}");
     Request::builder().method(method).uri(path).header(header::AUTHORIZATION, token)
 }
 
-/// Sends a call to an entry process and reads all of the answer.
+/// Sends a call to an entry process and reads the whole answer.
 pub async fn send(router: Router, lifecycle: Lifecycle, call: Call) -> CallOutcome {
     let exchange = async {
         let Ok(response) = router.oneshot(call.request()).await;
-        read(response).await
+        read_outcome(response).await
     };
     tokio::select! {
         biased;
@@ -99,10 +99,10 @@
     }
 }
 
-/// Takes a ticket for a service call.
+/// Requests a ticket for a service call; `None` if the entry issues none or is killed.
 pub async fn request_ticket(router: Router, lifecycle: Lifecycle) -> Option<String> {
     let path = format!("{TICKETS_PATH}?service={SERVICE}");
-    let request = base(Method::POST, &path).body(Body::empty()).expect("fixed parts");
+    let request = authorized_request(Method::POST, &path).body(Body::empty()).expect("fixed parts");
     let exchange = async {
         let Ok(response) = router.oneshot(request).await;
         if response.status() != StatusCode::CREATED {
@@ -118,18 +118,18 @@
     }
 }
 
-async fn read(response: Response) -> CallOutcome {
+async fn read_outcome(response: Response) -> CallOutcome {
     let is_plain = response.status().is_success();
     let outcome = response.headers().get(OUTCOME_HEADER).cloned();
     let outcome = outcome.as_ref().and_then(|value| value.to_str().ok()).unwrap_or("none");
-    // An HTTP client reports a body that ends without its end as an error; any other is whole.
+    // An HTTP client reports a truncated body as an error; any other body is complete.
     let Ok(body) = response.into_body().collect().await.map(|body| body.to_bytes()) else {
         return CallOutcome::Broken;
     };
     let text = || String::from_utf8_lossy(&body).into_owned();
     match outcome {
         "complete" | "streaming" => CallOutcome::Complete(body),
-        // Answers that run nothing carry no outcome.
+        // Answers to requests that run no work have no outcome header.
         "none" if is_plain => CallOutcome::Complete(body),
         "not-run" => CallOutcome::NotRun(text()),
         _ => CallOutcome::Unknown(text()),
--- a/crates/proof/src/configuration/fleet.rs
+++ b/crates/proof/src/configuration/fleet.rs
@@ -1,4 +1,4 @@
-//! Control processes in one thread, with their network.
+//! Control processes and their in-memory network, in one thread.
 
 use super::oracle::{ConfigViolation, IN_FORCE_LIMIT, Oracle};
 use crate::backend::Lifecycle;
@@ -27,48 +27,47 @@
 use tokio_util::sync::CancellationToken;
 use uuid::Uuid;
 
-/// Processes in the fleet.
+/// Number of control processes.
 pub const PROCESSES: usize = 5;
-/// Data centres.
 const CENTRES: usize = 2;
-/// The workspace whose parameters tell which change is in force.
+/// The workspace whose deadline encodes which change is in force.
 const WORKSPACE: &str = "bibb-county";
-/// The smallest value that the documents allow for what changes set.
+/// The smallest deadline that the documents allow; changes set larger ones.
 const BASE_MS: u64 = 1_000;
-/// One way between two processes.
+/// One-way latency between two processes.
 const MESSAGE_TIME: Duration = Duration::from_millis(1);
-/// Time in which other messages overtake one.
-const OVERTAKEN_TIME: Duration = Duration::from_millis(500);
-/// Time that the fleet is given at the start.
+/// Delay of a reordered message, so that later ones arrive before it.
+const REORDER_DELAY: Duration = Duration::from_millis(500);
+/// Time for the fleet to start up.
 const START_TIME: Duration = Duration::from_secs(10);
 
 #[derive(Default)]
-struct Reach {
+struct Topology {
     nodes: HashMap<SocketAddr, (Node, Lifecycle)>,
     cut: HashSet<SocketAddr>,
-    /// What befalls each process's next request to a peer.
+    /// Fault of each process's next request to a peer.
     faults: HashMap<SocketAddr, MessageFault>,
 }
 
-type Shared = Arc<Mutex<Reach>>;
+type Shared = Arc<Mutex<Topology>>;
 
-fn lock(reach: &Shared) -> MutexGuard<'_, Reach> {
-    reach.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock(topology: &Shared) -> MutexGuard<'_, Topology> {
+    topology.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// The network as one process sees it.
-struct Port {
-    reach: Shared,
-    own: SocketAddr,
+/// The network interface of one process.
+struct ProcessTransport {
+    topology: Shared,
+    address: SocketAddr,
 }
 
-impl Port {
-    async fn carry(&self, to: SocketAddr) -> Result<Node, PeerError> {
+impl ProcessTransport {
+    async fn reach_peer(&self, to: SocketAddr) -> Result<Node, PeerError> {
         sleep(MESSAGE_TIME).await;
         let found = {
-            let reach = lock(&self.reach);
-            let cut = reach.cut.contains(&self.own) || reach.cut.contains(&to);
-            (!cut).then(|| reach.nodes.get(&to).cloned())
+            let topology = lock(&self.topology);
+            let cut = topology.cut.contains(&self.address) || topology.cut.contains(&to);
+            (!cut).then(|| topology.nodes.get(&to).cloned())
         };
         match found {
             Some(Some((node, lifecycle))) => {
@@ -80,80 +79,80 @@
         }
     }
 
-    /// The request comes this much later, whether or not the caller still waits.
-    fn carry_late(&self, to: SocketAddr, request: PeerRequest, delay: Duration) {
-        let port = Self { reach: self.reach.clone(), own: self.own };
+    /// Delivers the request after `delay`, whether or not the caller still waits.
+    fn deliver_late(&self, to: SocketAddr, request: PeerRequest, delay: Duration) {
+        let transport = Self { topology: self.topology.clone(), address: self.address };
         tokio::spawn(async move {
             sleep(delay).await;
-            if let Ok(node) = port.carry(to).await {
+            if let Ok(node) = transport.reach_peer(to).await {
                 let _ = node.answer(request).await;
             }
         });
     }
 }
 
-impl PeerTransport for Port {
+impl PeerTransport for ProcessTransport {
     fn ask(
         &self,
         peer: SocketAddr,
         request: PeerRequest,
     ) -> BoxFuture<'_, Result<PeerAnswer, PeerError>> {
         Box::pin(async move {
-            let fault = lock(&self.reach).faults.remove(&self.own);
+            let fault = lock(&self.topology).faults.remove(&self.address);
             match fault {
                 Some(MessageFault::Lost) => return std::future::pending().await,
                 Some(MessageFault::Delayed(delay)) => {
-                    self.carry_late(peer, request, delay);
+                    self.deliver_late(peer, request, delay);
                     return std::future::pending().await;
                 }
                 Some(MessageFault::Duplicated(delay)) => {
-                    self.carry_late(peer, request.clone(), delay)
+                    self.deliver_late(peer, request.clone(), delay)
                 }
-                Some(MessageFault::Reordered) => sleep(OVERTAKEN_TIME).await,
+                Some(MessageFault::Reordered) => sleep(REORDER_DELAY).await,
                 None => {}
             }
-            let answer = self.carry(peer).await?.answer(request).await;
-            self.carry(peer).await.map(|_| answer)
+            let answer = self.reach_peer(peer).await?.answer(request).await;
+            self.reach_peer(peer).await.map(|_| answer)
         })
     }
 }
 
-/// One life of a process.
-struct Life {
+/// A process from its start to its end.
+struct RunningProcess {
     node: Node,
     lifecycle: Lifecycle,
     stop: CancellationToken,
     highest: u64,
-    /// Since when it could have had something newer.
+    /// Since when a reachable process has had a newer revision.
     behind_since: Option<Instant>,
 }
 
-/// The fleet.
+/// Control processes, their network and the key-value service.
 pub struct Fleet {
-    /// The key-value service.
+    /// Shared by all processes.
     pub kv: FakeKeyValue,
-    /// What operators were told.
+    /// Records the answers that operators got.
     pub oracle: Oracle,
     vms: FakeVmList,
-    reach: Shared,
-    lives: Vec<Option<Life>>,
+    topology: Shared,
+    processes: Vec<Option<RunningProcess>>,
     mutation: Option<Mutation>,
-    births: u64,
-    asked: u64,
+    next_incarnation: u64,
+    last_value: u64,
 }
 
 impl Fleet {
-    /// Starts all processes with a first accepted change.
+    /// Starts all processes and applies a first change.
     pub async fn start(mutation: Option<Mutation>) -> Self {
         let mut fleet = Self {
             kv: FakeKeyValue::new(),
             oracle: Oracle::default(),
             vms: FakeVmList::new((0..PROCESSES).map(vm).collect()),
-            reach: Shared::default(),
-            lives: (0..PROCESSES).map(|_| None).collect(),
+            topology: Shared::default(),
+            processes: (0..PROCESSES).map(|_| None).collect(),
             mutation,
-            births: 0,
-            asked: 0,
+            next_incarnation: 0,
+            last_value: 0,
         };
         (0..PROCESSES).for_each(|process| fleet.start_process(process));
         fleet.change(0);
@@ -161,86 +160,92 @@
         fleet
     }
 
-    /// Starts a process, if it does not run.
+    /// Starts a process unless it runs.
     pub fn start_process(&mut self, process: usize) {
-        if self.lives[process].is_none() {
+        if self.processes[process].is_none() {
             let node = self.new_node(process);
             self.run(process, node, 0);
         }
     }
 
     fn new_node(&mut self, process: usize) -> Node {
-        self.births += 1;
-        let record = record(process, Incarnation(self.births));
+        self.next_incarnation += 1;
+        let record = record(process, Incarnation(self.next_incarnation));
         let recorder = Recorder::for_tests(&record.name);
         Node::new(record, recorder)
     }
 
     fn run(&mut self, process: usize, node: Node, highest: u64) {
-        let own = address(process);
+        let own_address = address(process);
         let lifecycle = Lifecycle::default();
-        lock(&self.reach).nodes.insert(own, (node.clone(), lifecycle.clone()));
-        let spread = Synchronizer {
+        lock(&self.topology).nodes.insert(own_address, (node.clone(), lifecycle.clone()));
+        let synchronizer = Synchronizer {
             node: node.clone(),
             store: Store::new(Arc::new(self.kv.clone())),
-            peers: Arc::new(Port { reach: self.reach.clone(), own }),
+            peers: Arc::new(ProcessTransport {
+                topology: self.topology.clone(),
+                address: own_address,
+            }),
             vms: Arc::new(self.vms.clone()),
-            seeds: (0..PROCESSES).map(address).filter(|seed| *seed != own).collect(),
+            seeds: (0..PROCESSES).map(address).filter(|seed| *seed != own_address).collect(),
             timing: Timing::default(),
         };
         let stop = CancellationToken::new();
-        tokio::spawn(lifecycle.clone().run(spread.run(stop.clone())));
-        self.lives[process] = Some(Life { node, lifecycle, stop, highest, behind_since: None });
+        tokio::spawn(lifecycle.clone().run(synchronizer.run(stop.clone())));
+        self.processes[process] =
+            Some(RunningProcess { node, lifecycle, stop, highest, behind_since: None });
     }
 
-    /// Kills a process, but not the last one.
+    /// Kills a process unless it is the last one.
     pub fn kill(&mut self, process: usize) {
-        if self.lives.iter().flatten().count() > 1 {
+        if self.processes.iter().flatten().count() > 1 {
             self.end(process);
         }
     }
 
     fn end(&mut self, process: usize) {
-        if let Some(life) = self.lives[process].take() {
-            life.stop.cancel();
-            lock(&self.reach).nodes.remove(&address(process));
+        if let Some(running) = self.processes[process].take() {
+            running.stop.cancel();
+            lock(&self.topology).nodes.remove(&address(process));
         }
     }
 
-    /// Cuts a process off from the others, or lets it reach them again.
+    /// Partitions a process from the others, or reconnects it.
     pub fn cut(&self, process: usize, cut: bool) {
-        let mut reach = lock(&self.reach);
+        let mut topology = lock(&self.topology);
         match cut {
-            true => reach.cut.insert(address(process)),
-            false => reach.cut.remove(&address(process)),
+            true => topology.cut.insert(address(process)),
+            false => topology.cut.remove(&address(process)),
         };
     }
 
-    /// Pauses a process, or lets it go on.
+    /// Pauses or resumes a process.
     pub fn pause(&self, process: usize, paused: bool) {
-        if let Some(life) = &self.lives[process] {
-            life.lifecycle.set_paused(paused);
+        if let Some(running) = &self.processes[process] {
+            running.lifecycle.set_paused(paused);
         }
     }
 
-    /// Each process's next request to a peer meets this fault.
+    /// Injects a fault into each process's next request to a peer.
     pub fn inject_fault(&self, fault: MessageFault) {
         let faults = (0..PROCESSES).map(|process| (address(process), fault));
-        lock(&self.reach).faults = faults.collect();
+        lock(&self.topology).faults = faults.collect();
     }
 
-    /// Whether others can't reach a process just now.
-    fn is_away(&self, process: usize) -> bool {
-        let paused = self.lives[process].as_ref().is_some_and(|life| life.lifecycle.is_paused());
-        paused || lock(&self.reach).cut.contains(&address(process))
+    /// Whether the process is paused or partitioned.
+    fn is_unreachable(&self, process: usize) -> bool {
+        let paused =
+            self.processes[process].as_ref().is_some_and(|running| running.lifecycle.is_paused());
+        paused || lock(&self.topology).cut.contains(&address(process))
     }
 
-    /// An operator changes the configuration through a process; gives the value that is set.
+    /// Applies an operator's change through a process; returns the value that it sets, or `None` if
+    /// the process does not run.
     pub fn change(&mut self, process: usize) -> Option<u64> {
-        let life = self.lives[process].as_ref()?;
-        self.asked += 1;
-        let (value, node, oracle) = (self.asked, life.node.clone(), self.oracle.clone());
-        let (stop, lifecycle) = (life.stop.clone(), life.lifecycle.clone());
+        let running = self.processes[process].as_ref()?;
+        self.last_value += 1;
+        let (value, node, oracle) = (self.last_value, running.node.clone(), self.oracle.clone());
+        let (stop, lifecycle) = (running.stop.clone(), running.lifecycle.clone());
         let store = Store::new(Arc::new(self.kv.clone()));
         tokio::spawn(lifecycle.run(async move {
             let origin = Origin { operator: "ana".into(), at_unix_ms: 0, comment: String::new() };
@@ -248,7 +253,7 @@
             let seen = node.revision();
             let request = ApplyRequest { uuid: Uuid::new_v4(), origin, edits, seen };
             let mut replica = node.replica();
-            // The operator of a process that dies is told nothing.
+            // An operator gets no answer from a process that dies.
             let answer = tokio::select! {
                 biased;
                 () = stop.cancelled() => return,
@@ -260,43 +265,43 @@
         Some(value)
     }
 
-    /// Mends everything.
+    /// Removes all faults and starts every process.
     pub fn repair(&mut self) {
         self.kv.set_down(false);
         self.kv.set_delay(Duration::ZERO);
-        lock(&self.reach).cut.clear();
-        lock(&self.reach).faults.clear();
+        lock(&self.topology).cut.clear();
+        lock(&self.topology).faults.clear();
         for process in 0..PROCESSES {
             self.pause(process, false);
             self.start_process(process);
         }
     }
 
-    /// Checks every promise as of now.
+    /// Checks the invariants that hold at any time.
     pub fn check(&mut self) -> Result<(), ConfigViolation> {
         if self.mutation == Some(Mutation::OlderPeerTaken) {
-            self.take_from_older_peer();
+            self.adopt_from_older_peer();
         }
         if let Some(conflict) = self.oracle.conflict() {
             return Err(conflict);
         }
         for process in 0..PROCESSES {
             let newest = self.reachable_newest(process);
-            if let Some(life) = &mut self.lives[process] {
-                check_life(process, life, newest, &self.oracle)?;
+            if let Some(running) = &mut self.processes[process] {
+                check_process(process, running, newest, &self.oracle)?;
             }
         }
         Ok(())
     }
 
-    /// Mends everything, and checks that the newest accepted change gets everywhere.
+    /// Removes all faults and checks that every process gets the newest accepted change.
     pub async fn settle(&mut self) -> Result<(), ConfigViolation> {
         self.repair();
         sleep(IN_FORCE_LIMIT).await;
         self.check()?;
         let newest = self.oracle.newest();
-        for (process, life) in self.lives.iter().enumerate() {
-            let revision = life.as_ref().map_or(0, |life| life.node.revision().0);
+        for (process, running) in self.processes.iter().enumerate() {
+            let revision = running.as_ref().map_or(0, |running| running.node.revision().0);
             if revision < newest {
                 let behind_ms = IN_FORCE_LIMIT.as_millis() as u64;
                 return Err(ConfigViolation::Behind { process, revision, newest, behind_ms });
@@ -305,57 +310,59 @@
         Ok(())
     }
 
-    /// The newest revision among the processes that this one can reach.
+    /// The newest revision among the processes that this one can reach; 0 if it is unreachable.
     fn reachable_newest(&self, process: usize) -> u64 {
-        if self.is_away(process) {
+        if self.is_unreachable(process) {
             return 0;
         }
-        let reachable = |other: &usize| !self.is_away(*other);
-        let lives = (0..PROCESSES).filter(reachable).filter_map(|other| self.lives[other].as_ref());
-        lives.map(|life| life.node.revision().0).max().unwrap_or(0)
+        let reachable = |other: &usize| !self.is_unreachable(*other);
+        let processes =
+            (0..PROCESSES).filter(reachable).filter_map(|other| self.processes[other].as_ref());
+        processes.map(|running| running.node.revision().0).max().unwrap_or(0)
     }
 
-    /// The planted fault: a process that reaches an older one takes its configuration.
-    fn take_from_older_peer(&mut self) {
-        let reachable = |process: usize| !self.is_away(process);
-        let revision = |life: &Option<Life>| life.as_ref().map_or(0, |l| l.node.revision().0);
-        let revisions: Vec<u64> = self.lives.iter().map(revision).collect();
+    /// The mutation: a process that reaches an older one adopts its configuration.
+    fn adopt_from_older_peer(&mut self) {
+        let reachable = |process: usize| !self.is_unreachable(process);
+        let revision =
+            |running: &Option<RunningProcess>| running.as_ref().map_or(0, |l| l.node.revision().0);
+        let revisions: Vec<u64> = self.processes.iter().map(revision).collect();
         let older = (0..PROCESSES)
             .filter(|peer| reachable(*peer) && revisions[*peer] > 0)
             .min_by_key(|peer| revisions[*peer]);
         let Some(older) = older else { return };
-        let taker = (0..PROCESSES)
+        let adopter = (0..PROCESSES)
             .find(|process| reachable(*process) && revisions[*process] > revisions[older]);
-        let (Some(taker), Some(peer)) = (taker, &self.lives[older]) else { return };
+        let (Some(adopter), Some(peer)) = (adopter, &self.processes[older]) else { return };
         let replica = peer.node.replica();
-        let highest = self.lives[taker].as_ref().map_or(0, |life| life.highest);
-        self.end(taker);
-        let node = self.new_node(taker);
+        let highest = self.processes[adopter].as_ref().map_or(0, |running| running.highest);
+        self.end(adopter);
+        let node = self.new_node(adopter);
         node.adopt(replica, ConfigSource::Peer);
-        self.run(taker, node, highest);
+        self.run(adopter, node, highest);
     }
 }
 
-fn check_life(
+fn check_process(
     process: usize,
-    life: &mut Life,
+    running: &mut RunningProcess,
     newest: u64,
     oracle: &Oracle,
 ) -> Result<(), ConfigViolation> {
-    let revision = life.node.revision().0;
-    if revision < life.highest {
-        return Err(ConfigViolation::Reverted { process, from: life.highest, to: revision });
+    let revision = running.node.revision().0;
+    if revision < running.highest {
+        return Err(ConfigViolation::Reverted { process, from: running.highest, to: revision });
     }
-    life.highest = revision;
-    let effective = life.node.effective().borrow().clone();
+    running.highest = revision;
+    let effective = running.node.effective().borrow().clone();
     let found =
         effective.workspace(WORKSPACE).map(|workspace| workspace.parameters.deadline_ms - BASE_MS);
     oracle.check(process, effective.revision().0, found)?;
     if revision >= newest {
-        life.behind_since = None;
+        running.behind_since = None;
         return Ok(());
     }
-    let behind = life.behind_since.get_or_insert_with(Instant::now).elapsed();
+    let behind = running.behind_since.get_or_insert_with(Instant::now).elapsed();
     if behind <= IN_FORCE_LIMIT {
         return Ok(());
     }
--- a/crates/proof/src/configuration/machine.rs
+++ b/crates/proof/src/configuration/machine.rs
@@ -1,4 +1,4 @@
-//! Drives the configuration at random with proptest's state machine.
+//! Drives the configuration with random steps, as a proptest state machine.
 
 use super::fleet::{Fleet, PROCESSES};
 use super::oracle::ConfigViolation;
@@ -12,35 +12,35 @@
 
 /// Delay of a slow key-value service.
 const KEY_VALUE_DELAY: Duration = Duration::from_millis(800);
-/// Within a step that lets time pass, promises are checked this often.
+/// Interval of the invariant checks within a step.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// One step.
+/// One random step.
 #[derive(Clone, Debug)]
 pub enum ConfigStep {
-    /// An operator changes something through a process.
+    /// An operator changes the configuration through a process.
     Change(usize),
     /// A process dies.
     Kill(usize),
-    /// A process starts, if it does not run.
+    /// A process starts unless it runs.
     Start(usize),
-    /// A process is cut off from the others, or reaches them again.
+    /// A process is partitioned from the others, or reconnected.
     Cut(usize, bool),
-    /// The key-value service goes, or comes back.
+    /// The key-value service goes down or comes back.
     KeyValueDown(bool),
-    /// The key-value service gets slow, or quick again.
+    /// The key-value service becomes slow or fast again.
     KeyValueSlow(bool),
-    /// Its next answers are lost, after or before the effect.
+    /// Its next answers are lost: how many, and whether after the effect.
     AnswersLost(usize, bool),
     /// A watch misses events.
     EventsSwallowed(usize),
-    /// All watches go silent for good.
+    /// All open watches go silent permanently.
     WatchesSilent,
-    /// Time passes.
+    /// Time passes, in milliseconds.
     Wait(u64),
 }
 
-/// The reference machine; every step is possible at any time.
+/// The reference machine; it has no state, as every step is possible at any time.
 #[derive(Clone, Debug)]
 pub struct ConfigSteps;
 
@@ -73,7 +73,7 @@
     fn apply(_state: (), _step: &ConfigStep) {}
 }
 
-/// The fleet under test and the runtime whose clock it lives by.
+/// The fleet under test and the runtime with its paused clock.
 pub struct ConfigDriver {
     runtime: Runtime,
     fleet: Fleet,
@@ -89,17 +89,17 @@
         Self { runtime, fleet }
     }
 
-    /// Checks every promise again and again while time passes.
+    /// Checks the invariants repeatedly while time passes.
     fn step(&mut self, step: &ConfigStep) -> Result<(), ConfigViolation> {
         let _guard = self.runtime.enter();
-        take(&mut self.fleet, step);
-        let mut rest = match step {
+        apply_step(&mut self.fleet, step);
+        let mut remaining = match step {
             ConfigStep::Wait(ms) => Duration::from_millis(*ms),
             _ => Duration::from_millis(1),
         };
-        while !rest.is_zero() {
-            let time = rest.min(CHECK_INTERVAL);
-            rest -= time;
+        while !remaining.is_zero() {
+            let time = remaining.min(CHECK_INTERVAL);
+            remaining -= time;
             self.runtime.block_on(async { tokio::time::sleep(time).await });
             self.fleet.check()?;
         }
@@ -111,7 +111,7 @@
     }
 }
 
-fn take(fleet: &mut Fleet, step: &ConfigStep) {
+fn apply_step(fleet: &mut Fleet, step: &ConfigStep) {
     match *step {
         ConfigStep::Change(process) => {
             fleet.change(process);
--- a/crates/proof/src/configuration/oracle.rs
+++ b/crates/proof/src/configuration/oracle.rs
@@ -1,30 +1,30 @@
-//! What operators were told, compared with what is in force.
+//! Compares the answers that operators got with the configuration in force.
 
 use flamingowheel_config::apply::{Applied, ApplyError};
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// Within this time a change is in force everywhere it can reach.
+/// Time limit for a change to be in force in every process that it can reach.
 pub const IN_FORCE_LIMIT: Duration = Duration::from_secs(11);
 
-/// A promise about the configuration that was broken.
+/// A violated invariant of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConfigViolation {
     /// A process went back to an older configuration.
     #[error("process {process} went back from revision {from} to {to}")]
     Reverted {
-        /// Which.
+        /// Index of the process.
         process: usize,
         /// The revision it had in force.
         from: u64,
         /// The revision it has in force now.
         to: u64,
     },
-    /// A process has something else in force than was accepted under that revision.
+    /// A process has a different value in force than was accepted under that revision.
     #[error("process {process} has {found} in force at revision {revision}, accepted was {wanted}")]
     OtherThanAccepted {
-        /// Which.
+        /// Index of the process.
         process: usize,
         /// The revision it has in force.
         revision: u64,
@@ -33,34 +33,34 @@
         /// The value accepted.
         wanted: u64,
     },
-    /// A process lacks for too long what others have.
+    /// A process lacks a revision for too long that others have.
     #[error("process {process} at revision {revision} lacks {newest} for {behind_ms} ms")]
     Behind {
-        /// Which.
+        /// Index of the process.
         process: usize,
         /// The revision it has in force.
         revision: u64,
         /// The newest revision that it could have had.
         newest: u64,
-        /// How long it could have had it, in milliseconds.
+        /// How long a newer revision has been reachable, in milliseconds.
         behind_ms: u64,
     },
-    /// A change is in force of which the operator was told that it is not accepted.
+    /// A change is in force whose operator got the answer that it is not accepted.
     #[error("process {process} has {value} in force, which was told not to be accepted")]
     NotAcceptedButInForce {
-        /// Which process.
+        /// Index of the process.
         process: usize,
-        /// The value.
+        /// The value that the change sets.
         value: u64,
     },
     /// Two changes were accepted under one revision.
     #[error("values {first} and {second} were both accepted as revision {revision}")]
     AcceptedTwice {
-        /// The revision.
+        /// The revision of both changes.
         revision: u64,
-        /// A value.
+        /// The value accepted first.
         first: u64,
-        /// The other.
+        /// The value accepted later.
         second: u64,
     },
 }
@@ -72,25 +72,25 @@
     answers: BTreeMap<u64, ChangeAnswer>,
 }
 
-/// What an operator was told of a change.
+/// The answer that an operator got to a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeAnswer {
-    /// It is accepted.
+    /// The change is accepted.
     Accepted,
-    /// It is not accepted and won't be.
+    /// The change is not accepted and will not be.
     NotAccepted,
-    /// Nobody can tell yet.
+    /// Whether the change is accepted is unknown.
     Unknown,
 }
 
-/// The oracle's book; clones share it.
+/// Records answers and checks them; clones share their records.
 #[derive(Clone, Debug, Default)]
 pub struct Oracle {
     state: Arc<Mutex<State>>,
 }
 
 impl Oracle {
-    /// Notes what an operator was told of a change that sets `value`.
+    /// Records the answer to the change that sets `value`.
     pub fn record_answer(&self, value: u64, answer: &Result<Applied, ApplyError>) {
         let mut state = self.lock();
         let recorded = match answer {
@@ -109,17 +109,17 @@
         }
     }
 
-    /// What the operator was told of the change that sets `value`, if anything yet.
+    /// The answer to the change that sets `value`; `None` while there is none.
     pub fn answer(&self, value: u64) -> Option<ChangeAnswer> {
         self.lock().answers.get(&value).copied()
     }
 
-    /// The newest revision that an operator was told is accepted.
+    /// The newest revision that an operator's answer reported as accepted; 0 if none.
     pub fn newest(&self) -> u64 {
         self.lock().accepted.keys().next_back().copied().unwrap_or(0)
     }
 
-    /// Whether two changes were accepted under one revision.
+    /// The violation if two changes were accepted under one revision.
     pub fn conflict(&self) -> Option<ConfigViolation> {
         self.lock().conflict.clone()
     }
--- a/crates/proof/src/entry.rs
+++ b/crates/proof/src/entry.rs
@@ -31,19 +31,19 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// The one workspace of the world.
+/// The only workspace of the world.
 pub const WORKSPACE: &str = "bibb-county";
-/// Its callers' token.
+/// The token of its callers.
 pub const TOKEN: &str = "token-of-bibb-county";
 /// The model that engines serve.
 pub const MODEL: &str = "callbox-7b";
-/// The plain service.
+/// The service that plain services provide.
 pub const SERVICE: &str = "desk";
-/// Longest time a request may wait for its answer to begin.
+/// Longest time that a request may wait for its answer to begin.
 pub const DEADLINE_MS: u64 = 10_000;
 
-/// The key that all processes of the world share. Another seed gives another one, and with it other
-/// hashes of requests, so that they go to other backend servers.
+/// The key that all processes of the world share. It depends on the seed in the environment:
+/// another key gives other hashes, so that requests go to other backend servers.
 pub fn fleet_key() -> FleetKey {
     let Some(seed) = seed_from_environment() else { return FleetKey::new([7; 32]) };
     let mut key = [7; 32];
@@ -53,23 +53,23 @@
 
 /// One entry process.
 pub struct Entry {
-    /// Whether it lives.
+    /// Whether the process runs, is paused or was killed.
     pub lifecycle: Lifecycle,
-    /// Its interface towards callers.
+    /// HTTP interface for callers.
     pub router: Router,
-    /// Its connections to agents.
+    /// Links to the agents.
     pub agents: Agents,
-    /// What it knows of the backend servers.
+    /// Routing state of the backend servers.
     pub routes: Arc<Routes>,
-    /// Its events.
+    /// Events and metrics of the process.
     pub recorder: Recorder,
-    /// Whether it was told to leave; it then takes no new requests.
+    /// Whether the process is leaving; it then accepts no new requests.
     pub leaving: bool,
     state: Arc<EntryState>,
 }
 
 impl Entry {
-    /// Starts a process that connects to these agents.
+    /// Starts a process that connects to the agents at these addresses.
     pub fn start(
         name: &str,
         network: &Network,
@@ -115,25 +115,25 @@
         Self { lifecycle, router, agents, routes, recorder, leaving: false, state }
     }
 
-    /// Tells it to leave.
+    /// Makes the process leave.
     pub fn leave(&mut self) {
         self.leaving = true;
         self.state.node.leave();
     }
 
-    /// Whether it has no request in progress.
+    /// Whether no request is in progress.
     pub fn is_drained(&self) -> bool {
         self.state.in_progress.get() == 0
     }
 
-    /// Ends the process, planned or not: nothing more comes from it.
+    /// Ends the process: it sends nothing more.
     pub fn end(&self) {
         self.lifecycle.kill();
         self.agents.set_vms(&[]);
     }
 }
 
-/// The entries that callers may be sent to.
+/// The entries in the answers to address requests.
 fn members() -> Vec<EntryMember> {
     let member = |entry: u16| EntryMember {
         name: format!("entry-{entry}"),
--- a/crates/proof/src/fuzz.rs
+++ b/crates/proof/src/fuzz.rs
@@ -1,4 +1,4 @@
-//! Drives a fleet at random with proptest's state machine; the same for every kind of fleet.
+//! Drives any kind of fleet with random steps, as a proptest state machine.
 
 use crate::mutation::Mutation;
 use proptest::strategy::{Strategy, ValueTree};
@@ -8,40 +8,40 @@
 use std::marker::PhantomData;
 use tokio::runtime::Runtime;
 
-/// Cases of one run, unless the environment says otherwise.
+/// Environment variable that overrides the number of cases of a run.
 pub const CASES_VARIABLE: &str = "FLAMINGOWHEEL_FUZZ_CASES";
-/// Seed of a run, unless the environment says otherwise.
+/// Environment variable that overrides the seed of a run.
 pub const SEED_VARIABLE: &str = "FLAMINGOWHEEL_FUZZ_SEED";
 
-/// Longest sequence of steps in a case.
+/// Upper limit of the steps in a case.
 pub const MAX_STEPS: usize = 60;
 
-/// A fleet with the runtime whose clock it lives by.
+/// A fleet under test with its runtime and paused clock.
 pub trait Driver: Sized {
-    /// What can be done to the fleet.
+    /// Reference machine that generates the steps.
     type Steps: ReferenceStateMachine;
-    /// A promise that was broken.
+    /// A violated invariant.
     type Violation: Error;
 
-    /// Whether a planted fault may show only after everything was mended.
+    /// Whether a mutation may show only after all faults are removed.
     const MUTATION_SHOWS_WHEN_SETTLED: bool = false;
 
-    /// Starts a fleet whose processes lack the given safeguard.
+    /// Starts a fleet, with a mutation if one is given.
     fn start(state: &State<Self>, mutation: Option<Mutation>) -> Self;
 
-    /// Does one step and checks every promise.
+    /// Applies one step and checks the invariants.
     fn step(&mut self, step: &Step<Self>) -> Result<(), Self::Violation>;
 
-    /// Mends everything and checks what must then hold.
+    /// Removes all faults and checks the invariants that hold afterwards.
     fn settle(&mut self) -> Result<(), Self::Violation>;
 }
 
-/// What a driver's reference machine starts from.
+/// State of a driver's reference machine.
 pub type State<Of> = <<Of as Driver>::Steps as ReferenceStateMachine>::State;
-/// A step of a driver.
+/// Step of a driver's reference machine.
 pub type Step<Of> = <<Of as Driver>::Steps as ReferenceStateMachine>::Transition;
 
-/// A driver under its reference machine.
+/// Runs a driver under its reference machine.
 struct Checked<Of>(PhantomData<Of>);
 
 impl<Of> StateMachineTest for Checked<Of>
@@ -64,12 +64,12 @@
 
     fn teardown(mut driver: Of, _state: State<Of>) {
         if let Err(violation) = driver.settle() {
-            panic!("after everything was mended: {violation}");
+            panic!("after all faults were removed: {violation}");
         }
     }
 }
 
-/// Runs random sequences of steps; panics with the steps where a promise is broken.
+/// Runs random sequences of steps; panics with the steps that violate an invariant.
 pub fn assert_invariants<Of>(cases: u32, seed: u64)
 where
     Of: Driver,
@@ -85,7 +85,7 @@
     }
 }
 
-/// Steps until a planted fault is found; `None` if it was not within `max_steps`.
+/// Counts the steps until a mutation is detected; `None` if it is not within `max_steps`.
 pub fn steps_until_found<Of>(
     mutation: Mutation,
     max_steps: usize,
@@ -115,7 +115,7 @@
     None
 }
 
-/// Cases and seed of a run, from the environment or as given.
+/// Configuration of a run; the environment overrides cases and seed.
 pub fn config(cases: u32, seed: u64) -> Config {
     let asked = from_environment(CASES_VARIABLE).and_then(|cases| u32::try_from(cases).ok());
     let cases = asked.unwrap_or(cases);
@@ -123,7 +123,7 @@
     Config { cases, rng_seed, failure_persistence: None, ..Config::default() }
 }
 
-/// The seed that the environment asks for.
+/// The seed that the environment sets, if any.
 pub fn seed_from_environment() -> Option<u64> {
     from_environment(SEED_VARIABLE)
 }
@@ -132,7 +132,7 @@
     std::env::var(name).ok()?.parse().ok()
 }
 
-/// A runtime in one thread whose clock goes on only when nothing else is left to do.
+/// A single-threaded runtime whose paused clock advances only when all tasks are idle.
 pub fn paused_runtime() -> Runtime {
     tokio::runtime::Builder::new_current_thread()
         .enable_time()
--- a/crates/proof/src/group/fleet.rs
+++ b/crates/proof/src/group/fleet.rs
@@ -1,4 +1,4 @@
-//! One group with its agents and two coordinators, in one thread.
+//! One group of ranks with its agents and two coordinators, in one thread.
 
 use super::gate::AnyGate;
 use crate::backend::Lifecycle;
@@ -25,69 +25,69 @@
 use tokio::time::{Instant, sleep, timeout};
 use tokio_util::sync::CancellationToken;
 
-/// Ranks of the group.
+/// Number of ranks of the group.
 pub const RANKS: usize = 3;
-/// Processes that may coordinate it.
+/// Number of processes that may coordinate the group.
 pub const COORDINATORS: usize = 2;
 
 const GROUP: &str = "group-a";
-/// One way between two processes; long, so that much can happen between two messages.
+/// One-way latency between two processes; long, so that other events fall between two messages.
 const MESSAGE_TIME: Duration = Duration::from_millis(30);
 const STEP_TIME: Duration = Duration::from_millis(25);
 const LOAD_TIME: Duration = Duration::from_millis(100);
 const RESTART_TIME: Duration = Duration::from_secs(2);
 const START_TIME: Duration = Duration::from_secs(3);
-/// After this time a silent connection is given up and another opened.
+/// Time until a silent connection is replaced by a new one.
 const SILENCE_LIMIT: Duration = Duration::from_millis(1_500);
-/// A request that is overtaken waits no longer than this for the next.
-const OVERTAKEN_LIMIT: Duration = Duration::from_secs(5);
-/// Within this time after the last fault the group steps again, or a rank is named.
+/// Longest time that a reordered request waits for the next one.
+const REORDER_LIMIT: Duration = Duration::from_secs(5);
+/// Time limit after the last fault for the group to step again or to report a rank out of service.
 const RECOVERY_LIMIT: Duration = Duration::from_secs(10);
-/// No order comes later than this.
+/// Longest delay of an order.
 pub const MAX_ORDER_DELAY: Duration = Duration::from_secs(60);
-/// Leases granted in a run stay below this number.
+/// Upper limit of the lease ids in a run.
 const MAX_LEASES: i64 = 10_000;
 
-/// A promise about groups that was broken.
+/// A violated invariant of a group.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum GroupViolation {
-    /// A step was run with two maps.
+    /// A step was run with two different maps.
     #[error("step {} was run with different maps: {:?}", .0.step, .0.maps)]
     Split(MapMismatch),
-    /// The group stands still and nobody is told why.
+    /// The group makes no steps and no rank is reported out of service.
     #[error("the group stands still and no rank is named: {status:?}")]
     StandsStill {
-        /// What the coordinators say.
+        /// Status of each coordinator.
         status: Vec<GroupStatus>,
     },
-    /// A rank serves another version than the newest order that was carried out says.
+    /// A rank serves another version than the newest executed order says.
     #[error("the rank serves version {found:?}; {wanted:?} was the newest carried out")]
     OtherVersion {
-        /// What it serves.
+        /// The version that the rank serves.
         found: String,
-        /// What it was told last.
+        /// The version of the newest executed order.
         wanted: String,
     },
-    /// No new order is carried out although all faults have ended.
+    /// A new order is not executed although all faults have ended.
     #[error("a new order is not carried out: {last}")]
     NotOrdered {
-        /// What was told of the last try.
+        /// Error of the last attempt.
         last: String,
     },
 }
 
-/// What befalls an order to a rank.
+/// Fault of an order to a rank.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallFault {
-    /// The request is lost.
+    /// The request never arrives.
     RequestLost,
-    /// It is carried out and its answer is lost.
+    /// The order is executed and its answer is lost.
     AnswerLost,
-    /// It comes twice, the second time this much later.
+    /// The request arrives twice, the second time after this delay.
     Duplicated(Duration),
-    /// It comes this much later.
+    /// The request arrives after this delay.
     Delayed(Duration),
-    /// It comes after the next request to the same rank.
+    /// The request arrives after the next one to the same rank.
     Reordered,
 }
 
@@ -95,10 +95,10 @@
     engine: FakeEngine,
     gate: Mutex<Option<Arc<AnyGate>>>,
     calls: Mutex<Vec<AbortHandle>>,
-    /// Of the agent's process.
+    /// Lifecycle of the agent process.
     lifecycle: Lifecycle,
-    /// Told when a request was carried out.
-    passed: Notify,
+    /// Notified when a request was handled.
+    request_handled: Notify,
 }
 
 struct Shared {
@@ -107,7 +107,7 @@
     mutation: Option<Mutation>,
     slots: Vec<Slot>,
     faults: Mutex<VecDeque<CallFault>>,
-    /// Until when connections carry nothing.
+    /// Until when connections deliver nothing.
     silent_until: Mutex<Option<Instant>>,
     incarnations: AtomicU64,
     message_time: Duration,
@@ -119,9 +119,9 @@
     status: watch::Receiver<GroupStatus>,
 }
 
-/// The group and what surrounds it.
+/// The group with its agents, coordinators and key-value service.
 pub struct Fleet {
-    /// The key-value service.
+    /// Shared by agents and coordinators.
     pub kv: FakeKeyValue,
     group: RankGroup,
     shared: Arc<Shared>,
@@ -133,19 +133,19 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A map that tells itself apart from others.
+/// An expert map that differs for each number.
 fn map(number: u16) -> ExpertMap {
     ExpertMap { layers: vec![vec![vec![number], vec![number + 1], vec![number + 2]]] }
 }
 
 impl Fleet {
-    /// A group that steps with map 1. With the planted fault its engines ignore fencing numbers,
-    /// as otherwise they would make up for it.
+    /// Starts a group that steps with map 1. With a mutation its engines must ignore fencing
+    /// numbers, as they would mask it otherwise.
     pub async fn start(kind: EngineKind, mutation: Option<Mutation>) -> Self {
         Self::start_with_latency(kind, mutation, MESSAGE_TIME).await
     }
 
-    /// Engines and agents that nobody coordinates.
+    /// Starts engines and agents without coordinators.
     pub fn without_coordinators(
         kind: EngineKind,
         mutation: Option<Mutation>,
@@ -169,7 +169,7 @@
             gate: Mutex::default(),
             calls: Mutex::default(),
             lifecycle: Lifecycle::default(),
-            passed: Notify::new(),
+            request_handled: Notify::new(),
         };
         let kv = FakeKeyValue::new();
         let shared = Arc::new(Shared {
@@ -189,7 +189,7 @@
         fleet
     }
 
-    /// The same with messages that take this long one way.
+    /// Like [`Self::start`], with the given one-way latency of messages.
     pub async fn start_with_latency(
         kind: EngineKind,
         mutation: Option<Mutation>,
@@ -208,37 +208,37 @@
         fleet
     }
 
-    /// Asks for another map.
+    /// Sets the map that the coordinators switch to.
     pub fn set_desired_map(&self, number: u16) {
         self.desired.send_replace(Some(map(number)));
     }
 
-    /// An engine of the group.
+    /// The engine of a rank.
     pub fn engine(&self, rank: usize) -> &FakeEngine {
         &self.shared.slots[rank].engine
     }
 
-    /// The next order to a rank meets this fault.
+    /// Injects a fault into the next order to a rank; faults queue up.
     pub fn inject_fault(&self, fault: CallFault) {
         lock(&self.shared.faults).push_back(fault);
     }
 
-    /// Nothing more comes over the connections that are open; new ones open after a while.
+    /// Makes the open connections deliver nothing more; new ones open after `SILENCE_LIMIT`.
     pub fn silence(&self) {
         *lock(&self.shared.silent_until) = Some(Instant::now() + SILENCE_LIMIT);
     }
 
-    /// The group's record.
+    /// The store of the group's record.
     pub fn records(&self) -> RecordStore {
         RecordStore::new(Arc::new(self.kv.clone()), GROUP)
     }
 
-    /// The way to the agents.
+    /// A link to the agents.
     pub fn link(&self) -> Link {
         Link(Arc::clone(&self.shared))
     }
 
-    /// Kills an agent's process; another starts a while later.
+    /// Kills an agent process; another starts after `RESTART_TIME`.
     pub fn replace_agent(&self, rank: usize) {
         let slot = &self.shared.slots[rank];
         *lock(&slot.gate) = None;
@@ -246,7 +246,7 @@
         self.start_agent(rank, RESTART_TIME);
     }
 
-    /// Pauses an agent's process, or lets it go on: what it received waits until then.
+    /// Pauses or resumes an agent process; requests that it received wait until it is resumed.
     pub fn pause_agent(&self, rank: usize, paused: bool) {
         self.shared.slots[rank].lifecycle.set_paused(paused);
     }
@@ -259,7 +259,7 @@
         });
     }
 
-    /// Kills a coordinating process and starts another.
+    /// Kills a coordinator and starts another.
     pub fn replace_coordinator(&mut self, index: usize) {
         self.processes.remove(index % COORDINATORS).running.abort();
         self.start_coordinator();
@@ -276,18 +276,18 @@
         self.processes.push(Process { running, lifecycle, status });
     }
 
-    /// The process that coordinates at present.
+    /// Index of the coordinator that leads; 0 if none does.
     pub fn leader(&self) -> usize {
         let leads = |process: &Process| process.status.borrow().activity != Activity::Following;
         self.processes.iter().position(leads).unwrap_or(0)
     }
 
-    /// Pauses a coordinating process, or lets it go on.
+    /// Pauses or resumes a coordinator.
     pub fn pause_coordinator(&self, index: usize, paused: bool) {
         self.processes[index % COORDINATORS].lifecycle.set_paused(paused);
     }
 
-    /// Takes the lease from whoever holds it, without a word.
+    /// Expires every lease without notice to its holder.
     pub fn expire_leases(&self) {
         (1..MAX_LEASES).for_each(|lease| self.kv.expire_lease(LeaseId(lease)));
     }
@@ -300,7 +300,7 @@
         }
     }
 
-    /// Mends everything.
+    /// Removes all faults and resumes every process.
     pub fn repair(&self) {
         lock(&self.shared.faults).clear();
         self.kv.set_down(false);
@@ -313,18 +313,18 @@
         self.processes.iter().for_each(|process| process.lifecycle.set_paused(false));
     }
 
-    /// Mends everything; then the group must step again, or a rank must be named.
+    /// Removes all faults and checks that the group steps again or reports a rank out of service.
     pub async fn settle(&self) -> Result<(), GroupViolation> {
         self.repair();
-        // What was replaced last is still starting, and late orders are still to come.
+        // Replaced processes may still be starting, and delayed orders may still arrive.
         sleep(MAX_ORDER_DELAY + RECOVERY_LIMIT).await;
         let before = self.group.step();
         sleep(Duration::from_secs(1)).await;
         self.check()?;
         let status: Vec<_> =
             self.processes.iter().map(|process| process.status.borrow().clone()).collect();
-        let named = status.iter().any(|status| !status.out_of_service.is_empty());
-        if self.group.step() > before || named {
+        let has_named_rank = status.iter().any(|status| !status.out_of_service.is_empty());
+        if self.group.step() > before || has_named_rank {
             return Ok(());
         }
         Err(GroupViolation::StandsStill { status })
@@ -351,8 +351,8 @@
         }
     }
 
-    /// The fault that strikes this request. Only orders that could do harm are struck: reads, loads
-    /// and holds are so many that hardly anything else would be.
+    /// The fault of this request, if any. Reads, loads and holds get none: they are so many that
+    /// they would use up nearly all faults, and they can do no harm.
     fn next_fault(&self, request: &RankRequest) -> Option<CallFault> {
         match request.target.as_ref()? {
             OrderTarget::StageMap { .. } | OrderTarget::Hold { .. } => None,
@@ -363,7 +363,7 @@
     async fn deliver(&self, rank: usize, request: RankRequest) -> Result<RankState, RankError> {
         let gate = lock(&self.slots[rank].gate).clone();
         let Some(gate) = gate else { return Err(RankError::NoAnswer) };
-        // The agent goes on with what it received, whether or not its caller still waits.
+        // The agent handles a request that it received whether or not its caller still waits.
         let lifecycle = self.slots[rank].lifecycle.clone();
         let handled = tokio::spawn(async move {
             lifecycle.resumed().await;
@@ -373,7 +373,7 @@
         });
         lock(&self.slots[rank].calls).push(handled.abort_handle());
         let answer = handled.await.unwrap_or(Err(RankError::NoAnswer));
-        self.slots[rank].passed.notify_waiters();
+        self.slots[rank].request_handled.notify_waiters();
         answer
     }
 
@@ -381,7 +381,7 @@
         *lock(&self.silent_until)
     }
 
-    async fn meet_fault(
+    async fn deliver_with_fault(
         self: &Arc<Self>,
         rank: usize,
         request: RankRequest,
@@ -396,7 +396,7 @@
                 self.deliver_late(rank, request, delay);
                 std::future::pending().await
             }
-            Some(CallFault::Reordered) => self.deliver_overtaken(rank, request).await,
+            Some(CallFault::Reordered) => self.deliver_reordered(rank, request).await,
             Some(CallFault::Duplicated(delay)) => {
                 self.deliver_late(rank, request.clone(), delay);
                 self.deliver(rank, request).await
@@ -405,16 +405,16 @@
         }
     }
 
-    /// Lets another request go first, whether or not the caller still waits.
-    async fn deliver_overtaken(
+    /// Delivers the request after the next one, whether or not the caller still waits.
+    async fn deliver_reordered(
         self: &Arc<Self>,
         rank: usize,
         request: RankRequest,
     ) -> Result<RankState, RankError> {
         let shared = Arc::clone(self);
         let delivered = tokio::spawn(async move {
-            let passed = shared.slots[rank].passed.notified();
-            let _ = timeout(OVERTAKEN_LIMIT, passed).await;
+            let request_handled = shared.slots[rank].request_handled.notified();
+            let _ = timeout(REORDER_LIMIT, request_handled).await;
             shared.deliver(rank, request).await
         });
         delivered.await.unwrap_or(Err(RankError::NoAnswer))
@@ -429,13 +429,13 @@
                 return gate.handle_late(&request, delay).await;
             }
             sleep(delay).await;
-            // Whatever process is there by then gets it.
+            // The process that runs by then receives the request.
             shared.deliver(rank, request).await
         });
     }
 }
 
-/// The link of all coordinators to all agents.
+/// The coordinators' link to the agents.
 pub struct Link(Arc<Shared>);
 
 impl Ranks for Link {
@@ -455,7 +455,7 @@
             if silent_before.is_some_and(|until| Instant::now() < until) {
                 return std::future::pending().await;
             }
-            let answer = shared.meet_fault(rank, request).await;
+            let answer = shared.deliver_with_fault(rank, request).await;
             // The connection went silent with the answer on its way.
             match shared.silent_until() == silent_before {
                 true => answer,
--- a/crates/proof/src/group/gate.rs
+++ b/crates/proof/src/group/gate.rs
@@ -1,4 +1,4 @@
-//! The way from an agent to its engine's orders, with or without one safeguard.
+//! An agent's gate to its engine: the real one, or a mutation without one safeguard.
 
 use flamingowheel_backing::fake::FakeEngine;
 use flamingowheel_backing::orders::{EngineOrders, Fence, Order, OrderError};
@@ -13,14 +13,14 @@
 
 /// An agent's gate.
 pub enum AnyGate {
-    /// The real one.
+    /// The production gate.
     Real(Box<Gate<FakeEngine>>),
-    /// The planted fault.
+    /// The mutation.
     ReceiptOnly(ReceiptOnly),
 }
 
 impl AnyGate {
-    /// Opens the real gate.
+    /// Opens the production gate; `None` if that fails.
     pub async fn real(
         engine: FakeEngine,
         kind: EngineKind,
@@ -31,14 +31,14 @@
         Some(Self::Real(Box::new(gate)))
     }
 
-    /// A gate that looks at numbers at receipt only.
+    /// Creates a gate that checks fencing numbers only at receipt.
     pub fn receipt_only(engine: FakeEngine, incarnation: u64) -> Self {
         let (lowest, queue) = (AtomicU64::new(0), Mutex::default());
         Self::ReceiptOnly(ReceiptOnly { engine, incarnation, lowest, queue })
     }
 
-    /// Answers a request that comes this much late. With the planted fault the time passes within
-    /// the agent, between the check and the write; the real gate would check again.
+    /// Handles a request after a delay. With the mutation the delay falls between the agent's check
+    /// and the write; the real gate would check again.
     pub async fn handle_late(
         &self,
         request: &RankRequest,
@@ -53,7 +53,7 @@
         gate.write(request).await
     }
 
-    /// Answers a coordinator's request.
+    /// Handles a coordinator's request.
     pub async fn handle(&self, request: &RankRequest) -> Result<RankState, RankError> {
         match self {
             Self::Real(gate) => gate.handle(request).await,
@@ -62,7 +62,7 @@
     }
 }
 
-/// Checks the fencing number when an order comes, and not again before it is written.
+/// Checks the fencing number when an order arrives, and not again before it is written.
 pub struct ReceiptOnly {
     engine: FakeEngine,
     incarnation: u64,
--- a/crates/proof/src/group/machine.rs
+++ b/crates/proof/src/group/machine.rs
@@ -1,4 +1,4 @@
-//! Drives a group at random with proptest's state machine.
+//! Drives a group with random steps, as a proptest state machine.
 
 use super::fleet::{COORDINATORS, CallFault, Fleet, GroupViolation, RANKS};
 use crate::fuzz::{Driver, paused_runtime};
@@ -13,45 +13,45 @@
 /// Delay of a slow key-value service.
 const KEY_VALUE_DELAY: Duration = Duration::from_millis(800);
 
-/// Time that passes after another map is wanted; about as long as a switch takes.
+/// Time that passes after a new map is set; about as long as a switch takes.
 const SWITCH_TIME: Duration = Duration::from_millis(800);
 
-/// One step.
+/// One random step.
 #[derive(Clone, Debug)]
 pub enum GroupStep {
-    /// Another map is wanted.
+    /// The desired map changes.
     ChangeMap(u16),
-    /// Another map is wanted, the orders for it meet these faults.
+    /// The desired map changes and the orders for it get these faults.
     ChangeMapWithFaults(u16, Vec<CallFault>),
-    /// The next orders to ranks meet these faults.
+    /// The next orders to ranks get these faults.
     CallFaults(Vec<CallFault>),
     /// An engine loses its next order.
     InjectOrderFault(usize, OrderFault),
-    /// An agent's process is replaced.
+    /// An agent process is replaced.
     ReplaceAgent(usize),
-    /// An agent's process stands still, or goes on.
+    /// An agent process is paused or resumed.
     PauseAgent(usize, bool),
-    /// An engine's process dies; it comes back by itself.
+    /// An engine process dies and restarts by itself.
     CrashEngine(usize),
-    /// An engine goes silent, or wakes.
+    /// An engine goes silent or responds again.
     FreezeEngine(usize, bool),
-    /// A coordinating process is replaced.
+    /// A coordinator is replaced.
     ReplaceCoordinator(usize),
-    /// A coordinating process stands still, or goes on.
+    /// A coordinator is paused or resumed.
     PauseCoordinator(usize, bool),
-    /// The lease is taken from its holder.
+    /// The lease expires while it is held.
     ExpireLease,
-    /// The key-value service goes, or comes back.
+    /// The key-value service goes down or comes back.
     KeyValueDown(bool),
-    /// The key-value service gets slow, or quick again.
+    /// The key-value service becomes slow or fast again.
     KeyValueSlow(bool),
-    /// Its next answer is lost, after or before the effect.
+    /// Its next answer is lost; whether after the effect.
     AnswerLost(bool),
-    /// Time passes.
+    /// Time passes, in milliseconds.
     Wait(u64),
 }
 
-/// The reference machine; every step is possible at any time.
+/// The reference machine; its state is the kind of engine, as every step is possible at any time.
 #[derive(Clone, Debug)]
 pub struct GroupSteps;
 
@@ -119,19 +119,18 @@
     ]
 }
 
-/// The group under test and the runtime whose clock it lives by.
+/// The group under test and the runtime with its paused clock.
 pub struct GroupDriver {
     runtime: Runtime,
     fleet: Fleet,
 }
 
-/// Only a step with two maps counts as finding a planted fault.
+/// Only a step with two maps counts as detecting a mutation.
 impl Driver for GroupDriver {
     type Steps = GroupSteps;
     type Violation = GroupViolation;
 
-    /// With the planted fault the engines ignore fencing numbers, as otherwise they would make up
-    /// for it.
+    /// With a mutation the engines ignore fencing numbers, as they would mask it otherwise.
     fn start(kind: &EngineKind, mutation: Option<Mutation>) -> Self {
         let kind = mutation.map_or(*kind, |_| EngineKind::IgnoresFence);
         let runtime = paused_runtime();
@@ -141,7 +140,7 @@
 
     fn step(&mut self, step: &GroupStep) -> Result<(), GroupViolation> {
         let _guard = self.runtime.enter();
-        take(&mut self.fleet, step);
+        apply_step(&mut self.fleet, step);
         let time = match step {
             GroupStep::Wait(ms) => Duration::from_millis(*ms),
             GroupStep::ChangeMap(_) | GroupStep::ChangeMapWithFaults(..) => SWITCH_TIME,
@@ -156,7 +155,7 @@
     }
 }
 
-fn take(fleet: &mut Fleet, step: &GroupStep) {
+fn apply_step(fleet: &mut Fleet, step: &GroupStep) {
     match *step {
         GroupStep::ChangeMap(number) => fleet.set_desired_map(number),
         GroupStep::ChangeMapWithFaults(number, ref faults) => {
--- a/crates/proof/src/group/mod.rs
+++ b/crates/proof/src/group/mod.rs
@@ -1,5 +1,5 @@
-//! Switches of a group's expert map under faults: real coordinators and gates over fake engines
-//! that step together.
+//! Switches of a group's expert map under faults: real coordinators and gates, and fake engines
+//! that step in lockstep.
 
 pub mod fleet;
 pub mod gate;
--- a/crates/proof/src/lib.rs
+++ b/crates/proof/src/lib.rs
@@ -1,11 +1,12 @@
-//! Runs the real code of entries and agents against fakes, under a paused clock, with faults at
-//! every step, and compares what callers were told with what ran.
+//! Fault-injection tests: run the real code of entries and agents against fakes, under a paused
+//! clock, and compare the outcomes that callers get with what the backend servers executed.
 //!
 //! [`world`] holds a small fleet in one thread: real entries and agents, an in-memory network
-//! between them, fakes behind them. [`oracle`] knows only what callers asked, what they were told
-//! and what the backend servers carried out. [`machine`] drives the world at random, and [`matrix`]
-//! brings about every fault at every step. [`configuration`] and [`group`] do the same for the
-//! operators' configuration and for map switches. [`fuzz`] is what these share. [`mutation`] names known-wrong variants.
+//! between them, fakes behind them. [`oracle`] knows only the callers' requests, their outcomes and
+//! what the backend servers executed. [`machine`] drives the world with random steps, and
+//! [`matrix`] injects every fault at every step. [`configuration`] and [`group`] do the same for
+//! the operators' configuration and for map switches. [`fuzz`] has the code that they share.
+//! [`mutation`] lists known-wrong variants that the checks must detect.
 
 pub mod backend;
 pub mod caller;
--- a/crates/proof/src/machine.rs
+++ b/crates/proof/src/machine.rs
@@ -1,4 +1,4 @@
-//! Drives the world at random with proptest's state machine.
+//! Drives the world with random steps, as a proptest state machine.
 
 use crate::entry::MODEL;
 use crate::fuzz::{self, paused_runtime};
@@ -16,121 +16,121 @@
 
 /// Time that passes with every step.
 const STEP_TIME: Duration = Duration::from_millis(1);
-/// Delay of a slow key-value service; beyond its callers' patience.
+/// Delay of a slow key-value service; longer than its callers' timeout.
 const KEY_VALUE_DELAY: Duration = Duration::from_secs(2);
 
-/// One step. Indices are taken modulo what there is.
+/// One random step. Indices of work are taken modulo the number of pieces of work.
 #[derive(Clone, Debug)]
 pub enum Step {
-    /// New work.
+    /// A caller asks for new work.
     Ask {
-        /// The entry asked.
+        /// Index of the entry.
         entry: usize,
-        /// What is asked.
+        /// Kind of the work.
         kind: WorkKind,
-        /// How long the caller waits.
+        /// Timeout for the start of the answer.
         timeout_ms: u64,
     },
-    /// Work that was asked for is sent again.
+    /// A caller resends earlier work.
     Resend {
-        /// The entry asked.
+        /// Index of the entry.
         entry: usize,
-        /// The work.
+        /// Index of the work.
         work: usize,
-        /// How long the caller waits.
+        /// Timeout for the start of the answer.
         timeout_ms: u64,
     },
-    /// A ticket is given up.
+    /// A caller voids a ticket.
     Void {
-        /// The entry asked.
+        /// Index of the entry.
         entry: usize,
-        /// The work.
+        /// Index of the work.
         work: usize,
     },
-    /// The key-value service is down for a while, and meanwhile an order comes under a key of the
-    /// caller's own and is sent again through the other entry.
+    /// The key-value service is down for a while; meanwhile an order under a caller's key is sent
+    /// and resent through the other entry.
     KeyInOutage {
-        /// The entry asked first.
+        /// Index of the entry that gets the first request.
         entry: usize,
-        /// How long the service is down.
+        /// Duration of the outage.
         ms: u64,
     },
     /// Time passes.
     Wait {
-        /// How much.
+        /// Duration of the wait.
         ms: u64,
     },
-    /// The next message that way meets a fault.
+    /// The next message in this direction gets a fault.
     Message(Direction, MessageFault),
-    /// Something happens to a process or service.
+    /// An event of a process or service.
     Event(FleetEvent),
 }
 
-/// What is asked.
+/// Kind of new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkKind {
-    /// A streamed completion of so many tokens.
+    /// A streamed completion with this number of tokens.
     Stream(u64),
-    /// A completion that is not streamed.
+    /// A completion that is not streamed, with this number of tokens.
     Json(u64),
     /// An idempotent service call.
     Status,
-    /// A non-idempotent call.
+    /// A non-idempotent service call.
     Order,
-    /// The same under a ticket.
+    /// A non-idempotent service call under a ticket.
     OrderWithTicket,
-    /// The same under a key of the caller's own.
+    /// A non-idempotent service call under the caller's idempotency key.
     OrderWithKey,
 }
 
-/// What happens to processes and services.
+/// An event of a process or service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FleetEvent {
     /// An agent process dies.
     KillAgent(usize),
-    /// An agent process dies and another takes its place at once, as when its VM is replaced.
+    /// An agent process dies and another replaces it at once, as when its VM is replaced.
     ReplaceAgent(usize),
-    /// An agent process starts, if none runs.
+    /// An agent process starts unless one runs.
     StartAgent(usize),
-    /// An agent process stops without closing anything.
+    /// An agent process is paused without closing its connections.
     PauseAgent(usize),
-    /// It goes on.
+    /// A paused agent process is resumed.
     ResumeAgent(usize),
-    /// An agent is told to leave.
+    /// An agent begins to leave.
     Leave(usize),
-    /// A VM dies and another comes at the same address: agent and backend server are new.
+    /// A VM is replaced at the same address: agent and backend server are new.
     ReplaceVm(usize),
-    /// An entry process dies and another takes its place.
+    /// An entry process dies and another replaces it at once.
     ReplaceEntry(usize),
-    /// An entry process dies and nothing takes its place yet.
+    /// An entry process dies and is not replaced yet.
     KillEntry(usize),
-    /// An entry process starts, if none runs.
+    /// An entry process starts unless one runs.
     StartEntry(usize),
-    /// An entry is told to leave; once its requests have ended another takes its place.
+    /// An entry begins to leave; another replaces it once its requests have ended.
     LeaveEntry(usize),
     /// Every connection breaks.
     CutConnections,
-    /// Every connection goes silent for good.
+    /// Every open connection goes silent permanently.
     SilenceConnections,
-    /// A service process dies after it carried out its next call.
+    /// A service process dies after it executes its next call.
     CrashService(usize),
-    /// A service refuses connections, or takes them again.
+    /// A service refuses connections or accepts them again.
     ServiceDown(usize, bool),
-    /// A service takes this long for a call.
+    /// A service takes this time for a call, in milliseconds.
     ServiceSlow(usize, u64),
-    /// An engine's process dies; it comes back by itself.
+    /// An engine process dies and restarts by itself.
     CrashEngine(usize),
-    /// An engine goes silent, or wakes.
+    /// An engine goes silent or responds again.
     FreezeEngine(usize, bool),
-    /// The key-value service goes, or comes back.
+    /// The key-value service goes down or comes back.
     KeyValueDown(bool),
-    /// The key-value service gets slow, or quick again.
+    /// The key-value service becomes slow or fast again.
     KeyValueSlow(bool),
-    /// The next answer of the key-value service is lost.
+    /// The next answer of the key-value service is lost; whether after the effect.
     KeyValueAnswerLost(bool),
 }
 
-/// The reference machine. What is possible does not depend on what happened, so it keeps no state.
+/// The reference machine; it has no state, as every step is possible at any time.
 #[derive(Clone, Debug)]
 pub struct Steps;
 
@@ -217,7 +217,7 @@
     ]
 }
 
-/// The world under test and the runtime whose clock it lives by.
+/// The world under test and the runtime with its paused clock.
 pub struct Driver {
     runtime: Runtime,
     world: World,
@@ -240,7 +240,7 @@
         let Self { runtime, world, work_count } = self;
         runtime.block_on(async {
             world.replace_left_entries();
-            take(world, work_count, step).await;
+            apply_step(world, work_count, step).await;
             tokio::time::sleep(STEP_TIME).await;
         });
         self.world.check()
@@ -251,7 +251,7 @@
     }
 }
 
-async fn take(world: &mut World, work_count: &mut usize, step: &Step) {
+async fn apply_step(world: &mut World, work_count: &mut usize, step: &Step) {
     match step {
         Step::Ask { entry, kind, timeout_ms } => {
             *work_count += 1;
@@ -274,7 +274,7 @@
     }
 }
 
-/// Asks for work with a body that no other work has.
+/// Asks for work with a unique body.
 async fn ask(world: &mut World, entry: usize, kind: WorkKind, number: usize, timeout_ms: u64) {
     let plain = || Bytes::from(format!("work {number}"));
     match kind {
--- a/crates/proof/src/matrix/control.rs
+++ b/crates/proof/src/matrix/control.rs
@@ -1,4 +1,4 @@
-//! Cells of configuration changes and map switches.
+//! Runs the cells of configuration changes and map switches.
 
 use super::run::{KEY_VALUE_DELAY, OUTAGE_TIME, Observed, PAIR_TIME};
 use super::{Fault, Outcome, Step};
@@ -12,28 +12,27 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// The rank that faults strike.
+/// The rank that faults hit.
 const RANK: usize = 1;
-/// Later than every time limit of a switch.
+/// Delay of a late message; longer than every time limit of a switch.
 pub(super) const LATE: Duration = Duration::from_secs(15);
-/// A write that is overtaken takes this long.
-const OVERTAKEN_TIME: Duration = Duration::from_millis(50);
-/// Time in which a call goes out.
-const MOMENT: Duration = Duration::from_millis(2);
-/// The map that is wanted.
+/// Delay of a reordered write.
+const REORDER_DELAY: Duration = Duration::from_millis(50);
+/// Time until a call is sent.
+const SEND_TIME: Duration = Duration::from_millis(2);
+/// The map to switch to.
 const MAP: u16 = 2;
 
-/// An operator changes the configuration through process 0 while these faults strike, one after the
-/// other.
+/// Changes the configuration through process 0 and injects the faults one after the other.
 pub(super) async fn change(step: Step, faults: &[Fault]) -> Result<Observed, ConfigViolation> {
     let mut fleet = ConfigFleet::start(None).await;
     let value = match step {
-        Step::ConfigurationWritten => change_struck(&mut fleet, faults).await,
+        Step::ConfigurationWritten => change_with_write_faults(&mut fleet, faults).await,
         _ => {
             let value = fleet.change(0);
-            sleep(MOMENT).await;
+            sleep(SEND_TIME).await;
             for fault in faults {
-                strike_spreading(&mut fleet, *fault);
+                inject_during_propagation(&mut fleet, *fault);
                 sleep(PAIR_TIME).await;
             }
             value
@@ -51,19 +50,19 @@
     Ok(Observed { first, resend: None })
 }
 
-/// Here the message on its way is the write itself.
-async fn change_struck(fleet: &mut ConfigFleet, faults: &[Fault]) -> Option<u64> {
+/// Changes the configuration with faults of the write itself.
+async fn change_with_write_faults(fleet: &mut ConfigFleet, faults: &[Fault]) -> Option<u64> {
     let has = |fault| faults.contains(&fault);
     if has(Fault::MessageDelayed) {
         fleet.kv.delay_write(LATE * 2);
     }
     if has(Fault::MessageReordered) {
-        fleet.kv.delay_write(OVERTAKEN_TIME);
+        fleet.kv.delay_write(REORDER_DELAY);
     }
     if has(Fault::MessageLost) {
         fleet.kv.lose_write_answers(1, LostAnswer::BeforeEffect);
     }
-    faults.iter().for_each(|fault| strike_key_value(&fleet.kv, *fault));
+    faults.iter().for_each(|fault| inject_key_value_fault(&fleet.kv, *fault));
     let value = fleet.change(0);
     if has(Fault::EntryPaused) {
         fleet.pause(0, true);
@@ -74,19 +73,19 @@
     if has(Fault::ConnectionSilent) {
         silence(fleet);
     }
-    sleep(MOMENT).await;
+    sleep(SEND_TIME).await;
     if has(Fault::MessageReordered) {
-        // Another operator's change gets there first.
+        // Another operator's change arrives first.
         fleet.change(1);
     }
     value
 }
 
-/// Here the messages are those from process to process.
-fn strike_spreading(fleet: &mut ConfigFleet, fault: Fault) {
+/// Injects a fault while the change spreads; messages are those between processes.
+fn inject_during_propagation(fleet: &mut ConfigFleet, fault: Fault) {
     match fault {
         Fault::EntryKilled => fleet.kill(0),
-        // One that has yet to learn of the change.
+        // A process that does not have the change yet.
         Fault::EntryPaused => fleet.pause(1, true),
         Fault::ConnectionSilent => silence(fleet),
         Fault::MessageLost => {
@@ -96,7 +95,7 @@
         Fault::MessageDelayed => fleet.inject_fault(MessageFault::Delayed(LATE)),
         Fault::MessageDuplicated => fleet.inject_fault(MessageFault::Duplicated(RESTART_TIME)),
         Fault::MessageReordered => fleet.inject_fault(MessageFault::Reordered),
-        _ => strike_key_value(&fleet.kv, fault),
+        _ => inject_key_value_fault(&fleet.kv, fault),
     }
 }
 
@@ -105,7 +104,7 @@
     fleet.kv.silence_watches();
 }
 
-pub(super) fn strike_key_value(kv: &FakeKeyValue, fault: Fault) {
+pub(super) fn inject_key_value_fault(kv: &FakeKeyValue, fault: Fault) {
     match fault {
         Fault::KeyValueDown => kv.set_down(true),
         Fault::KeyValueSlow => kv.set_delay(KEY_VALUE_DELAY),
@@ -114,7 +113,7 @@
     }
 }
 
-/// What a fault of messages does to an order.
+/// The call fault for a message fault; `None` for other faults.
 pub(super) fn call_fault(fault: Fault) -> Option<CallFault> {
     match fault {
         Fault::MessageLost => Some(CallFault::RequestLost),
@@ -125,15 +124,15 @@
     }
 }
 
-/// A group changes its map while these faults strike, one after the other.
+/// Switches a group's map and injects the faults one after the other.
 pub(super) async fn switch(step: Step, faults: &[Fault]) -> Result<Observed, GroupViolation> {
     let mut fleet = GroupFleet::start(EngineKind::IgnoresFence, None).await;
     fleet.set_desired_map(MAP);
-    reach(&fleet, step).await;
+    wait_for_step(&fleet, step).await;
     for fault in faults {
         match call_fault(*fault) {
             Some(call_fault) => fleet.inject_fault(call_fault),
-            None => strike(&mut fleet, *fault),
+            None => inject(&mut fleet, *fault),
         }
         if faults.len() > 1 {
             sleep(PAIR_TIME).await;
@@ -147,8 +146,8 @@
     Ok(Observed { first, resend: None })
 }
 
-/// Waits until the switch is at this step.
-async fn reach(fleet: &GroupFleet, step: Step) {
+/// Waits until the switch reaches a step.
+async fn wait_for_step(fleet: &GroupFleet, step: Step) {
     let state = |rank: usize| fleet.engine(rank).peek_state();
     let before = state(0).staged_map_digest;
     let reached = || match step {
@@ -161,7 +160,7 @@
     }
 }
 
-fn strike(fleet: &mut GroupFleet, fault: Fault) {
+fn inject(fleet: &mut GroupFleet, fault: Fault) {
     match fault {
         Fault::AgentKilled => fleet.replace_agent(RANK),
         Fault::AgentPaused => fleet.pause_agent(RANK, true),
@@ -174,6 +173,6 @@
         }
         Fault::CoordinatorKilled => fleet.replace_coordinator(fleet.leader()),
         Fault::CoordinatorPaused => fleet.pause_coordinator(fleet.leader(), true),
-        _ => strike_key_value(&fleet.kv, fault),
+        _ => inject_key_value_fault(&fleet.kv, fault),
     }
 }
--- a/crates/proof/src/matrix/load.rs
+++ b/crates/proof/src/matrix/load.rs
@@ -1,10 +1,10 @@
-//! Cells of a model load: an order to serve another version, through an agent's gate.
+//! Runs the cells of a model load: an order to serve another version, through an agent's gate.
 //!
-//! A coordinating process sends it under the number of the record that it wrote. Once it was told
-//! something, or its time is up, another takes over and orders a third version until it is told
-//! that this is served; from then on the engine must serve nothing else.
+//! A coordinator sends the order under the fencing number of the record that it wrote. Once it has
+//! an answer or times out, another coordinator takes over and orders a third version until that is
+//! served; from then on the engine must serve nothing else.
 
-use super::control::{LATE, call_fault, strike_key_value};
+use super::control::{LATE, call_fault, inject_key_value_fault};
 use super::run::{OUTAGE_TIME, Observed, PAIR_TIME};
 use super::{Fault, Outcome};
 use crate::backend::Lifecycle;
@@ -21,20 +21,20 @@
 use tokio::task::AbortHandle;
 use tokio::time::{Instant, sleep, timeout};
 
-/// The rank that gets the order.
+/// The rank that receives the order.
 const RANK: usize = 0;
 const MESSAGE_TIME: Duration = Duration::from_millis(5);
-/// Time that the weights take.
+/// Time to load the weights.
 const LOAD_TIME: Duration = Duration::from_secs(2);
-/// The load is under way after this time.
+/// Time after which the load is in progress.
 const LOADING_AFTER: Duration = Duration::from_millis(500);
-/// How long a coordinating process waits for an answer.
+/// Timeout of an order.
 const ORDER_LIMIT: Duration = Duration::from_secs(5);
-/// A process that gets no answer reads the rank's state this often.
+/// Interval of the reads of a rank's state while an answer is awaited.
 const READ_INTERVAL: Duration = Duration::from_millis(200);
-/// Within this time after the last fault a new order is carried out.
+/// Time limit after the last fault for a new order to be executed.
 const RECOVERY_LIMIT: Duration = Duration::from_secs(30);
-/// How long the engine is watched afterwards, and how often.
+/// Duration and interval of the final checks of the engine's version.
 const WATCH: (Duration, Duration) = (Duration::from_secs(60), Duration::from_millis(100));
 
 const FIRST_VERSION: &str = "1";
@@ -43,41 +43,41 @@
 
 type Answer = Result<RankState, RankError>;
 
-/// A coordinating process with an order on its way.
-struct Coordinating {
+/// A coordinator with an order in flight.
+struct OrderingCoordinator {
     lifecycle: Lifecycle,
     running: AbortHandle,
     answer: oneshot::Receiver<Answer>,
 }
 
-struct Scene {
+struct Scenario {
     fleet: Fleet,
     records: RecordStore,
-    first: Coordinating,
+    first: OrderingCoordinator,
 }
 
-/// A model is loaded while these faults strike one after the other.
+/// Loads a model and injects the faults one after the other.
 pub(super) async fn load(kind: EngineKind, faults: &[Fault]) -> Result<Observed, GroupViolation> {
-    let scene = Scene::start(kind, faults).await?;
+    let scenario = Scenario::start(kind, faults).await?;
     sleep(LOADING_AFTER).await;
     for fault in faults {
-        scene.strike(*fault);
+        scenario.inject(*fault);
         sleep(PAIR_TIME).await;
     }
-    // The order is on its way or carried out meanwhile; whoever takes over does not wait for it.
+    // The order may still be in flight; the coordinator that takes over does not wait for it.
     sleep(ORDER_LIMIT).await;
-    let taking_over = scene.take_over().await;
+    let taking_over = scenario.take_over().await;
     sleep(OUTAGE_TIME - ORDER_LIMIT).await;
-    scene.repair();
+    scenario.repair();
     let last = taking_over.await.unwrap_or(Err(RankError::NoAnswer));
     if let Err(last) = last {
         return Err(GroupViolation::NotOrdered { last: last.to_string() });
     }
-    scene.watch().await?;
-    Ok(Observed { first: scene.outcome(), resend: Some(Outcome::Complete) })
+    scenario.watch().await?;
+    Ok(Observed { first: scenario.outcome(), resend: Some(Outcome::Complete) })
 }
 
-impl Scene {
+impl Scenario {
     async fn start(kind: EngineKind, faults: &[Fault]) -> Result<Self, GroupViolation> {
         let settings = EngineSettings { weight_load_time: LOAD_TIME, ..EngineSettings::default() };
         let fleet = Fleet::without_coordinators(kind, None, MESSAGE_TIME, settings);
@@ -86,8 +86,8 @@
         let _ = records.create(record).await;
         let served = until_served(fleet.link(), records.clone(), FIRST_VERSION).await;
         served.map_err(|last| GroupViolation::NotOrdered { last: last.to_string() })?;
-        let stored = claim(&records).await;
-        // An engine goes on loading for a caller that is gone, and has the effect late.
+        let stored = take_over_record(&records).await;
+        // An engine continues a load whose caller is gone, so the order takes effect late.
         if faults.iter().any(|fault| matches!(fault, Fault::AgentKilled | Fault::ConnectionSilent))
         {
             fleet.engine(RANK).inject_order_fault(OrderFault::Delayed(LATE));
@@ -95,11 +95,11 @@
         for fault in faults.iter().filter_map(|fault| call_fault(*fault)) {
             fleet.inject_fault(fault);
         }
-        let first = Coordinating::start(fleet.link(), stored);
+        let first = OrderingCoordinator::start(fleet.link(), stored);
         Ok(Self { fleet, records, first })
     }
 
-    fn strike(&self, fault: Fault) {
+    fn inject(&self, fault: Fault) {
         let engine = self.fleet.engine(RANK);
         match fault {
             Fault::AgentKilled => self.fleet.replace_agent(RANK),
@@ -113,7 +113,7 @@
             }
             Fault::CoordinatorKilled => self.first.running.abort(),
             Fault::CoordinatorPaused => self.first.lifecycle.set_paused(true),
-            _ => strike_key_value(&self.fleet.kv, fault),
+            _ => inject_key_value_fault(&self.fleet.kv, fault),
         }
     }
 
@@ -127,8 +127,8 @@
         self.first.lifecycle.set_paused(false);
     }
 
-    /// The newest order that was carried out stays so, whatever else is still on its way. A crashed
-    /// engine comes back without a version.
+    /// Checks that the newest executed order stays in effect, whatever else is in flight. A crashed
+    /// engine restarts without a version.
     async fn watch(&self) -> Result<(), GroupViolation> {
         let (time, interval) = WATCH;
         let end = Instant::now() + time;
@@ -155,7 +155,7 @@
     }
 }
 
-impl Coordinating {
+impl OrderingCoordinator {
     fn start(link: Link, stored: StoredRecord) -> Self {
         let lifecycle = Lifecycle::default();
         let (sender, answer) = oneshot::channel();
@@ -164,7 +164,7 @@
             let unknown = matches!(first, Err(RankError::NoAnswer | RankError::EngineSilent));
             let _ = sender.send(first);
             if unknown {
-                // As long as it doesn't know that it was replaced, it tries again.
+                // It does not know yet that it was replaced, so it tries again.
                 let _ = order(&link, &stored, SECOND_VERSION).await;
             }
         };
@@ -173,8 +173,8 @@
     }
 }
 
-/// Writes the record anew, as a process does that takes over.
-async fn claim(records: &RecordStore) -> StoredRecord {
+/// Rewrites the record, as a coordinator does when it takes over.
+async fn take_over_record(records: &RecordStore) -> StoredRecord {
     loop {
         if let Ok(stored) = records.read().await
             && let Ok(stored) = records.replace(&stored, stored.record.clone()).await
@@ -185,10 +185,10 @@
     }
 }
 
-/// Takes over and orders a version until the rank is told to serve it; gives the last answer.
+/// Takes over and orders a version until the rank serves it; returns the last answer.
 async fn until_served(link: Link, records: RecordStore, version: &'static str) -> Answer {
     let end = Instant::now() + OUTAGE_TIME + RECOVERY_LIMIT;
-    let stored = claim(&records).await;
+    let stored = take_over_record(&records).await;
     loop {
         let answer = order(&link, &stored, version).await;
         if answer.is_ok() || Instant::now() > end {
@@ -198,7 +198,7 @@
     }
 }
 
-/// One order and the read before it, which tells the agent's process. Reads go on while the answer
+/// Sends one order after a read that gives the agent's incarnation. Reads continue while the answer
 /// is awaited, as a coordinator's do.
 async fn order(link: &Link, stored: &StoredRecord, version: &str) -> Answer {
     let read = || RankRequest {
--- a/crates/proof/src/matrix/mod.rs
+++ b/crates/proof/src/matrix/mod.rs
@@ -1,4 +1,5 @@
-//! The fault matrix: every fault at every step, what is promised there, and the run that shows it.
+//! The fault matrix: every fault at every step, with the expected outcomes and the run that checks
+//! them.
 
 mod control;
 mod load;
@@ -8,7 +9,7 @@
 
 pub use promise::{Cell, cell};
 
-/// What the fleet is doing when a fault strikes.
+/// The operation in progress when a fault is injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Step {
     /// A completion was just dispatched.
@@ -19,46 +20,46 @@
     ChatEnding,
     /// An idempotent service call is being carried out.
     StatusRunning,
-    /// A ticket is being taken.
+    /// A ticket is being requested.
     TicketTaken,
     /// A call under a ticket was just dispatched.
     TicketDispatched,
-    /// It is being carried out and has had no effect yet.
+    /// A call under a ticket is running and has had no effect yet.
     TicketRunning,
-    /// It has taken effect and is not yet answered.
+    /// A call under a ticket has taken effect and is not yet answered.
     TicketCarriedOut,
-    /// It is finished and is sent again.
+    /// A finished call under a ticket is sent again.
     TicketSentAgain,
-    /// A ticket that was not used is given up.
+    /// An unused ticket is voided.
     TicketVoided,
-    /// A caller's own key is being bound.
+    /// A caller's idempotency key is being bound.
     KeyBound,
     /// A call under a key has taken effect and is not yet answered.
     KeyCarriedOut,
     /// A finished call under a key is sent again.
     KeySentAgain,
-    /// An agent was told to leave while a stream runs.
+    /// An agent is leaving while a stream runs.
     LeaveTold,
-    /// A caller asks which addresses to use.
+    /// A caller asks which entry addresses to use.
     AddressAsked,
     /// An operator's change is being written.
     ConfigurationWritten,
-    /// An accepted change is on its way to the other entries.
+    /// An accepted change is being propagated to the other entries.
     ConfigurationSpreading,
     /// The weights of a group's new map are being loaded.
     MapStaged,
     /// The group is being stopped for the new map.
     MapHeld,
-    /// The ranks are being told to use it.
+    /// The ranks are being switched to the new map.
     MapSwitched,
     /// An engine that checks fencing numbers loads another version of its model.
     ModelLoaded,
-    /// The same with an engine that does not look at the numbers.
+    /// An engine that ignores fencing numbers loads another version of its model.
     ModelLoadedUnfenced,
 }
 
 impl Step {
-    /// All steps, in the order of the table.
+    /// All steps, in the order of the page.
     pub const ALL: [Self; 22] = [
         Self::ChatDispatched,
         Self::ChatStreaming,
@@ -84,7 +85,7 @@
         Self::ModelLoadedUnfenced,
     ];
 
-    /// The step in words.
+    /// Text of the step on the page.
     pub fn description(self) -> &'static str {
         match self {
             Self::ChatDispatched => "completion dispatched",
@@ -113,47 +114,47 @@
     }
 }
 
-/// What goes wrong.
+/// An injected fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Fault {
-    /// The entry process dies; another takes its place.
+    /// The entry process dies and is replaced at once.
     EntryKilled,
     /// The agent process dies; another starts a second later.
     AgentKilled,
-    /// The entry process stands still for 15 s.
+    /// The entry process is paused for 15 s.
     EntryPaused,
-    /// The agent process stands still for 15 s.
+    /// The agent process is paused for 15 s.
     AgentPaused,
-    /// The message on its way is lost.
+    /// The message in flight is lost.
     MessageLost,
-    /// It arrives after every time limit.
+    /// The message in flight arrives after every time limit.
     MessageDelayed,
-    /// It arrives twice.
+    /// The message in flight arrives twice.
     MessageDuplicated,
-    /// The next message overtakes it.
+    /// The message in flight arrives after the next one.
     MessageReordered,
-    /// All open connections go silent for good.
+    /// All open connections go silent permanently.
     ConnectionSilent,
     /// The key-value service is down for 15 s.
     KeyValueDown,
-    /// It answers after its callers' patience, for 15 s.
+    /// The key-value service answers after its callers' timeout, for 15 s.
     KeyValueSlow,
-    /// Its next answer is lost after the call took effect.
+    /// The next answer of the key-value service is lost after the call took effect.
     KeyValueAnswerLost,
-    /// The backend server's process dies; another starts.
+    /// The backend server process dies; another starts.
     BackendCrashed,
-    /// The backend server stands still for 15 s.
+    /// The backend server stalls for 15 s.
     RankStalled,
     /// Agent and backend server die together; new ones start a second later.
     VmReplaced,
-    /// The process that coordinates a group dies; another takes its place.
+    /// The group's coordinator dies and is replaced.
     CoordinatorKilled,
-    /// It stands still for 15 s, past its lease.
+    /// The group's coordinator is paused for 15 s, past the end of its lease.
     CoordinatorPaused,
 }
 
 impl Fault {
-    /// All faults, in the order of the table.
+    /// All faults, in the order of the page.
     pub const ALL: [Self; 17] = [
         Self::EntryKilled,
         Self::AgentKilled,
@@ -174,7 +175,7 @@
         Self::CoordinatorPaused,
     ];
 
-    /// The fault in words.
+    /// Text of the fault on the page.
     pub fn description(self) -> &'static str {
         match self {
             Self::EntryKilled => "entry killed",
@@ -197,7 +198,7 @@
         }
     }
 
-    /// Every two different faults that can strike at a step, in both orders.
+    /// All ordered pairs of different faults that can occur at a step.
     ///
     /// ```
     /// use flamingowheel_proof::matrix::{Fault, Step};
@@ -212,7 +213,7 @@
             .collect()
     }
 
-    /// Every two faults that can strike at a step, in one of the two orders, now this one, now that.
+    /// All unordered pairs of faults that can occur at a step; which fault comes first varies.
     ///
     /// ```
     /// use flamingowheel_proof::matrix::{Fault, Step};
@@ -225,7 +226,7 @@
         Self::pairs(step).into_iter().filter(|(first, second)| is_chosen(*first, *second)).collect()
     }
 
-    /// Whether it strikes one backend server or its agent.
+    /// Whether the fault hits one backend server or its agent.
     pub fn affects_server(self) -> bool {
         matches!(
             self,
@@ -237,7 +238,7 @@
         )
     }
 
-    /// Whether it strikes one message.
+    /// Whether the fault hits one message.
     pub fn affects_message(self) -> bool {
         matches!(
             self,
@@ -249,17 +250,17 @@
     }
 }
 
-/// What a caller is told, without its details.
+/// The outcome that a caller gets, without its details.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Outcome {
-    /// The whole answer.
+    /// The complete answer.
     Complete,
-    /// Proof that it did not run.
+    /// The call did not run.
     NotRun,
-    /// Nobody can know.
+    /// Whether the call ran is unknown.
     Unknown,
-    /// The connection broke visibly.
+    /// The connection ended early, visibly to the caller.
     Broken,
-    /// No ticket could be had, so nothing was asked.
+    /// No ticket was issued, so no call was made.
     NoTicket,
 }
--- a/crates/proof/src/matrix/promise.rs
+++ b/crates/proof/src/matrix/promise.rs
@@ -1,4 +1,4 @@
-//! What is promised in each cell.
+//! The expected outcomes of each cell.
 
 use super::run::Observed;
 use super::{Fault, Outcome, Step};
@@ -6,19 +6,19 @@
 /// One cell of the matrix.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cell {
-    /// It is run, and callers are told exactly this. Besides, the oracle holds: what is told is
-    /// true, and non-idempotent work runs at most once.
+    /// The cell is run and callers get exactly these outcomes. The oracle checks besides that the
+    /// outcomes are true and that non-idempotent work runs at most once.
     Runs(Observed),
-    /// The fault can't strike at this step, for this reason.
+    /// The fault can't occur at this step, for this reason.
     CannotOccur(&'static str),
-    /// It could strike, but no run shows yet what happens.
+    /// The fault can occur, but no run covers it yet.
     NotYet,
 }
 
-/// What callers are told, by step and in the order of [`Fault::ALL`]: first for the call that was
-/// hit, then for its resend. C complete, N not run, U unknown, B broken, T no ticket to be had,
-/// - no resend, x can't occur, o not run yet.
-const PROMISES: [(Step, &str); 22] = [
+/// Outcomes by step, in the order of [`Fault::ALL`]: first of the call that the fault hits, then of
+/// its resend. C complete, N not run, U unknown, B broken, T no ticket issued, - no resend, x can't
+/// occur, o not run yet.
+const EXPECTED_OUTCOMES: [(Step, &str); 22] = [
     (Step::ChatDispatched, "B- C- U- C- C- C- C- C- C- C- C- C- C- C- C- xx xx"),
     (Step::ChatStreaming, "B- C- B- B- C- C- C- C- C- C- C- C- B- B- C- xx xx"),
     (Step::ChatEnding, "B- C- B- B- C- C- C- C- C- C- C- C- B- B- C- xx xx"),
@@ -43,8 +43,8 @@
     (Step::ModelLoadedUnfenced, "xx UC xx UC UC UC CC CC UC CC CC CC UC UC UC BC CC"),
 ];
 
-/// Why a fault can't strike at a step.
-fn reason(step: Step, fault: Fault) -> &'static str {
+/// Why a fault can't occur at a step.
+fn reason_cannot_occur(step: Step, fault: Fault) -> &'static str {
     match (step, fault) {
         (_, Fault::CoordinatorKilled | Fault::CoordinatorPaused) => {
             "no group's coordinator takes part"
@@ -78,14 +78,14 @@
 /// assert_eq!(observed.first, Outcome::Complete);
 /// ```
 pub fn cell(step: Step, fault: Fault) -> Cell {
-    let row = PROMISES.iter().find(|(of, _)| *of == step).map_or("", |(_, row)| row);
+    let row = EXPECTED_OUTCOMES.iter().find(|(of, _)| *of == step).map_or("", |(_, row)| row);
     let column = Fault::ALL.iter().position(|of| *of == fault).unwrap_or(usize::MAX);
     let mut letters = row.split(' ').nth(column).unwrap_or("xx").chars();
     let (first, resend) = (letters.next().unwrap_or('x'), letters.next().unwrap_or('x'));
     match outcome(first) {
         Some(first) => Cell::Runs(Observed { first, resend: outcome(resend) }),
         None if first == 'o' => Cell::NotYet,
-        None => Cell::CannotOccur(reason(step, fault)),
+        None => Cell::CannotOccur(reason_cannot_occur(step, fault)),
     }
 }
 
--- a/crates/proof/src/matrix/report.rs
+++ b/crates/proof/src/matrix/report.rs
@@ -1,4 +1,4 @@
-//! Writes the matrix as a page.
+//! Renders the matrix as a Markdown page.
 
 use super::{Cell, Fault, Outcome, Step, cell};
 use std::fmt::Write;
@@ -31,7 +31,7 @@
 servers; what is promised stays the same. Unset, as in CI, the key is always the same.
 ";
 
-/// Numbers of cells.
+/// Number of cells by state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Count {
     /// Cells that are run.
@@ -62,7 +62,7 @@
     count
 }
 
-/// The page.
+/// Renders the page; a test compares it with docs/FAULTS.md.
 pub fn page() -> String {
     let Count { run, cannot_occur, not_yet } = count();
     let total = run + cannot_occur + not_yet;
--- a/crates/proof/src/matrix/run.rs
+++ b/crates/proof/src/matrix/run.rs
@@ -16,40 +16,40 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// How long a pause or an outage lasts; longer than every lease and time limit of the request path.
+/// Duration of a pause or an outage; longer than every lease and time limit of the request path.
 pub(super) const OUTAGE_TIME: Duration = Duration::from_secs(15);
-/// Later than every time limit of the request path.
+/// Delay of a late message; longer than every time limit of the request path.
 const LATE: Duration = Duration::from_secs(12);
-/// How long callers wait for their answer to begin.
+/// Timeout for the start of an answer.
 const TIMEOUT_MS: u64 = 9_000;
-/// Time a service takes for a call; it is carried out half-way.
+/// Time a service takes for a call; the effect occurs half-way.
 const SERVICE_TIME: Duration = Duration::from_millis(1_000);
 /// Tokens of a completion, 50 ms apart.
 const TOKENS: u64 = 40;
-/// Time between two faults that meet.
+/// Time between the two faults of a pair.
 pub(super) const PAIR_TIME: Duration = Duration::from_millis(100);
 /// Delay of a slow key-value service.
 pub(super) const KEY_VALUE_DELAY: Duration = Duration::from_secs(2);
 
-/// What a run showed.
+/// The outcomes of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Observed {
-    /// What the call that was hit was told.
+    /// Outcome of the call that the fault hit.
     pub first: Outcome,
-    /// What a resend through another entry was told, where the caller can send it again.
+    /// Outcome of a resend through another entry; `None` if the caller can't resend.
     pub resend: Option<Outcome>,
 }
 
-/// A promise that holds in every cell and was broken.
+/// A violation of an invariant that holds in every cell.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvariantViolation {
-    /// About requests.
+    /// An invariant of requests.
     #[error(transparent)]
     Request(#[from] Violation),
-    /// About the configuration.
+    /// An invariant of the configuration.
     #[error(transparent)]
     Configuration(#[from] ConfigViolation),
-    /// About groups.
+    /// An invariant of groups.
     #[error(transparent)]
     Group(#[from] GroupViolation),
 }
@@ -57,31 +57,31 @@
 /// How a cell failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CellFailure {
-    /// A promise that holds in every cell was broken.
+    /// An invariant that holds in every cell was violated.
     #[error("{step:?}, {fault:?}: {violation}")]
     InvariantViolated {
-        /// The step.
+        /// Row of the cell.
         step: Step,
-        /// The fault.
+        /// Column of the cell.
         fault: Fault,
-        /// Which promise.
+        /// The violated invariant.
         violation: InvariantViolation,
     },
-    /// Callers were told something else than the cell promises.
+    /// The outcomes differ from those that the cell expects.
     #[error("{step:?}, {fault:?}: observed {observed:?}, expected {expected:?}")]
     UnexpectedOutcome {
-        /// The step.
+        /// Row of the cell.
         step: Step,
-        /// The fault.
+        /// Column of the cell.
         fault: Fault,
-        /// What they were told.
+        /// Outcomes of the run.
         observed: Observed,
-        /// What was promised.
+        /// Outcomes that the cell expects.
         expected: Observed,
     },
 }
 
-/// Runs a cell under a paused clock of its own and compares it with its promise.
+/// Runs a cell under its own paused clock and compares it with the expected outcomes.
 pub fn check(step: Step, fault: Fault) -> Result<(), CellFailure> {
     let Cell::Runs(expected) = cell(step, fault) else { return Ok(()) };
     let observed = paused_runtime()
@@ -93,31 +93,31 @@
     }
 }
 
-/// Runs two faults that meet under a paused clock of their own.
+/// Runs a pair of faults under its own paused clock.
 pub fn check_pair(step: Step, first: Fault, second: Fault) -> Result<(), InvariantViolation> {
     paused_runtime().block_on(run_pair(step, first, second))
 }
 
-/// Runs a cell. The oracle's checks hold in every cell; what callers are told is compared with the
-/// cell's promise by the caller of this.
+/// Runs a cell and checks the invariants that hold in every cell; the caller compares the outcomes
+/// with the expected ones.
 pub async fn run(step: Step, fault: Fault) -> Result<Observed, InvariantViolation> {
-    match run_elsewhere(step, &[fault]).await {
+    match run_without_requests(step, &[fault]).await {
         Some(observed) => observed,
         None => Ok(run_request(step, fault).await?),
     }
 }
 
-/// Runs a step with two faults, the second moments after the first. Only what holds in every cell
-/// is checked.
+/// Runs a step with two faults, the second `PAIR_TIME` after the first. Checks only the invariants
+/// that hold in every cell.
 pub async fn run_pair(step: Step, first: Fault, second: Fault) -> Result<(), InvariantViolation> {
-    match run_elsewhere(step, &[first, second]).await {
+    match run_without_requests(step, &[first, second]).await {
         Some(observed) => observed.map(drop),
         None => Ok(run_request_pair(step, first, second).await?),
     }
 }
 
-/// Runs what is not a step of a request.
-async fn run_elsewhere(
+/// Runs a step without requests; `None` if the step is one of a request.
+async fn run_without_requests(
     step: Step,
     faults: &[Fault],
 ) -> Option<Result<Observed, InvariantViolation>> {
@@ -134,23 +134,23 @@
 }
 
 async fn run_request_pair(step: Step, first: Fault, second: Fault) -> Result<(), Violation> {
-    let mut scene = Scene::set(step, small(step)).await;
-    scene.second = Some(second);
-    scene.play(step, first).await;
-    scene.world.check()?;
-    scene.world.settle().await
+    let mut scenario = Scenario::start(step, minimal_size(step)).await;
+    scenario.second = Some(second);
+    scenario.run(step, first).await;
+    scenario.world.check()?;
+    scenario.world.settle().await
 }
 
 async fn run_request(step: Step, fault: Fault) -> Result<Observed, Violation> {
-    let mut scene = Scene::set(step, Size::default()).await;
-    scene.play(step, fault).await;
-    scene.world.check()?;
-    scene.world.settle().await?;
-    Ok(scene.observed(step))
+    let mut scenario = Scenario::start(step, Size::default()).await;
+    scenario.run(step, fault).await;
+    scenario.world.check()?;
+    scenario.world.settle().await?;
+    Ok(scenario.observed(step))
 }
 
-/// The backend servers that a step needs, so that the many pairs take less time.
-fn small(step: Step) -> Size {
+/// The backend servers that a step needs; fewer servers make the many pairs faster.
+fn minimal_size(step: Step) -> Size {
     match is_chat(step) {
         true => Size { services: 0, engines: 2 },
         false => Size { services: 2, engines: 0 },
@@ -161,7 +161,7 @@
     matches!(step, Step::ChatDispatched | Step::ChatStreaming | Step::ChatEnding | Step::LeaveTold)
 }
 
-struct Scene {
+struct Scenario {
     step: Step,
     size: Size,
     world: World,
@@ -170,8 +170,8 @@
     second: Option<Fault>,
 }
 
-impl Scene {
-    async fn set(step: Step, size: Size) -> Self {
+impl Scenario {
+    async fn start(step: Step, size: Size) -> Self {
         let world = World::start_sized(None, size).await;
         let body = if is_chat(step) { chat_body() } else { Bytes::from_static(b"work 1") };
         for service in &world.servers.services {
@@ -181,30 +181,34 @@
         Self { step, size, world, body, work: None, second: None }
     }
 
-    async fn play(&mut self, step: Step, fault: Fault) {
+    async fn run(&mut self, step: Step, fault: Fault) {
         match step {
-            Step::ChatDispatched => self.hit_after(Kind::Chat, fault, Duration::ZERO).await,
+            Step::ChatDispatched => {
+                self.request_with_fault(Kind::Chat, fault, Duration::ZERO).await
+            }
             Step::ChatStreaming => {
-                self.hit_after(Kind::Chat, fault, Duration::from_millis(1_010)).await;
+                self.request_with_fault(Kind::Chat, fault, Duration::from_millis(1_010)).await;
             }
             Step::ChatEnding => {
-                self.hit_after(Kind::Chat, fault, Duration::from_millis(1_999)).await;
+                self.request_with_fault(Kind::Chat, fault, Duration::from_millis(1_999)).await;
             }
             Step::StatusRunning => {
-                self.hit_after(Kind::Status, fault, Duration::from_millis(200)).await;
+                self.request_with_fault(Kind::Status, fault, Duration::from_millis(200)).await;
             }
             Step::LeaveTold => self.leave(fault).await,
             Step::TicketTaken => self.request_ticket(fault).await,
-            Step::TicketDispatched => self.ticketed(fault, Duration::ZERO).await,
-            Step::TicketRunning => self.ticketed(fault, Duration::from_millis(200)).await,
-            Step::TicketCarriedOut => self.ticketed(fault, Duration::from_millis(700)).await,
-            Step::TicketSentAgain => self.ticketed(fault, Duration::from_secs(2)).await,
+            Step::TicketDispatched => self.ticket_with_fault(fault, Duration::ZERO).await,
+            Step::TicketRunning => self.ticket_with_fault(fault, Duration::from_millis(200)).await,
+            Step::TicketCarriedOut => {
+                self.ticket_with_fault(fault, Duration::from_millis(700)).await
+            }
+            Step::TicketSentAgain => self.ticket_with_fault(fault, Duration::from_secs(2)).await,
             Step::TicketVoided => self.void(fault).await,
-            Step::KeyBound => self.keyed(fault, Duration::ZERO).await,
-            Step::KeyCarriedOut => self.keyed(fault, Duration::from_millis(700)).await,
-            Step::KeySentAgain => self.keyed(fault, Duration::from_secs(2)).await,
+            Step::KeyBound => self.key_with_fault(fault, Duration::ZERO).await,
+            Step::KeyCarriedOut => self.key_with_fault(fault, Duration::from_millis(700)).await,
+            Step::KeySentAgain => self.key_with_fault(fault, Duration::from_secs(2)).await,
             Step::AddressAsked => self.ask_addresses(fault).await,
-            // Run elsewhere.
+            // Handled by `run_without_requests`.
             Step::ConfigurationWritten
             | Step::ConfigurationSpreading
             | Step::MapStaged
@@ -215,18 +219,18 @@
         }
     }
 
-    /// Asks, and strikes after `time`. A message that goes out at once is struck by a fault that
-    /// waits for it.
-    async fn hit_after(&mut self, kind: Kind, fault: Fault, time: Duration) {
+    /// Sends a request and injects the fault after `time`. A fault of a message that is sent at
+    /// once is queued before the request.
+    async fn request_with_fault(&mut self, kind: Kind, fault: Fault, time: Duration) {
         let at_once = time.is_zero() && fault.affects_message();
         if at_once {
-            self.strike(fault, Direction::ToAgent, None).await;
+            self.inject(fault, Direction::ToAgent, None).await;
         }
         let work = self.world.ask(0, kind, self.body.clone(), TIMEOUT_MS);
         self.work = Some(work);
-        self.pass(time).await;
+        self.wait(time).await;
         if !at_once {
-            self.strike(fault, Direction::ToEntry, None).await;
+            self.inject(fault, Direction::ToEntry, None).await;
         }
         sleep(OUTAGE_TIME).await;
     }
@@ -234,69 +238,69 @@
     async fn leave(&mut self, fault: Fault) {
         let work = self.world.ask(0, Kind::Chat, self.body.clone(), TIMEOUT_MS);
         self.work = Some(work);
-        self.pass(Duration::from_millis(1_000)).await;
+        self.wait(Duration::from_millis(1_000)).await;
         let server = self.world.server_of(&self.body);
         self.world.leave(server.expect("the stream runs")).await;
-        self.pass(Duration::from_millis(10)).await;
-        self.strike(fault, Direction::ToEntry, server).await;
+        self.wait(Duration::from_millis(10)).await;
+        self.inject(fault, Direction::ToEntry, server).await;
         sleep(OUTAGE_TIME).await;
     }
 
     async fn request_ticket(&mut self, fault: Fault) {
-        self.strike(fault, Direction::ToAgent, None).await;
+        self.inject(fault, Direction::ToAgent, None).await;
         self.work = self.world.ask_with_ticket(0, self.body.clone(), TIMEOUT_MS).await;
         sleep(OUTAGE_TIME).await;
-        self.send_again().await;
+        self.repair_and_resend().await;
     }
 
-    async fn ticketed(&mut self, fault: Fault, time: Duration) {
+    async fn ticket_with_fault(&mut self, fault: Fault, time: Duration) {
         let at_once = time.is_zero() && fault.affects_message();
         if at_once {
-            self.strike(fault, Direction::ToAgent, None).await;
+            self.inject(fault, Direction::ToAgent, None).await;
         }
         self.work = self.world.ask_with_ticket(0, self.body.clone(), TIMEOUT_MS).await;
-        self.hit_and_send_again(fault, time, at_once).await;
+        self.inject_and_resend(fault, time, at_once).await;
     }
 
-    async fn keyed(&mut self, fault: Fault, time: Duration) {
+    async fn key_with_fault(&mut self, fault: Fault, time: Duration) {
         let before = time.is_zero();
         if before {
-            self.strike(fault, Direction::ToAgent, None).await;
+            self.inject(fault, Direction::ToAgent, None).await;
         }
         self.work = Some(self.world.ask_with_key(0, self.body.clone(), TIMEOUT_MS));
-        self.hit_and_send_again(fault, time, before).await;
+        self.inject_and_resend(fault, time, before).await;
     }
 
-    async fn hit_and_send_again(&mut self, fault: Fault, time: Duration, struck: bool) {
-        self.pass(time).await;
+    async fn inject_and_resend(&mut self, fault: Fault, time: Duration, is_injected: bool) {
+        self.wait(time).await;
         let finished = time > SERVICE_TIME;
-        if !struck {
-            // A resend is what is on its way once the call is finished.
+        if !is_injected {
+            // Once the call is finished, the message in flight is the resend.
             let direction = if finished { Direction::ToAgent } else { Direction::ToEntry };
-            self.strike(fault, direction, None).await;
+            self.inject(fault, direction, None).await;
         }
         if finished {
-            self.submit_again();
-            self.pass(OUTAGE_TIME).await;
+            self.resend_through_other_entry();
+            self.wait(OUTAGE_TIME).await;
         } else {
             sleep(OUTAGE_TIME).await;
-            self.send_again().await;
+            self.repair_and_resend().await;
         }
     }
 
     async fn ask_addresses(&mut self, fault: Fault) {
         self.world.ask_addresses(0);
-        self.strike(fault, Direction::ToAgent, Some(0)).await;
+        self.inject(fault, Direction::ToAgent, Some(0)).await;
         sleep(OUTAGE_TIME).await;
         self.world.ask_addresses(1);
-        self.pass(RESTART_TIME).await;
+        self.wait(RESTART_TIME).await;
         self.work = Some(0);
     }
 
     async fn void(&mut self, fault: Fault) {
         self.work = self.world.request_ticket(0, self.body.clone()).await;
         let server = self.ticket_server();
-        self.strike(fault, Direction::ToAgent, server).await;
+        self.inject(fault, Direction::ToAgent, server).await;
         if let Some(work) = self.work {
             self.world.void(0, work, TIMEOUT_MS);
         }
@@ -307,9 +311,9 @@
         ticket_server(&self.world, self.work?)
     }
 
-    /// The backend server that the work goes to where nothing strikes. Which one it is depends on
-    /// the hash of the request; a fault at another would show nothing.
-    async fn rehearse(&self) -> Option<usize> {
+    /// The backend server that the work goes to without faults. It depends on the hash of the
+    /// request; a fault at another server would have no effect on the request.
+    async fn predict_server(&self) -> Option<usize> {
         let mut world = World::start_sized(None, self.size).await;
         let body = self.body.clone();
         match self.step {
@@ -329,42 +333,42 @@
             Step::StatusRunning => drop(world.ask(0, Kind::Status, body, TIMEOUT_MS)),
             _ => drop(world.ask(0, Kind::Chat, body, TIMEOUT_MS)),
         }
-        self.pass(PAIR_TIME).await;
+        self.wait(PAIR_TIME).await;
         world.server_of(&self.body)
     }
 
-    /// After everything is mended the caller sends it again, through another entry.
-    async fn send_again(&mut self) {
+    /// Removes all faults, then resends the work through another entry.
+    async fn repair_and_resend(&mut self) {
         self.world.repair();
-        self.pass(Duration::from_secs(5)).await;
-        self.submit_again();
-        self.pass(Duration::from_secs(12)).await;
+        self.wait(Duration::from_secs(5)).await;
+        self.resend_through_other_entry();
+        self.wait(Duration::from_secs(12)).await;
     }
 
-    fn submit_again(&self) {
+    fn resend_through_other_entry(&self) {
         if let Some(work) = self.work {
             self.world.resend(1, work, TIMEOUT_MS);
         }
     }
 
-    /// Lets time pass, at least as much as messages take.
-    async fn pass(&self, time: Duration) {
+    /// Waits for `time`, at least 1 ms so that messages arrive.
+    async fn wait(&self, time: Duration) {
         sleep(time.max(Duration::from_millis(1))).await;
     }
 
-    async fn strike(&mut self, fault: Fault, direction: Direction, server: Option<usize>) {
-        self.strike_once(fault, direction, server).await;
+    async fn inject(&mut self, fault: Fault, direction: Direction, server: Option<usize>) {
+        self.inject_one(fault, direction, server).await;
         if let Some(second) = self.second.take() {
-            self.pass(PAIR_TIME).await;
-            self.strike_once(second, direction, server).await;
+            self.wait(PAIR_TIME).await;
+            self.inject_one(second, direction, server).await;
         }
     }
 
-    async fn strike_once(&mut self, fault: Fault, direction: Direction, server: Option<usize>) {
-        let known = server.or_else(|| self.world.server_of(&self.body));
-        let server = match known {
-            None if fault.affects_server() => self.rehearse().await.unwrap_or(0),
-            known => known.unwrap_or(0),
+    async fn inject_one(&mut self, fault: Fault, direction: Direction, server: Option<usize>) {
+        let known_server = server.or_else(|| self.world.server_of(&self.body));
+        let server = match known_server {
+            None if fault.affects_server() => self.predict_server().await.unwrap_or(0),
+            known_server => known_server.unwrap_or(0),
         };
         let world = &mut self.world;
         match fault {
@@ -396,7 +400,7 @@
                 None => world.servers.engine(server).set_frozen(true),
             },
             Fault::VmReplaced => world.replace_vm(server).await,
-            // Groups are not part of this world.
+            // This world has no groups.
             Fault::CoordinatorKilled | Fault::CoordinatorPaused => {}
         }
     }
@@ -410,7 +414,7 @@
         let first = outcomes.next().unwrap_or(Outcome::NoTicket);
         let resend = outcomes.next();
         match step {
-            // The call that is hit is the second.
+            // The fault hits the second call.
             Step::TicketSentAgain | Step::KeySentAgain => {
                 Observed { first: resend.unwrap_or(Outcome::NoTicket), resend: None }
             }
@@ -419,7 +423,7 @@
     }
 }
 
-/// The backend server that a ticket names is found by what it says of itself.
+/// The backend server whose agent the ticket names.
 fn ticket_server(world: &World, work: usize) -> Option<usize> {
     let ticket = world.ledger.get(work)?.ticket?;
     let name = world.ticket_home(&ticket)?;
--- a/crates/proof/src/mutation.rs
+++ b/crates/proof/src/mutation.rs
@@ -1,23 +1,23 @@
-//! Known-wrong variants, so that it can be seen that the checks find faults.
+//! Mutations: known-wrong variants that show that the checks detect faults.
 //!
-//! Each makes the messages of a process look as if its code lacked one safeguard. No product code
-//! has a switch for them.
+//! Each changes the messages of a process as if its code lacked one safeguard. The production code
+//! has no switch for them.
 
 /// A safeguard that is left out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutation {
-    /// An agent says "not run" of what it never saw, and writes no tombstone.
+    /// An agent answers "not run" for work that it has not received, and writes no tombstone.
     TombstoneSkipped,
-    /// Nothing tells one life of an agent from the next, so what was meant for one runs in the
-    /// other.
+    /// All incarnations of an agent have the same number, so messages for one are accepted by the
+    /// next.
     IncarnationIgnored,
-    /// Non-idempotent work whose fate is unknown is sent again.
+    /// Non-idempotent work is retried although its outcome is unknown.
     NonIdempotentRetried,
-    /// A stream that broke off counts as whole.
+    /// A truncated stream counts as complete.
     TruncatedStreamAccepted,
-    /// A process takes its configuration from a peer that is behind it.
+    /// A process adopts the configuration of a peer that has an older revision.
     OlderPeerTaken,
-    /// An agent checks an order's fencing number when the order comes, but not again before it is
+    /// An agent checks an order's fencing number when the order arrives, but not again before it is
     /// written.
     FenceAtReceiptOnly,
 }
--- a/crates/proof/src/network.rs
+++ b/crates/proof/src/network.rs
@@ -1,4 +1,4 @@
-//! The network between entries and agents: in memory, with faults set by hand.
+//! The in-memory network between entries and agents, with injected faults.
 
 use crate::backend::Lifecycle;
 use crate::mutation::Mutation;
@@ -22,7 +22,7 @@
 use tokio::sync::mpsc;
 use tokio_util::sync::CancellationToken;
 
-/// Which way a message goes.
+/// Direction of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
     /// From an entry to an agent.
@@ -31,29 +31,30 @@
     ToEntry,
 }
 
-/// What befalls one message.
+/// Fault of one message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageFault {
-    /// It never arrives.
+    /// The message never arrives.
     Lost,
-    /// It arrives twice, the second time this much later.
+    /// The message arrives twice, the second time after this delay.
     Duplicated(Duration),
-    /// It arrives this much later, even if its connection and the process it was sent to are gone.
+    /// The message arrives after this delay, even if its connection and the receiving process are
+    /// gone.
     Delayed(Duration),
-    /// It arrives after the next one of its connection.
+    /// The message arrives after the next one of its connection.
     Reordered,
 }
 
-/// An agent process as the network reaches it.
+/// An agent process that the network can reach.
 #[derive(Clone)]
 pub struct Endpoint {
-    /// How it introduces itself.
+    /// Sent to an entry when a connection opens.
     pub hello: Hello,
-    /// Its control task.
+    /// Handle of its control task.
     pub handle: AgentHandle,
-    /// Whether it lives.
+    /// Whether the process runs, is paused or was killed.
     pub lifecycle: Lifecycle,
-    /// What was dispatched to it; for planted faults.
+    /// Keys dispatched to the process; used by mutations.
     pub dispatched: Arc<Mutex<HashSet<ExecutionKey>>>,
 }
 
@@ -70,45 +71,45 @@
 pub struct LinkTokens {
     /// Ends the connection on both sides.
     pub cut: CancellationToken,
-    /// Nothing arrives any more on either side.
+    /// Stops delivery in both directions without ending the connection.
     pub silent: CancellationToken,
 }
 
-/// The network; clones share it.
+/// The network; clones share its state.
 #[derive(Clone, Default)]
 pub struct Network {
     state: Arc<Mutex<State>>,
 }
 
 impl Network {
-    /// A network on which processes lack the given safeguard.
+    /// Creates a network, with a mutation if one is given.
     pub fn new(mutation: Option<Mutation>) -> Self {
         let this = Self::default();
         this.lock().mutation = mutation;
         this
     }
 
-    /// Lets an agent process be reached, in place of the one that was there before.
+    /// Attaches an agent process, in place of the one at this address.
     pub fn attach(&self, address: SocketAddr, endpoint: Endpoint) {
         self.lock().endpoints.insert(address, endpoint);
     }
 
-    /// Lets nothing be reached at this address any more.
+    /// Detaches the agent process at this address.
     pub fn detach(&self, address: SocketAddr) {
         self.lock().endpoints.remove(&address);
     }
 
-    /// The process at this address.
+    /// The agent process at this address.
     pub fn endpoint(&self, address: SocketAddr) -> Option<Endpoint> {
         self.lock().endpoints.get(&address).cloned()
     }
 
-    /// The next message that way meets with this fault; faults queue up.
+    /// Injects a fault into the next message in this direction; faults queue up.
     pub fn inject_fault(&self, direction: Direction, fault: MessageFault) {
         self.lock().faults.push_back((direction, fault));
     }
 
-    /// Forgets faults that have not struck yet.
+    /// Removes faults that have not been applied yet.
     pub fn clear_faults(&self) {
         self.lock().faults.clear();
     }
@@ -118,17 +119,17 @@
         self.lock().links.drain(..).for_each(|link| link.cut.cancel());
     }
 
-    /// Makes all open connections silent for good; new ones work.
+    /// Makes all open connections silent permanently; new ones work.
     pub fn silence_all(&self) {
         self.lock().links.iter().for_each(|link| link.silent.cancel());
     }
 
-    /// The safeguard that is left out.
+    /// The mutation, if any.
     pub fn mutation(&self) -> Option<Mutation> {
         self.lock().mutation
     }
 
-    /// The fault that strikes the next message.
+    /// Takes the next fault for this direction from the queue.
     pub fn next_fault(&self, direction: Direction) -> Option<MessageFault> {
         let mut state = self.lock();
         let position = state.faults.iter().position(|(queued, _)| *queued == direction)?;
@@ -148,7 +149,7 @@
     }
 }
 
-/// How one entry process connects.
+/// Connects one entry process to agents.
 pub struct NetworkConnector {
     network: Network,
     hello: Hello,
@@ -156,7 +157,7 @@
 }
 
 impl NetworkConnector {
-    /// The connector of an entry process.
+    /// `lifecycle` is that of the entry process.
     pub fn new(network: Network, hello: Hello, lifecycle: Lifecycle) -> Self {
         Self { network, hello, lifecycle }
     }
--- a/crates/proof/src/oracle.rs
+++ b/crates/proof/src/oracle.rs
@@ -1,7 +1,7 @@
-//! Compares what callers asked and were told with what the backend servers carried out.
+//! Compares the callers' requests and outcomes with what the backend servers executed.
 //!
-//! It knows nothing of entries, agents or messages. Every piece of work has a body of its own, by
-//! which fakes count what ran.
+//! It is independent of entries, agents and messages. Every piece of work has a unique body, by
+//! which the fakes count executions.
 
 use crate::caller::CallOutcome;
 use bytes::Bytes;
@@ -10,103 +10,103 @@
 use std::fmt;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// What a piece of work is to the fleet.
+/// Kind of a piece of work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     /// A chat completion.
     Chat,
     /// An idempotent service call.
     Status,
-    /// The address question.
+    /// A request for entry addresses.
     Addresses,
-    /// A non-idempotent one, by whatever means it is kept from running twice.
+    /// A non-idempotent service call, with or without a ticket or key.
     Order,
 }
 
-/// One time that a piece of work was asked for, or given up.
+/// One request for a piece of work, or one request that voids its ticket.
 #[derive(Clone, Debug)]
 pub struct Submission {
-    /// Gives the work's ticket up.
+    /// Whether the request voids the work's ticket.
     pub void: bool,
-    /// What the caller was told.
+    /// Outcome that the caller got; pending until then.
     pub outcome: CallOutcome,
 }
 
 /// A piece of work.
 #[derive(Clone, Debug)]
 pub struct Work {
-    /// What it is.
+    /// Determines the checks.
     pub kind: Kind,
-    /// Its own body.
+    /// Body that no other work has.
     pub body: Bytes,
-    /// Its ticket, if the caller took one.
+    /// Ticket, if the caller requested one.
     pub ticket: Option<String>,
-    /// The caller's own key, if it has one.
+    /// The caller's idempotency key, if any.
     pub key: Option<String>,
-    /// Every submission so far.
+    /// All submissions so far, in order.
     pub submissions: Vec<Submission>,
 }
 
-/// How often work ran, over all backend servers.
+/// Execution counts over all backend servers.
 pub trait Runs {
-    /// Times that this body was started.
+    /// Number of executions that were started with this body.
     fn started(&self, body: &[u8]) -> u32;
 }
 
-/// A promise that was broken.
+/// A violated invariant of requests.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Violation {
     /// Non-idempotent work ran more than once.
     #[error("non-idempotent work ran {runs} times: {work}")]
     RanTwice {
-        /// The work.
+        /// The work with its submissions.
         work: String,
-        /// How often it ran.
+        /// Number of executions.
         runs: u32,
     },
-    /// A caller was told "not run" of work that ran.
+    /// A caller got "not run" for work that ran.
     #[error("told \"not run\" of work that ran {runs} times: {work}")]
     NotRunButRan {
-        /// The work.
+        /// The work with its submissions.
         work: String,
-        /// How often it ran.
+        /// Number of executions.
         runs: u32,
     },
-    /// A caller was told that an answer is whole that is not its own whole answer.
+    /// A caller got "complete" with an answer that is not the complete answer to its work.
     #[error("told \"complete\" with another answer than the whole one: {work}")]
     NotWhole {
-        /// The work.
+        /// The work with its submissions.
         work: String,
     },
-    /// A caller waited for good.
+    /// A caller got no outcome.
     #[error("no outcome was told: {work}")]
     NoOutcome {
-        /// The work.
+        /// The work with its submissions.
         work: String,
     },
-    /// An entry that was told to leave still has requests in progress that were all answered.
+    /// A leaving entry still counts requests in progress although all were answered.
     #[error("entry {entry} was told to leave and does not come to an end")]
     LeaveNeverEnds {
-        /// Which.
+        /// Index of the entry.
         entry: usize,
     },
-    /// A backend server got new work after it began to leave.
+    /// A backend server received new work too long after it began to leave.
     #[error("backend server {server} was sent new work {after_ms} ms after it began to leave")]
     NewWorkWhileLeaving {
-        /// Which.
+        /// Index of the backend server.
         server: usize,
-        /// How long after, in milliseconds.
+        /// Time since it began to leave, in milliseconds.
         after_ms: u64,
     },
 }
 
-/// The book of all work; clones share it.
+/// Records all work; clones share the records.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
     works: Arc<Mutex<Vec<Work>>>,
 }
 
-/// Names one submission in the book.
+/// Identifies one submission in the ledger.
 #[derive(Clone, Copy, Debug)]
 pub struct SubmissionId {
     /// Index of the work.
@@ -116,7 +116,7 @@
 }
 
 impl Ledger {
-    /// Enters a new piece of work.
+    /// Adds a piece of work and returns its index.
     pub fn add(&self, work: Work) -> usize {
         let mut works = self.lock();
         works.push(work);
@@ -133,7 +133,7 @@
         self.lock().len()
     }
 
-    /// Whether nothing was asked yet.
+    /// Whether there is no work yet.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -143,7 +143,7 @@
         self.lock().clone()
     }
 
-    /// Enters a submission that begins now.
+    /// Adds a pending submission.
     pub fn submit(&self, work: usize, void: bool) -> SubmissionId {
         let mut works = self.lock();
         let submissions = &mut works[work].submissions;
@@ -151,12 +151,12 @@
         SubmissionId { work, submission: submissions.len() - 1 }
     }
 
-    /// Notes what the caller was told.
+    /// Records the outcome of a submission.
     pub fn record_outcome(&self, id: SubmissionId, outcome: CallOutcome) {
         self.lock()[id.work].submissions[id.submission].outcome = outcome;
     }
 
-    /// Checks every promise that can be checked at any time.
+    /// Checks the invariants that hold at any time.
     pub fn check<R>(&self, runs: &R) -> Result<(), Violation>
     where
         R: Runs,
@@ -164,7 +164,8 @@
         self.lock().iter().try_for_each(|work| work.check(runs))
     }
 
-    /// Checks, once all faults are mended and time has passed, that nobody waits for good.
+    /// Checks that every submission has an outcome, once all faults are removed and time has
+    /// passed.
     pub fn check_settled(&self) -> Result<(), Violation> {
         for work in self.lock().iter() {
             if work.submissions.iter().any(|submission| submission.outcome == CallOutcome::Pending)
@@ -189,7 +190,7 @@
         if self.kind == Kind::Order && runs > 1 {
             return Err(Violation::RanTwice { work: self.to_string(), runs });
         }
-        if runs > 0 && self.is_said_not_to_have_run() {
+        if runs > 0 && self.is_reported_not_run() {
             return Err(Violation::NotRunButRan { work: self.to_string(), runs });
         }
         for submission in &self.submissions {
@@ -202,9 +203,9 @@
         Ok(())
     }
 
-    /// "Not run" speaks of its own submission, so earlier ones may have run; giving a ticket up
-    /// speaks of all of them.
-    fn is_said_not_to_have_run(&self) -> bool {
+    /// "Not run" applies only to its own submission, so earlier ones may have run; for a voided
+    /// ticket it applies to all submissions.
+    fn is_reported_not_run(&self) -> bool {
         let not_run = |s: &Submission| matches!(s.outcome, CallOutcome::NotRun(_));
         let voided = self.submissions.iter().any(|s| s.void && not_run(s));
         let all = !self.submissions.is_empty() && self.submissions.iter().all(not_run);
@@ -214,7 +215,7 @@
     fn is_whole(&self, answer: &Bytes, runs: u32) -> bool {
         match self.kind {
             Kind::Chat => self.is_whole_chat(answer),
-            // A service's answer tells which execution it is of.
+            // A service's answer has the number of its execution.
             Kind::Status => (1..=runs).any(|run| FakeService::answer(&self.body, run) == *answer),
             Kind::Addresses => answer.windows(9).any(|part| part == b"127.0.0.1"),
             Kind::Order => FakeService::answer(&self.body, 1) == *answer,
@@ -233,17 +234,17 @@
 
 /// Event streams may carry comment lines anywhere between events; readers skip them.
 fn without_comments(stream: &[u8]) -> Vec<u8> {
-    let mut kept = Vec::with_capacity(stream.len());
+    let mut events = Vec::with_capacity(stream.len());
     let mut rest = stream;
     while !rest.is_empty() {
         let end = rest.windows(2).position(|pair| pair == b"\n\n").map_or(rest.len(), |at| at + 2);
         let (event, tail) = rest.split_at(end);
         if !event.starts_with(b":") {
-            kept.extend_from_slice(event);
+            events.extend_from_slice(event);
         }
         rest = tail;
     }
-    kept
+    events
 }
 
 impl fmt::Display for Work {
--- a/crates/proof/src/relay.rs
+++ b/crates/proof/src/relay.rs
@@ -1,4 +1,4 @@
-//! Carries the messages of one connection, and does to them what the network is told to.
+//! Relays the messages of one connection and applies injected faults and mutations.
 
 use crate::backend::Lifecycle;
 use crate::mutation::Mutation;
@@ -16,47 +16,47 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// What both ways of a connection share.
+/// State shared by both directions of a connection.
 #[derive(Clone)]
 pub struct Relay {
-    /// The network, for its faults.
+    /// Source of faults and mutations.
     pub network: Network,
-    /// Where the agent is.
+    /// Address of the agent.
     pub address: SocketAddr,
     /// Faults of the connection.
     pub tokens: LinkTokens,
-    /// The entry process.
+    /// Lifecycle of the entry process.
     pub entry: Lifecycle,
-    /// The agent process.
+    /// Lifecycle of the agent process.
     pub agent: Lifecycle,
-    /// What was dispatched to the agent process.
+    /// Keys dispatched to the agent process.
     pub dispatched: Arc<Mutex<HashSet<ExecutionKey>>>,
 }
 
-/// One way of a connection.
+/// One direction of a connection.
 pub trait RelayDirection: Send + 'static {
-    /// Its messages.
+    /// Type of the messages in this direction.
     type Message: Serialize + DeserializeOwned + Clone + Send + Sync + 'static;
 
-    /// Which way it is.
+    /// The direction that faults are queued for.
     const DIRECTION: Direction;
 
-    /// Does a planted fault; `None` swallows the message.
+    /// Applies the mutation, if any; `None` drops the message.
     fn apply_mutation(&mut self, relay: &Relay, message: Self::Message) -> Option<Self::Message>;
 
-    /// Whether faults may strike it. Heartbeats and the word that an answer is no longer needed
-    /// are left alone: they are so many that nothing else would be struck.
+    /// Whether faults may hit the message. Heartbeats and releases of answers are excluded: they
+    /// are so many that no other message would be hit.
     fn is_target(message: &Self::Message) -> bool;
 
-    /// Notes that a message is delivered now.
+    /// Called when a message is delivered.
     fn on_delivery(_relay: &Relay, _message: &Self::Message) {}
 
-    /// Delivers a message that the connection lost.
+    /// Delivers a message after a delay, outside the connection's order.
     fn deliver_late(&self, relay: &Relay, message: Self::Message, delay: Duration);
 }
 
 impl Relay {
-    /// Carries batches until the connection or one of the processes ends.
+    /// Relays batches until the connection or one of the processes ends.
     pub async fn run<W>(
         self,
         mut from: mpsc::UnboundedReceiver<Bytes>,
@@ -65,7 +65,7 @@
     ) where
         W: RelayDirection,
     {
-        let mut overtaken = Vec::new();
+        let mut reordered = Vec::new();
         loop {
             let batch = tokio::select! {
                 biased;
@@ -78,15 +78,15 @@
             if self.tokens.silent.is_cancelled() {
                 continue;
             }
-            let paused = self.both_awake().await;
+            let paused = self.wait_while_paused().await;
             let Ok((stamp, messages)) = decode::<W::Message>(&batch) else { return };
             if paused && W::DIRECTION == Direction::ToAgent {
-                // A process that wakes reads what its kernel kept before it notices how late it
-                // is; its end of the connection has meanwhile timed out in this one clock.
+                // A resumed process reads what its kernel buffered before it notices the elapsed
+                // time; its end of the connection has timed out, as all processes share one clock.
                 messages.into_iter().for_each(|m| direction.deliver_late(&self, m, Duration::ZERO));
                 continue;
             }
-            let kept = self.apply_faults(&mut direction, messages, &mut overtaken);
+            let kept = self.apply_faults(&mut direction, messages, &mut reordered);
             let Ok(bytes) = encode(stamp, &kept) else { return };
             if to.send(bytes.into()).is_err() {
                 return;
@@ -94,9 +94,9 @@
         }
     }
 
-    /// A paused process neither sends nor receives; what is sent to it waits in its kernel.
-    /// Tells whether there was a pause.
-    async fn both_awake(&self) -> bool {
+    /// Waits while either process is paused: messages to it wait in its kernel. Returns whether
+    /// there was a pause.
+    async fn wait_while_paused(&self) -> bool {
         let paused = self.entry.is_paused() || self.agent.is_paused();
         tokio::select! {
             () = async { self.entry.resumed().await; self.agent.resumed().await } => {}
@@ -109,7 +109,7 @@
         &self,
         direction: &mut W,
         messages: Vec<W::Message>,
-        overtaken: &mut Vec<W::Message>,
+        reordered: &mut Vec<W::Message>,
     ) -> Vec<W::Message>
     where
         W: RelayDirection,
@@ -128,7 +128,7 @@
                     continue;
                 }
                 Some(MessageFault::Reordered) => {
-                    overtaken.push(message);
+                    reordered.push(message);
                     continue;
                 }
                 Some(MessageFault::Duplicated(delay)) => {
@@ -140,7 +140,7 @@
             W::on_delivery(self, &message);
             kept.push(message);
             if is_target {
-                kept.append(overtaken);
+                kept.append(reordered);
             }
         }
         kept
@@ -149,9 +149,9 @@
 
 /// From the entry to the agent.
 pub struct ToAgent {
-    /// Where the agent's answers go.
+    /// Sends the agent's answers back over this connection.
     pub agent_sender: mpsc::WeakSender<AgentMessage>,
-    /// The entry's end, for answers that a planted fault makes up.
+    /// Sends to the entry the answers that a mutation forges.
     pub answers: mpsc::WeakUnboundedSender<Bytes>,
 }
 
@@ -167,7 +167,7 @@
                 EntryMessage::Cancel { attempt, key, .. }
                 | EntryMessage::Attach { attempt, key, .. },
             ) if !was_dispatched(relay, *key) => {
-                self.claim_not_run(*attempt);
+                self.send_not_run(*attempt);
                 None
             }
             _ => Some(message),
@@ -189,7 +189,7 @@
         let (network, address) = (relay.network.clone(), relay.address);
         tokio::spawn(async move {
             tokio::time::sleep(delay).await;
-            // Whatever process is there by then gets it, even on a connection that is gone.
+            // The process that runs by then receives it, even if the connection is gone.
             let Some(endpoint) = network.endpoint(address) else { return };
             if let EntryMessage::Dispatch(dispatch) = &message {
                 record_dispatched(&endpoint.dispatched, dispatch.key);
@@ -202,7 +202,7 @@
 }
 
 impl ToAgent {
-    fn claim_not_run(&self, attempt: AttemptId) {
+    fn send_not_run(&self, attempt: AttemptId) {
         let refusal = Refusal::Cancelled;
         let message = AgentMessage::Refused { attempt, refusal, load: Load::default() };
         if let (Ok(bytes), Some(answers)) = (encode(0, &[message]), self.answers.upgrade()) {
@@ -226,7 +226,7 @@
 }
 
 impl ToEntry {
-    /// The way into the entry's end `to`.
+    /// Sends to the entry's end `to`.
     pub fn new(to: mpsc::WeakUnboundedSender<Bytes>) -> Self {
         Self { chunks: HashMap::new(), to }
     }
@@ -262,7 +262,7 @@
         !matches!(message, AgentMessage::Heartbeat { .. })
     }
 
-    /// A late answer is lost if its connection is: there is nowhere else to deliver it.
+    /// A delayed answer is lost if its connection is gone, as it has no other receiver.
     fn deliver_late(&self, _relay: &Relay, message: AgentMessage, delay: Duration) {
         let to = self.to.clone();
         tokio::spawn(async move {
--- a/crates/proof/src/servers.rs
+++ b/crates/proof/src/servers.rs
@@ -1,4 +1,4 @@
-//! The backend servers of the world, which outlive their agents.
+//! The backend servers of the world.
 
 use crate::entry::{MODEL, SERVICE};
 use crate::oracle::Runs;
@@ -8,21 +8,21 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Plain services in the world.
+/// Default number of plain services.
 pub const SERVICES: usize = 3;
-/// Engines in the world.
+/// Default number of engines.
 pub const ENGINES: usize = 2;
-/// Backend servers in the world, services first.
+/// Default number of backend servers; services come first.
 pub const SERVERS: usize = SERVICES + ENGINES;
 
-/// Requests that run at once on a backend server.
+/// Requests that a backend server runs at once.
 const PLACES: u32 = 4;
 /// How many backend servers a world has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Size {
-    /// Plain services.
+    /// Number of plain services.
     pub services: usize,
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
 }
 
@@ -32,17 +32,17 @@
     }
 }
 
-/// The backend servers, which outlive their agents.
+/// The backend servers; they outlive their agents.
 #[derive(Clone)]
 pub struct Servers {
-    /// Plain services.
+    /// Plain services, the first backend servers by index.
     pub services: Vec<FakeService>,
-    /// Engines.
+    /// Engines, indexed after the services.
     pub engines: Vec<FakeEngine>,
 }
 
 impl Servers {
-    /// Starts as many.
+    /// Starts the backend servers.
     pub fn start(size: Size) -> Self {
         let services = (0..size.services as u64).map(FakeService::new).collect();
         let settings = EngineSettings {
--- a/crates/proof/src/world.rs
+++ b/crates/proof/src/world.rs
@@ -23,16 +23,16 @@
 use tokio::task::AbortHandle;
 use tokio::time::{Instant, sleep};
 
-/// Entries in the world.
+/// Number of entries.
 pub const ENTRIES: usize = 2;
-/// After this time a leaving backend server gets no new work.
+/// Time after which a leaving backend server must get no new work.
 const LEAVE_LIMIT: Duration = Duration::from_secs(2);
-/// Time from the end of a process to the start of the next at its place.
+/// Time from the end of a process to the start of its replacement.
 pub const RESTART_TIME: Duration = Duration::from_secs(1);
 /// Time for connections to open at the start.
 const START_TIME: Duration = Duration::from_secs(1);
-/// After this time nothing that was sent before can still arrive or run: messages are at most 12 s
-/// late, calls take at most 4 s.
+/// Time after which nothing sent earlier can arrive or run: messages are delayed by at most 12 s,
+/// calls take at most 4 s.
 const QUIET_TIME: Duration = Duration::from_secs(20);
 /// Longer than any deadline, reconnect and cancel together.
 const SETTLE_TIME: Duration = Duration::from_secs(60);
@@ -45,22 +45,22 @@
     leaving_since: Option<Instant>,
 }
 
-/// Work that was first asked for while a backend server had been leaving for long enough.
+/// Work submitted when a backend server had been leaving for longer than [`LEAVE_LIMIT`].
 struct LateWork {
     server: usize,
     after: Duration,
     body: Bytes,
 }
 
-/// The world.
+/// Entries, agents, backend servers and key-value service, with the ledger of work.
 pub struct World {
-    /// The network.
+    /// Connects entries and agents.
     pub network: Network,
-    /// The key-value service.
+    /// Shared by all processes.
     pub kv: FakeKeyValue,
-    /// The backend servers.
+    /// Outlive their agents.
     pub servers: Servers,
-    /// What was asked and told.
+    /// Work and its outcomes.
     pub ledger: Ledger,
     entries: Vec<Entry>,
     agents: Vec<Option<Agent>>,
@@ -71,12 +71,12 @@
 }
 
 impl World {
-    /// A world whose processes lack the given safeguard, with all connections open.
+    /// Starts a world and waits until all connections are open.
     pub async fn start(mutation: Option<Mutation>) -> Self {
         Self::start_sized(mutation, Size::default()).await
     }
 
-    /// The same with another number of backend servers.
+    /// Like [`Self::start`], with another number of backend servers.
     pub async fn start_sized(mutation: Option<Mutation>, size: Size) -> Self {
         let mut world = Self {
             network: Network::new(mutation),
@@ -104,7 +104,7 @@
         Entry::start(&format!("entry-{entry}"), &self.network, &self.kv, &addresses)
     }
 
-    /// Starts an agent process, if none runs.
+    /// Starts an agent process unless one runs.
     pub fn start_agent(&mut self, server: usize) {
         if self.agents[server].is_some() {
             return;
@@ -146,18 +146,18 @@
         self.network.detach(address(server));
         agent.lifecycle.kill();
         agent.control.abort();
-        // The next process at this place was not told to leave.
+        // Its replacement is not leaving.
         self.late_work.retain(|late| late.server != server);
     }
 
-    /// Pauses an agent process, or lets it go on.
+    /// Pauses or resumes an agent process.
     pub fn pause_agent(&self, server: usize, paused: bool) {
         if let Some(agent) = &self.agents[server] {
             agent.lifecycle.set_paused(paused);
         }
     }
 
-    /// Tells an agent to leave.
+    /// Makes an agent leave, unless it is paused.
     pub async fn leave(&mut self, server: usize) {
         let Some(agent) = &mut self.agents[server] else { return };
         let Some(endpoint) = self.network.endpoint(address(server)) else { return };
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Stops an agent process as planned: it leaves, ends what runs, archives its answers and ends.
+    /// Shuts an agent process down gracefully: it leaves, drains, archives its answers and ends.
     pub async fn stop_agent(&mut self, server: usize) {
         self.leave(server).await;
         let Some(archive) = self.agents[server].as_ref().map(|agent| agent.archive) else { return };
@@ -182,7 +182,7 @@
         Ticket::from_text(ticket, &fleet_key()).ok().map(|ticket| ticket.agent)
     }
 
-    /// The backend server that this body was sent to last.
+    /// The last backend server, by index, that received this body.
     pub fn server_of(&self, body: &Bytes) -> Option<usize> {
         let was_sent =
             |sent: &SentBodies| sent.lock().unwrap_or_else(PoisonError::into_inner).contains(body);
@@ -190,7 +190,7 @@
     }
 
     /// Replaces a backend server's VM: agent and backend server die together, and new ones start
-    /// after a while.
+    /// after [`RESTART_TIME`].
     pub async fn replace_vm(&mut self, server: usize) {
         self.kill_agent(server);
         match self.servers.services.get(server) {
@@ -205,36 +205,36 @@
         self.start_agent(server);
     }
 
-    /// Whether a leaving agent has nothing left to do.
+    /// Whether an agent has no work left.
     pub fn is_drained(&self, server: usize) -> bool {
         let endpoint = self.network.endpoint(address(server));
         endpoint.is_some_and(|endpoint| endpoint.handle.status().drained)
     }
 
-    /// Replaces an entry process by a new one; the old one is killed.
+    /// Kills an entry process and starts a new one.
     pub fn replace_entry(&mut self, entry: usize) {
         self.entries[entry].end();
         self.entries[entry] = self.new_entry(entry);
     }
 
-    /// Kills an entry process; nothing takes its place yet.
+    /// Kills an entry process without a replacement.
     pub fn kill_entry(&self, entry: usize) {
         self.entries[entry].end();
     }
 
-    /// Starts an entry process, if none runs.
+    /// Starts an entry process unless one runs.
     pub fn start_entry(&mut self, entry: usize) {
         if self.entries[entry].lifecycle.is_killed() {
             self.entries[entry] = self.new_entry(entry);
         }
     }
 
-    /// Tells an entry to leave: it takes no new requests and ends those in progress.
+    /// Makes an entry leave: it accepts no new requests and finishes those in progress.
     pub fn leave_entry(&mut self, entry: usize) {
         self.entries[entry].leave();
     }
 
-    /// Entries that were told to leave and have ended all requests give way to new ones.
+    /// Replaces the leaving entries that have finished all requests.
     pub fn replace_left_entries(&mut self) {
         let has_left = |entry: &Entry| entry.leaving && entry.is_drained();
         for entry in 0..ENTRIES {
@@ -249,31 +249,32 @@
         &self.entries[entry]
     }
 
-    /// An entry's interface towards callers.
+    /// An entry's HTTP interface for callers.
     pub fn router(&self, entry: usize) -> axum::Router {
         self.entries[entry].router.clone()
     }
 
-    /// Pauses an entry process, or lets it go on.
+    /// Pauses or resumes an entry process.
     pub fn pause_entry(&self, entry: usize, paused: bool) {
         self.entries[entry].lifecycle.set_paused(paused);
     }
 
-    /// Asks for a new piece of work at an entry; gives its index in the ledger.
+    /// Submits new work at an entry; returns its index in the ledger.
     pub fn ask(&mut self, entry: usize, kind: Kind, body: Bytes, timeout_ms: u64) -> usize {
         let work = Work { kind, body, ticket: None, key: None, submissions: Vec::new() };
-        self.enter(entry, work, timeout_ms)
+        self.submit_new(entry, work, timeout_ms)
     }
 
-    /// Asks for non-idempotent work under a key of the caller's own.
+    /// Submits non-idempotent work under a caller's idempotency key; returns its index.
     pub fn ask_with_key(&mut self, entry: usize, body: Bytes, timeout_ms: u64) -> usize {
         let key = Some(format!("key-{}", self.started));
         let submissions = Vec::new();
         let work = Work { kind: Kind::Order, body, ticket: None, key, submissions };
-        self.enter(entry, work, timeout_ms)
+        self.submit_new(entry, work, timeout_ms)
     }
 
-    /// Takes a ticket, without using it yet; gives the index of the work that it is for.
+    /// Requests a ticket without using it yet; returns the index of its work, `None` without a
+    /// ticket.
     pub async fn request_ticket(&mut self, entry: usize, body: Bytes) -> Option<usize> {
         let at = &self.entries[entry];
         if at.leaving {
@@ -286,7 +287,7 @@
         Some(self.ledger.add(work))
     }
 
-    /// Takes a ticket and asks for non-idempotent work under it, if a ticket can be had.
+    /// Requests a ticket and submits non-idempotent work under it; `None` without a ticket.
     pub async fn ask_with_ticket(
         &mut self,
         entry: usize,
@@ -294,20 +295,20 @@
         timeout_ms: u64,
     ) -> Option<usize> {
         let index = self.request_ticket(entry, body.clone()).await?;
-        self.note_late_work(&body);
+        self.record_late_work(&body);
         self.submit(entry, index, false, timeout_ms);
         Some(index)
     }
 
-    fn enter(&mut self, entry: usize, work: Work, timeout_ms: u64) -> usize {
+    fn submit_new(&mut self, entry: usize, work: Work, timeout_ms: u64) -> usize {
         self.started += 1;
-        self.note_late_work(&work.body);
+        self.record_late_work(&work.body);
         let index = self.ledger.add(work);
         self.submit(entry, index, false, timeout_ms);
         index
     }
 
-    fn note_late_work(&mut self, body: &Bytes) {
+    fn record_late_work(&mut self, body: &Bytes) {
         for (server, agent) in self.agents.iter().enumerate() {
             let since = agent.as_ref().and_then(|agent| agent.leaving_since);
             let Some(after) = since.map(|since| since.elapsed()) else { continue };
@@ -317,7 +318,7 @@
         }
     }
 
-    /// Asks an entry which addresses to use; all such questions are one piece of work.
+    /// Asks an entry which addresses to use; all such requests are one piece of work.
     pub fn ask_addresses(&self, entry: usize) {
         if self.ledger.is_empty() {
             let submissions = Vec::new();
@@ -328,17 +329,17 @@
         self.submit(entry, 0, false, 1_000);
     }
 
-    /// Sends a piece of work again, under its ticket or key if it has one.
+    /// Resends a piece of work, under its ticket or key if it has one.
     pub fn resend(&self, entry: usize, index: usize, timeout_ms: u64) {
         let Some(work) = self.ledger.get(index) else { return };
         if work.kind == Kind::Order && work.ticket.is_none() && work.key.is_none() {
-            // A caller without ticket or key can't send an order again safely.
+            // Without ticket or key an order can't be resent safely.
             return;
         }
         self.submit(entry, index, false, timeout_ms);
     }
 
-    /// Gives up a piece of work's ticket.
+    /// Voids the ticket of a piece of work, if it has one.
     pub fn void(&self, entry: usize, index: usize, timeout_ms: u64) {
         if self.ledger.get(index).is_some_and(|work| work.ticket.is_some()) {
             self.submit(entry, index, true, timeout_ms);
@@ -361,7 +362,7 @@
         let call = Call { kind, body: work.body, timeout_ms };
         let at = &self.entries[entry];
         if at.leaving {
-            // It listens no more.
+            // A leaving entry accepts no connections.
             return self
                 .ledger
                 .record_outcome(self.ledger.submit(index, void), CallOutcome::Broken);
@@ -377,7 +378,7 @@
         });
     }
 
-    /// Mends everything: no fault remains, every process runs.
+    /// Removes all faults and starts every process.
     pub fn repair(&mut self) {
         self.network.clear_faults();
         self.kv.set_down(false);
@@ -400,7 +401,7 @@
         }
     }
 
-    /// Checks every promise as of now.
+    /// Checks the invariants that hold at any time.
     pub fn check(&self) -> Result<(), Violation> {
         self.ledger.check(&self.servers)?;
         for late in &self.late_work {
@@ -412,7 +413,7 @@
         Ok(())
     }
 
-    /// Mends everything, lets all requests end and checks every promise.
+    /// Removes all faults, waits for all requests to end and checks every invariant.
     pub async fn settle(&mut self) -> Result<(), Violation> {
         self.repair();
         let end = Instant::now() + SETTLE_TIME;
@@ -430,7 +431,7 @@
     }
 }
 
-/// Where an agent is reached.
+/// The address of an agent.
 pub fn address(server: usize) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, 1 + server as u8], 7000))
 }
--- a/crates/proof/tests/cells.rs
+++ b/crates/proof/tests/cells.rs
@@ -42,15 +42,15 @@
 }
 
 /// A world whose second entry stands before no cell and has no link.
-async fn world_with_bare_entry() -> World {
+async fn world_with_unlinked_entry() -> World {
     let world = World::start(None).await;
-    let bare = &world.entry(1).agents;
-    bare.set_directory(&directory(&world));
-    bare.set_vms(&[]);
+    let unlinked = &world.entry(1).agents;
+    unlinked.set_directory(&directory(&world));
+    unlinked.set_vms(&[]);
     sleep(IDLE_LIMIT + Duration::from_secs(1)).await;
-    bare.set_vms(&[]);
+    unlinked.set_vms(&[]);
     sleep(Duration::from_millis(10)).await;
-    assert!(bare.connected().is_empty());
+    assert!(unlinked.connected().is_empty());
     world
 }
 
@@ -62,7 +62,7 @@
 // Without links on demand it would be told that no backend server is there.
 #[tokio::test(start_paused = true)]
 async fn ask_entry_outside_cell_served() {
-    let mut world = world_with_bare_entry().await;
+    let mut world = world_with_unlinked_entry().await;
     let index = world.ask(1, Kind::Chat, chat(20), TIMEOUT_MS);
     sleep(Duration::from_secs(5)).await;
     assert!(
@@ -77,7 +77,7 @@
 // work runs there and nowhere else, and a resend at the first entry gets the same answer.
 #[tokio::test(start_paused = true)]
 async fn ask_ticket_home_outside_cell_served() {
-    let mut world = world_with_bare_entry().await;
+    let mut world = world_with_unlinked_entry().await;
     let body = Bytes::from_static(b"pay once");
     let index = world.request_ticket(0, body.clone()).await.unwrap();
     world.resend(1, index, TIMEOUT_MS);
@@ -134,7 +134,7 @@
 // before. A ticket of that process must not run in the new one; other work may.
 #[tokio::test(start_paused = true)]
 async fn ask_stale_record_no_second_run() {
-    let mut world = world_with_bare_entry().await;
+    let mut world = world_with_unlinked_entry().await;
     let body = Bytes::from_static(b"pay once");
     let index = world.request_ticket(0, body.clone()).await.unwrap();
     for server in 0..SERVERS {
@@ -162,14 +162,14 @@
 // Copies of a request that crashes backend servers come through two entries of different cells.
 // Both must choose the same backend server, or each copy takes down another one.
 #[tokio::test(start_paused = true)]
-async fn route_alone_other_cells_same_server() {
-    let world = world_with_bare_entry().await;
+async fn route_isolated_other_cells_same_server() {
+    let world = world_with_unlinked_entry().await;
     let target = Target::Model(MODEL.to_owned());
     for number in 0..20 {
-        let alone = |entry: usize| {
+        let isolated = |entry: usize| {
             let routes = &world.entry(entry).routes;
             routes.route_isolated(&target, Fingerprint(number), &[]).unwrap().0
         };
-        assert_eq!(alone(0), alone(1));
+        assert_eq!(isolated(0), isolated(1));
     }
 }
--- a/crates/proof/tests/fuzz_configuration.rs
+++ b/crates/proof/tests/fuzz_configuration.rs
@@ -54,8 +54,8 @@
 }
 
 // An operator's change is accepted by a process that watches nothing, while all watches are deaf,
-// and the key-value service goes right after. The processes that it polls hear its newer revision with
-// each poll, yet wait for the service: callers there meet the old configuration for the whole
+// and the key-value service goes right after. The processes that it polls hear its newer revision
+// with each poll, yet wait for the service: callers there meet the old configuration for the whole
 // outage. Found with seed 771823.
 #[test]
 fn change_watches_silent_service_lost() {
--- a/crates/proof/tests/fuzz_memory.rs
+++ b/crates/proof/tests/fuzz_memory.rs
@@ -19,17 +19,17 @@
 }
 
 // A stranger sends a few bytes that announce terabytes; the process must not set them aside.
-fn announced_lengths() {
+fn decode_huge_lengths() {
     // Byte strings, texts, arrays and maps, side by side.
     std::thread::scope(|scope| {
         for major in [0x5b, 0x7b, 0x9b, 0xbb] {
-            scope.spawn(move || announced_of(major));
+            scope.spawn(move || decode_huge_lengths_of(major));
         }
     });
 }
 
 /// Claims every power of two of elements.
-fn announced_of(major: u8) {
+fn decode_huge_lengths_of(major: u8) {
     for power in 0..64 {
         let mut head = vec![major];
         head.extend_from_slice(&(1u64 << power).to_be_bytes());
@@ -45,7 +45,7 @@
 }
 
 // A few lines of YAML whose aliases stand for billions of values.
-fn aliases() {
+fn parse_nested_aliases() {
     let mut text = "a0: &a0 [x, x, x, x, x, x, x, x, x, x]\n".to_owned();
     for level in 1..12 {
         let alias = format!("*a{}, ", level - 1).repeat(10);
@@ -58,8 +58,8 @@
 #[test]
 fn fuzz_memory_bounded() {
     let before_kb = peak_kb();
-    announced_lengths();
-    aliases();
+    decode_huge_lengths();
+    parse_nested_aliases();
     let growth_kb = peak_kb().saturating_sub(before_kb);
     assert!(growth_kb < MAX_GROWTH_KB, "decoding took {growth_kb} KB");
 }
--- a/crates/proof/tests/intake.rs
+++ b/crates/proof/tests/intake.rs
@@ -18,7 +18,7 @@
 }
 
 /// Sends a request that must be refused as not run; gives status and code.
-async fn refused(world: &World, request: Request<Body>) -> (StatusCode, String) {
+async fn send_refused(world: &World, request: Request<Body>) -> (StatusCode, String) {
     let Ok(response) = world.router(0).oneshot(request).await;
     let status = response.status();
     assert_eq!(response.headers()[OUTCOME_HEADER], "not-run", "{status}");
@@ -41,37 +41,37 @@
 async fn intake_refuses_with_typed_errors() {
     let world = World::start(None).await;
     let unknown = request("POST", CHAT_PATH, "withdrawn").body(chat(MODEL)).unwrap();
-    assert_refusal(&refused(&world, unknown).await, StatusCode::UNAUTHORIZED, "unauthorised");
+    assert_refusal(&send_refused(&world, unknown).await, StatusCode::UNAUTHORIZED, "unauthorised");
     let model = request("POST", CHAT_PATH, TOKEN).body(chat("other")).unwrap();
-    assert_refusal(&refused(&world, model).await, StatusCode::NOT_FOUND, "unknown_model");
+    assert_refusal(&send_refused(&world, model).await, StatusCode::NOT_FOUND, "unknown_model");
     let text = request("POST", CHAT_PATH, TOKEN).body(Body::from("no JSON")).unwrap();
-    assert_refusal(&refused(&world, text).await, StatusCode::BAD_REQUEST, "malformed");
+    assert_refusal(&send_refused(&world, text).await, StatusCode::BAD_REQUEST, "malformed");
     let timeout = request("POST", CHAT_PATH, TOKEN).header(TIMEOUT_HEADER, "soon");
     let timeout = timeout.body(chat(MODEL)).unwrap();
-    assert_refusal(&refused(&world, timeout).await, StatusCode::BAD_REQUEST, "malformed");
+    assert_refusal(&send_refused(&world, timeout).await, StatusCode::BAD_REQUEST, "malformed");
     let route = format!("/v1/services/{SERVICE}/unknown");
     let route = request("POST", &route, TOKEN).body(Body::empty()).unwrap();
-    assert_refusal(&refused(&world, route).await, StatusCode::NOT_FOUND, "unknown_service");
+    assert_refusal(&send_refused(&world, route).await, StatusCode::NOT_FOUND, "unknown_service");
     let ticket = format!("/v1/services/{SERVICE}/orders");
     let ticket = request("POST", &ticket, TOKEN).header(TICKET_HEADER, "forged");
     let ticket = ticket.body(Body::empty()).unwrap();
-    assert_refusal(&refused(&world, ticket).await, StatusCode::BAD_REQUEST, "ticket");
+    assert_refusal(&send_refused(&world, ticket).await, StatusCode::BAD_REQUEST, "ticket");
 }
 
-// Every call of a workspace is refused before it is dispatched, and strangers knock. Operators must see
-// both in the metrics, and apart.
+// Every call of a workspace is refused before it is dispatched, and strangers knock. Operators must
+// see both in the metrics, and apart.
 #[tokio::test(start_paused = true)]
 async fn intake_refusals_are_counted() {
     let world = World::start(None).await;
     for _ in 0..2 {
         let stranger = request("POST", CHAT_PATH, "withdrawn").body(chat(MODEL)).unwrap();
-        refused(&world, stranger).await;
+        send_refused(&world, stranger).await;
     }
     let model = request("POST", CHAT_PATH, TOKEN).body(chat("other")).unwrap();
-    refused(&world, model).await;
+    send_refused(&world, model).await;
     let orders = format!("/v1/services/{SERVICE}/orders");
     let large = request("POST", &orders, TOKEN).body(Body::from(vec![b' '; TOO_LARGE])).unwrap();
-    refused(&world, large).await;
+    send_refused(&world, large).await;
     let metrics = world.entry(0).recorder.metrics().encode().unwrap();
     let count = |class: &str| {
         let name = format!(r#"requests_total{{class="{class}",outcome="not_run"}} "#);
@@ -87,19 +87,19 @@
     let world = World::start(None).await;
     let body = Body::from(vec![b' '; TOO_LARGE]);
     let request = request("POST", CHAT_PATH, TOKEN).body(body).unwrap();
-    let refusal = refused(&world, request).await;
+    let refusal = send_refused(&world, request).await;
     assert_refusal(&refusal, StatusCode::PAYLOAD_TOO_LARGE, "too_large");
 }
 
 // A payout's route begins like that of a status check, with dots or an encoding in between. The
 // service would resolve it to the payout, which would then pass for a call that may be repeated.
 #[tokio::test(start_paused = true)]
-async fn intake_path_that_steps_out() {
+async fn intake_path_outside_route() {
     let world = World::start(None).await;
     for path in ["status/../orders", "status/%2e%2e/orders", "status//orders", "status/./x"] {
         let path = format!("/v1/services/{SERVICE}/{path}");
         let request = request("POST", &path, TOKEN).body(Body::empty()).unwrap();
-        let refusal = refused(&world, request).await;
+        let refusal = send_refused(&world, request).await;
         assert_refusal(&refusal, StatusCode::BAD_REQUEST, "malformed");
     }
 }
