--- a/crates/proof/tests/poison.rs
+++ b/crates/proof/tests/poison.rs
@@ -79,7 +79,7 @@
 
 // Others shared the batch when the backend server died; asked again, they finish.
 #[tokio::test(start_paused = true)]
-async fn bystanders_finish() {
+async fn resend_poison_others_finish() {
     let mut world = world().await;
     let bystanders: Vec<usize> = (0..3)
         .map(|number| world.ask(0, Kind::Chat, chat(&format!("innocent {number}"), 60), 9_000))
--- a/crates/proof/tests/rebind.rs
+++ b/crates/proof/tests/rebind.rs
@@ -43,7 +43,7 @@
     work
 }
 
-async fn resent(world: &mut World, work: usize) -> CallOutcome {
+async fn resend_outcome(world: &mut World, work: usize) -> CallOutcome {
     world.resend(1, work, TIMEOUT_MS);
     sleep(Duration::from_secs(8)).await;
     let outcome = world.ledger.get(work).unwrap().submissions.pop().unwrap().outcome;
@@ -51,15 +51,15 @@
     outcome
 }
 
-// A key is bound to an agent that is told to leave before anything is sent under the key. It refuses
-// each resend, and the payout is never made although other backend servers have room.
+// A key is bound to an agent that is told to leave before anything is sent under the key. It
+// refuses each resend, and the payout is never made although other backend servers have room.
 #[tokio::test(start_paused = true)]
 async fn resend_home_leaving_runs_elsewhere() {
     let mut world = World::start(None).await;
     let work = bound_unused(&mut world).await;
     let left = home(&world);
     world.leave(left).await;
-    assert!(matches!(resent(&mut world, work).await, CallOutcome::Complete(_)));
+    assert!(matches!(resend_outcome(&mut world, work).await, CallOutcome::Complete(_)));
     assert_ne!(home(&world), left);
     assert_eq!(claim(&world).unwrap().epoch, 1);
     assert_eq!(world.servers.started(BODY), 1);
@@ -72,7 +72,7 @@
     let work = bound_unused(&mut world).await;
     let stopped = home(&world);
     world.stop_agent(stopped).await;
-    assert!(matches!(resent(&mut world, work).await, CallOutcome::Complete(_)));
+    assert!(matches!(resend_outcome(&mut world, work).await, CallOutcome::Complete(_)));
     assert_eq!(world.servers.started(BODY), 1);
 }
 
@@ -86,7 +86,7 @@
     let server = (0..SERVICES).find(|server| name == format!("runner-{server}")).unwrap();
     world.stop_agent(server).await;
     world.start_agent(server);
-    assert!(matches!(resent(&mut world, work).await, CallOutcome::NotRun(_)));
+    assert!(matches!(resend_outcome(&mut world, work).await, CallOutcome::NotRun(_)));
     assert_eq!(world.servers.started(BODY), 0);
 }
 
@@ -98,7 +98,7 @@
     let killed = home(&world);
     world.kill_agent(killed);
     world.start_agent(killed);
-    assert!(matches!(resent(&mut world, work).await, CallOutcome::Unknown(_)));
+    assert!(matches!(resend_outcome(&mut world, work).await, CallOutcome::Unknown(_)));
     assert_eq!(home(&world), killed);
     assert_eq!(world.servers.started(BODY), 0);
 }
@@ -112,7 +112,7 @@
     world.kv.set_down(true);
     world.stop_agent(stopped).await;
     world.kv.set_down(false);
-    assert!(matches!(resent(&mut world, work).await, CallOutcome::Unknown(_)));
+    assert!(matches!(resend_outcome(&mut world, work).await, CallOutcome::Unknown(_)));
     assert_eq!(world.servers.started(BODY), 0);
 }
 
@@ -165,7 +165,10 @@
         sleep(Duration::from_secs(6)).await;
         let outcome = outcome(&world, work, 1);
         assert!(!matches!(outcome, CallOutcome::Unknown(_)), "{lost:?}: {outcome:?}");
-        assert!(matches!(resent(&mut world, work).await, CallOutcome::Complete(_)), "{lost:?}");
+        assert!(
+            matches!(resend_outcome(&mut world, work).await, CallOutcome::Complete(_)),
+            "{lost:?}"
+        );
         assert_eq!(world.servers.started(BODY), 1, "{lost:?}");
     }
 }
--- a/crates/proof/tests/stop.rs
+++ b/crates/proof/tests/stop.rs
@@ -14,7 +14,7 @@
 const TIMEOUT_MS: u64 = 5_000;
 
 /// A finished work order under a ticket, and the server that ran it.
-async fn finished(world: &mut World, body: &'static str) -> (usize, usize) {
+async fn finished_order(world: &mut World, body: &'static str) -> (usize, usize) {
     let work = world.ask_with_ticket(0, Bytes::from_static(body.as_bytes()), TIMEOUT_MS).await;
     let work = work.unwrap();
     sleep(Duration::from_secs(1)).await;
@@ -33,7 +33,7 @@
 }
 
 /// Resends at the other entry and waits for what it is told.
-async fn resent(world: &mut World, work: usize) -> CallOutcome {
+async fn resend_outcome(world: &mut World, work: usize) -> CallOutcome {
     world.resend(1, work, TIMEOUT_MS);
     world.settle().await.unwrap();
     outcome(world, work, 1)
@@ -45,10 +45,10 @@
 #[tokio::test(start_paused = true)]
 async fn resend_after_planned_stop_same_answer() {
     let mut world = World::start(None).await;
-    let (work, server) = finished(&mut world, "payout 5").await;
+    let (work, server) = finished_order(&mut world, "payout 5").await;
     world.stop_agent(server).await;
     world.start_agent(server);
-    assert_eq!(resent(&mut world, work).await, outcome(&world, work, 0));
+    assert_eq!(resend_outcome(&mut world, work).await, outcome(&world, work, 0));
     assert_eq!(world.servers.started(b"payout 5"), 1);
 }
 
@@ -56,7 +56,7 @@
 #[tokio::test(start_paused = true)]
 async fn resend_after_planned_stop_home_unreachable() {
     let mut world = World::start(None).await;
-    let (work, server) = finished(&mut world, "payout 6").await;
+    let (work, server) = finished_order(&mut world, "payout 6").await;
     world.stop_agent(server).await;
     world.resend(1, work, TIMEOUT_MS);
     sleep(Duration::from_secs(8)).await;
@@ -70,7 +70,7 @@
 #[tokio::test(start_paused = true)]
 async fn other_body_after_planned_stop_stays_unknown() {
     let mut world = World::start(None).await;
-    let (work, server) = finished(&mut world, "box 17").await;
+    let (work, server) = finished_order(&mut world, "box 17").await;
     world.stop_agent(server).await;
     world.start_agent(server);
     sleep(Duration::from_secs(1)).await;
@@ -86,10 +86,10 @@
 #[tokio::test(start_paused = true)]
 async fn resend_after_kill_stays_unknown() {
     let mut world = World::start(None).await;
-    let (work, server) = finished(&mut world, "payout 7").await;
+    let (work, server) = finished_order(&mut world, "payout 7").await;
     world.kill_agent(server);
     world.start_agent(server);
-    let outcome = resent(&mut world, work).await;
+    let outcome = resend_outcome(&mut world, work).await;
     assert!(matches!(outcome, CallOutcome::Unknown(_)), "{outcome:?}");
     assert_eq!(world.servers.started(b"payout 7"), 1);
 }
@@ -100,7 +100,7 @@
 async fn planned_stop_service_down_ends() {
     for silent in [false, true] {
         let mut world = World::start(None).await;
-        let (work, server) = finished(&mut world, "payout 8").await;
+        let (work, server) = finished_order(&mut world, "payout 8").await;
         if silent {
             world.kv.set_answer_timeout(Duration::from_secs(3_600));
             world.kv.set_delay(Duration::from_secs(3_600));
@@ -111,7 +111,7 @@
         world.stop_agent(server).await;
         assert!(began.elapsed() < STOP_LIMIT, "{:?}", began.elapsed());
         world.start_agent(server);
-        let outcome = resent(&mut world, work).await;
+        let outcome = resend_outcome(&mut world, work).await;
         assert!(matches!(outcome, CallOutcome::Unknown(_)), "{outcome:?}");
         assert_eq!(world.servers.started(b"payout 8"), 1);
     }
@@ -122,7 +122,7 @@
 #[tokio::test(start_paused = true)]
 async fn resend_service_silent_told_unknown_soon() {
     let mut world = World::start(None).await;
-    let (work, server) = finished(&mut world, "payout 9").await;
+    let (work, server) = finished_order(&mut world, "payout 9").await;
     world.stop_agent(server).await;
     world.start_agent(server);
     sleep(Duration::from_secs(1)).await;
@@ -144,9 +144,10 @@
         world.ask_with_ticket(number % 2, body, TIMEOUT_MS).await.unwrap();
         sleep(Duration::from_millis(20)).await;
     }
-    let at = |server: &usize| (0..ORDERS).filter(|work| home(&world, *work) == *server).count();
-    let server = (0..SERVICES).max_by_key(at).unwrap();
-    assert!(at(&server) >= ORDERS / SERVICES);
+    let orders_at =
+        |server: &usize| (0..ORDERS).filter(|work| home(&world, *work) == *server).count();
+    let server = (0..SERVICES).max_by_key(orders_at).unwrap();
+    assert!(orders_at(&server) >= ORDERS / SERVICES);
     let before = world.kv.calls().total();
     world.stop_agent(server).await;
     assert!(world.kv.calls().total() - before <= 4);
--- a/crates/proof/tests/stream.rs
+++ b/crates/proof/tests/stream.rs
@@ -29,7 +29,7 @@
     (response, token)
 }
 
-async fn go_on(world: &World, token: &str, last_event: usize) -> Response {
+async fn resume(world: &World, token: &str, last_event: usize) -> Response {
     let request = request("GET", &format!("/v1/streams/{token}"))
         .header(LAST_EVENT_HEADER, last_event.to_string());
     let request = request.body(Body::empty()).unwrap();
@@ -68,7 +68,7 @@
     let mut events = read_events(&mut response, 20).await;
     world.replace_entry(0);
     drop(response);
-    let mut rest = go_on(&world, &token, events.len() - 1).await;
+    let mut rest = resume(&world, &token, events.len() - 1).await;
     events.extend(read_events(&mut rest, usize::MAX).await);
     assert_eq!(events, expected(&body));
 }
@@ -81,7 +81,7 @@
     let body = format!(r#"{{"model":"{MODEL}","stream":true,"max_tokens":{TOKENS}}}"#);
     let (mut response, token) = begin(&world, &body).await;
     let mut events = read_events(&mut response, 20).await;
-    let mut rest = go_on(&world, &token, events.len() - 1).await;
+    let mut rest = resume(&world, &token, events.len() - 1).await;
     events.extend(read_events(&mut rest, 5).await);
     drop(response);
     events.extend(read_events(&mut rest, usize::MAX).await);
@@ -99,7 +99,7 @@
     world.replace_entry(0);
     drop(response);
     tokio::time::sleep(Duration::from_secs(300)).await;
-    let late = go_on(&world, &token, 4).await;
+    let late = resume(&world, &token, 4).await;
     assert_eq!(late.status(), StatusCode::BAD_GATEWAY);
     assert_eq!(late.headers()[OUTCOME_HEADER], "unknown");
 }
