--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -1,4 +1,4 @@
-//! Callers: each sends requests one after the other on connections that it keeps, and judges the
+//! Callers: each sends requests one after the other over persistent connections and checks the
 //! answers.
 
 use crate::report::{SharedTally, Violation};
@@ -19,22 +19,22 @@
 use tokio::time::sleep;
 use tokio_util::sync::CancellationToken;
 
-/// Time limit of all routes, and the time that a caller gives a request, in milliseconds.
+/// Timeout of all routes, and the deadline that a caller sets for a request, in milliseconds.
 pub const ROUTE_TIMEOUT_MS: u64 = 2_000;
 
-/// Time after a caller's deadline until it gives up for good, in milliseconds.
-const SLACK_MS: u64 = 500;
+/// Time after its deadline that a caller still waits for an answer, in milliseconds.
+const EXTRA_WAIT_MS: u64 = 500;
 
 /// Longest pause of a caller between two requests, in milliseconds.
 const MAX_PAUSE_MS: u64 = 60;
 
-/// Time in which a copy that is still on its way reaches a backend server.
-const SETTLE: Duration = Duration::from_secs(4);
+/// Time after which no copy of a request can still reach a backend server.
+const SETTLE_TIME: Duration = Duration::from_secs(4);
 
-/// The caller's API key.
+/// API key of all callers.
 pub const API_KEY: &str = "soak-key";
 
-/// What a request is about.
+/// Kind of a request: work that must run at most once, a call that may be retried, or a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Kind {
     Once,
@@ -52,8 +52,8 @@
     }
 }
 
-/// A request whose runs are counted once nothing can be on its way any more.
-struct Sent {
+/// A request whose runs are checked once no copy of it can be in flight any more.
+struct SentRequest {
     attempt: String,
     kind: Kind,
     refused_with: Option<u16>,
@@ -61,16 +61,16 @@
 
 /// One caller.
 pub struct Caller {
-    /// The entries.
+    /// Addresses of the entries, chosen at random for each request.
     pub entries: Vec<SocketAddr>,
-    /// What backend servers ran.
+    /// Runs counted by the backend servers.
     pub run_counter: RunCounter,
-    /// Where it counts.
+    /// Receives the counts and violations.
     pub tally: SharedTally,
 }
 
 impl Caller {
-    /// Sends requests until `stop`, then checks what became of them.
+    /// Sends requests until `stop`, then checks how often each one ran.
     pub async fn run(self, seed: u64, stop: CancellationToken) {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let clients: Vec<HttpClient> = self.entries.iter().filter_map(|e| client(*e)).collect();
@@ -79,17 +79,17 @@
             let kind = [Kind::Once, Kind::Safe, Kind::Stream][rng.random_range(0..3)];
             let client = &clients[rng.random_range(0..clients.len())];
             let attempt = format!("{:016x}", rng.random::<u64>());
-            let answer = ask(client, kind, &attempt).await;
-            let refused_with = self.judge(kind, &attempt, &answer);
-            sent.push(Sent { attempt, kind, refused_with });
+            let answer = send(client, kind, &attempt).await;
+            let refused_with = self.record_answer(kind, &attempt, &answer);
+            sent.push(SentRequest { attempt, kind, refused_with });
             sleep(Duration::from_millis(rng.random_range(0..MAX_PAUSE_MS))).await;
         }
-        sleep(SETTLE).await;
+        sleep(SETTLE_TIME).await;
         sent.iter().for_each(|sent| self.check_runs(sent));
     }
 
-    /// Counts an answer. Returns the status if it promises that the request did not run.
-    fn judge(
+    /// Checks and counts an answer. Returns the status if it reports that the request did not run.
+    fn record_answer(
         &self,
         kind: Kind,
         attempt: &str,
@@ -98,7 +98,7 @@
         let status = answer.as_ref().map_or(0, |answer| answer.status.as_u16());
         let is_refusal = matches!(status, 503 | 429 | 408 | 421);
         let violation = match answer {
-            Ok(answer) if status == 200 => wrong_answer(kind, attempt, answer),
+            Ok(answer) if status == 200 => check_answer(kind, attempt, answer),
             Ok(_) if matches!(status, 400..=499) && !is_refusal => {
                 Some(Violation::Denied { attempt: attempt.to_owned(), status })
             }
@@ -116,7 +116,7 @@
         is_refusal.then_some(status)
     }
 
-    fn check_runs(&self, sent: &Sent) {
+    fn check_runs(&self, sent: &SentRequest) {
         let runs = self.run_counter.runs(&sent.attempt);
         let attempt = sent.attempt.clone();
         let violation = match sent.refused_with {
@@ -129,13 +129,13 @@
 }
 
 fn client(entry: SocketAddr) -> Option<HttpClient> {
-    let head_ms = ROUTE_TIMEOUT_MS + SLACK_MS;
+    let head_timeout_ms = ROUTE_TIMEOUT_MS + EXTRA_WAIT_MS;
     let limits =
-        HttpLimits { head_timeout_ms: head_ms, read_timeout_ms: head_ms, ..HttpLimits::default() };
+        HttpLimits { head_timeout_ms, read_timeout_ms: head_timeout_ms, ..HttpLimits::default() };
     Some(HttpClient::new(entry.to_string().parse().ok()?, limits))
 }
 
-async fn ask(
+async fn send(
     client: &HttpClient,
     kind: Kind,
     attempt: &str,
@@ -146,7 +146,7 @@
     client.fetch(request.map_err(|_| HttpError::Malformed)?, Reuse::Allowed).await
 }
 
-fn wrong_answer(kind: Kind, attempt: &str, answer: &BufferedResponse) -> Option<Violation> {
+fn check_answer(kind: Kind, attempt: &str, answer: &BufferedResponse) -> Option<Violation> {
     let expected = match kind {
         Kind::Stream => (1..=STREAM_EVENTS).map(|id| stream_event(attempt, id)).collect(),
         _ => answer_body(attempt),
@@ -158,7 +158,8 @@
     Some(Violation::WrongAnswer { attempt: attempt.to_owned(), body })
 }
 
-/// Whether the fleet serves again: requests of all kinds through all entries.
+/// Sends requests of all kinds through all entries. Reports a violation if fewer than 90% of them
+/// are served.
 pub async fn probe<R>(entries: &[SocketAddr], count: u32, rng: &mut R) -> Option<Violation>
 where
     R: Rng,
@@ -168,7 +169,7 @@
     for index in 0..count {
         let kind = [Kind::Once, Kind::Safe, Kind::Stream][index as usize % 3];
         let attempt = format!("{:016x}", rng.random::<u64>());
-        let answer = ask(&clients[index as usize % clients.len()], kind, &attempt).await;
+        let answer = send(&clients[index as usize % clients.len()], kind, &attempt).await;
         served += u32::from(answer.is_ok_and(|answer| answer.status == 200));
     }
     (served * 10 < count * 9).then_some(Violation::NotRecovered { served, asked: count })
--- a/crates/soak/src/cli.rs
+++ b/crates/soak/src/cli.rs
@@ -2,7 +2,7 @@
 
 use std::path::PathBuf;
 
-/// How to call the program.
+/// Help text.
 pub const USAGE: &str = "\
 Usage: flamingowheel-soak --program PATH [--seed N] [--seeds N] [--seconds N] [--entries N]
                           [--servers N] [--callers N]
@@ -15,32 +15,32 @@
   --servers N   backend servers (6)
   --callers N   callers (12)";
 
-/// What was typed.
+/// Parsed command line options.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Options {
-    /// The daemon.
+    /// Path of the daemon's executable.
     pub program: PathBuf,
-    /// The first seed.
+    /// First seed.
     pub seed: u64,
-    /// Seeds to run.
+    /// Number of consecutive seeds to run, one after the other.
     pub seeds: u64,
-    /// Time under faults, in seconds.
+    /// Time under faults for each seed, in seconds.
     pub seconds: u64,
-    /// Entry processes.
+    /// Number of entry processes, above 0.
     pub entries: usize,
-    /// Backend servers.
+    /// Number of backend servers, above 0.
     pub servers: usize,
-    /// Callers.
+    /// Number of concurrent callers, above 0.
     pub callers: usize,
 }
 
-/// Why a command line can't be used.
+/// Why a command line was rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum UsageError {
-    /// An option's value, or a missing option.
+    /// The value of an option can't be parsed, or a required option is missing.
     #[error(transparent)]
     Arguments(#[from] pico_args::Error),
-    /// Something that is no option.
+    /// Arguments that match no option.
     #[error("unknown: {0:?}")]
     Unknown(Vec<std::ffi::OsString>),
     /// A fleet without entries, backend servers or callers.
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -1,4 +1,4 @@
-//! Faults drawn at random. Each lasts for a while of its own, so that they overlap.
+//! Random faults. Each has a duration of its own, so that they overlap.
 
 use crate::fleet::Fleet;
 use crate::proxy::LinkFault;
@@ -9,39 +9,39 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Time from the signal to stop to the forced end, in seconds, as the deployments at hand set it.
+/// Grace period from the stop signal to the kill, in seconds, as set in the present deployments.
 pub const GRACE_S: u64 = 8;
 
-/// One fault.
+/// One fault; entries and backend servers are given by their index in the fleet.
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
-    /// An entry is killed and starts again.
+    /// An entry is killed, and started again after the fault's duration.
     Kill(usize),
-    /// An entry stands still and goes on.
+    /// An entry is paused by `SIGSTOP` and continued.
     Pause(usize),
-    /// An entry is told to stop, has its grace time, and starts again.
+    /// An entry gets a stop signal, is killed if it outlasts its grace period, and starts again.
     Restart(usize),
-    /// An entry is told that its settings have changed.
+    /// An entry gets the signal to reload its settings.
     Hangup(usize),
-    /// An entry's connections to the store are harmed.
+    /// An entry's connections to the store have a fault.
     StoreLink(usize, LinkFault),
-    /// The connections to a backend server are harmed.
+    /// The connections to a backend server have a fault.
     ServerLink(usize, LinkFault),
     /// The store refuses all calls.
     StoreDown,
     /// The store answers late.
     StoreSlow,
-    /// The store loses answers to writes that it carried out.
+    /// The store applies writes but their answers are lost.
     StoreLosesAnswers,
-    /// The store forgets its history.
+    /// The store compacts its history up to the newest revision.
     StoreCompacts,
-    /// A backend server reports that it leaves, and comes back.
+    /// A backend server's record says draining, and later ready again.
     Drain(usize),
-    /// Operators accept a new version of the configuration.
+    /// A new version of the configuration is published.
     Configuration,
 }
 
-/// Draws the next fault.
+/// Chooses the next fault at random.
 pub fn random_fault<R>(fleet: &Fleet, rng: &mut R) -> Fault
 where
     R: Rng,
@@ -53,8 +53,8 @@
         1 => Fault::Pause(entry),
         2 | 3 => Fault::Restart(entry),
         4 => Fault::Hangup(entry),
-        5 => Fault::StoreLink(entry, harm(rng)),
-        6 | 7 => Fault::ServerLink(server, harm(rng)),
+        5 => Fault::StoreLink(entry, random_link_fault(rng)),
+        6 | 7 => Fault::ServerLink(server, random_link_fault(rng)),
         8 => Fault::StoreDown,
         9 => Fault::StoreSlow,
         10 => Fault::StoreLosesAnswers,
@@ -64,7 +64,7 @@
     }
 }
 
-fn harm<R>(rng: &mut R) -> LinkFault
+fn random_link_fault<R>(rng: &mut R) -> LinkFault
 where
     R: Rng,
 {
@@ -77,51 +77,51 @@
     }
 }
 
-/// Strikes, and mends what it did after `time`.
-pub async fn inject(fleet: Arc<Fleet>, fault: Fault, time: Duration) {
+/// Injects a fault and clears it after `duration`. Faults without an end ignore the duration.
+pub async fn inject(fleet: Arc<Fleet>, fault: Fault, duration: Duration) {
     match fault {
         Fault::Kill(entry) => {
             fleet.entries[entry].daemon.signal(Signal::KILL);
-            sleep(time).await;
+            sleep(duration).await;
             fleet.start_entry(entry);
         }
         Fault::Pause(entry) => {
             fleet.entries[entry].daemon.signal(Signal::STOP);
-            sleep(time).await;
+            sleep(duration).await;
             fleet.entries[entry].daemon.signal(Signal::CONT);
         }
         Fault::Restart(entry) => {
             fleet.entries[entry].daemon.signal(Signal::TERM);
             let step = Duration::from_millis(100);
-            let mut waited = Duration::ZERO;
-            while fleet.entries[entry].daemon.is_running() && waited < Duration::from_secs(GRACE_S)
+            let mut elapsed = Duration::ZERO;
+            while fleet.entries[entry].daemon.is_running() && elapsed < Duration::from_secs(GRACE_S)
             {
                 sleep(step).await;
-                waited += step;
+                elapsed += step;
             }
             fleet.entries[entry].daemon.signal(Signal::KILL);
             sleep(step).await;
             fleet.start_entry(entry);
         }
         Fault::Hangup(entry) => fleet.entries[entry].daemon.signal(Signal::HUP),
-        Fault::StoreLink(entry, harm) => {
-            fleet.entries[entry].store_proxy.set_fault(harm);
-            sleep(time).await;
+        Fault::StoreLink(entry, link_fault) => {
+            fleet.entries[entry].store_proxy.set_fault(link_fault);
+            sleep(duration).await;
             fleet.entries[entry].store_proxy.set_fault(LinkFault::None);
         }
-        Fault::ServerLink(server, harm) => {
-            fleet.servers[server].proxy.set_fault(harm);
-            sleep(time).await;
+        Fault::ServerLink(server, link_fault) => {
+            fleet.servers[server].proxy.set_fault(link_fault);
+            sleep(duration).await;
             fleet.servers[server].proxy.set_fault(LinkFault::None);
         }
         Fault::StoreDown => {
             fleet.kv.set_down(true);
-            sleep(time).await;
+            sleep(duration).await;
             fleet.kv.set_down(false);
         }
         Fault::StoreSlow => {
             fleet.kv.set_delay(Duration::from_millis(240));
-            sleep(time).await;
+            sleep(duration).await;
             fleet.kv.set_delay(Duration::ZERO);
         }
         Fault::StoreLosesAnswers => fleet.kv.lose_write_answers(3, LostAnswer::AfterEffect),
@@ -131,7 +131,7 @@
         }
         Fault::Drain(server) => {
             fleet.publish_server(server, true).await;
-            sleep(time).await;
+            sleep(duration).await;
             fleet.publish_server(server, false).await;
         }
         Fault::Configuration => fleet.publish_configuration().await,
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The processes, stand-ins and proxies of one soak.
+//! The processes, stand-ins and proxies of one run.
 
 use crate::callers::{API_KEY, ROUTE_TIMEOUT_MS};
 use crate::cli::Options;
@@ -19,52 +19,52 @@
 use tokio::net::TcpListener;
 use tokio::time::sleep;
 
-/// Time that a backend server works on a request, and between two events of a stream.
-const WORK: Duration = Duration::from_millis(20);
+/// Processing time of a request, and time before each event of a stream.
+const PROCESSING_TIME: Duration = Duration::from_millis(20);
 
-/// Requests that a backend server works on at once.
+/// Most requests in progress at once on a backend server.
 const SLOTS: u32 = 16;
 
-/// Versions of the configuration rise in steps, as operators' do.
+/// Increment between configuration versions; operators' versions aren't consecutive either.
 const VERSION_STEP: u64 = 7;
 
 /// An entry, and the proxy between it and the store.
 #[derive(Debug)]
 pub struct Entry {
-    /// Its process.
+    /// The entry's process.
     pub daemon: Daemon,
-    /// Where callers connect.
+    /// Address that callers connect to.
     pub callers: SocketAddr,
-    /// The way to the store.
+    /// Proxy on the entry's connections to the store.
     pub store_proxy: Proxy,
 }
 
 /// A backend server, and the proxy before it.
 #[derive(Debug)]
 pub struct Server {
-    /// Its name.
+    /// Name under which it is registered.
     pub id: String,
-    /// The way to it.
+    /// Proxy on all connections to it.
     pub proxy: Proxy,
 }
 
-/// All of them.
+/// All processes, stand-ins and proxies of one run.
 #[derive(Debug)]
 pub struct Fleet {
-    /// The store.
+    /// The fake behind the store.
     pub kv: FakeKeyValue,
-    /// The entries.
+    /// Entries, by the index that faults use.
     pub entries: Vec<Entry>,
-    /// The backend servers.
+    /// Backend servers, by the index that faults use.
     pub servers: Vec<Server>,
-    /// What these ran.
+    /// Counts the runs of all backend servers.
     pub run_counter: RunCounter,
     version: AtomicU64,
     _reaper: Reaper,
 }
 
 impl Fleet {
-    /// Starts everything; settings and logs lie in `folder`.
+    /// Starts everything. Settings and logs are written to `folder`.
     pub async fn start_all(options: &Options, folder: &Path) -> eyre::Result<Self> {
         let kv = FakeKeyValue::new();
         let store = TcpListener::bind("127.0.0.1:0").await?;
@@ -76,7 +76,7 @@
             let listener = TcpListener::bind("127.0.0.1:0").await?;
             let proxy = Proxy::start(listener.local_addr()?).await?;
             let id = format!("s-{number}");
-            let server = PlatformServer::new(&id, run_counter.clone(), WORK, SLOTS);
+            let server = PlatformServer::new(&id, run_counter.clone(), PROCESSING_TIME, SLOTS);
             tokio::spawn(server.serve(listener));
             servers.push(Server { id, proxy });
         }
@@ -101,25 +101,26 @@
         Ok(fleet)
     }
 
-    /// Starts an entry, unless it runs.
+    /// Starts an entry unless it is running.
     pub fn start_entry(&self, entry: usize) {
-        // One that can't be started serves nobody, which the checks show.
+        // The error is ignored: an entry that fails to start serves no requests, which the checks
+        // report.
         let _ = self.entries[entry].daemon.start();
     }
 
-    /// Lists a backend server as taking work or as leaving.
+    /// Publishes the record of a backend server, as ready or as draining.
     pub async fn publish_server(&self, server: usize, is_draining: bool) {
         let Server { id, proxy } = &self.servers[server];
         self.write(&server_key(id), server_record(proxy.address, SLOTS, is_draining)).await;
     }
 
-    /// Accepts a new version of the configuration; its routes stay as they are.
+    /// Publishes a new version of the configuration with unchanged routes.
     pub async fn publish_configuration(&self) {
         let version = self.version.fetch_add(VERSION_STEP, Ordering::SeqCst) + VERSION_STEP;
         self.write(CONFIGURATION_KEY, configuration(version, API_KEY, ROUTE_TIMEOUT_MS)).await;
     }
 
-    /// Writes until the store has taken it, as operators and backend servers do.
+    /// Retries the write until it succeeds, as operators and backend servers do.
     async fn write(&self, key: &str, value: String) {
         let put = Operation::Put { key: key.to_owned(), value: value.into(), lease: None };
         let transaction = Transaction { on_success: vec![put], ..Transaction::default() };
@@ -129,14 +130,14 @@
     }
 }
 
-/// Ports that were free a moment ago.
+/// Finds ports that are free at the time of the call.
 ///
 /// Fails if loopback has none left.
 pub async fn free_ports() -> std::io::Result<EntryPorts> {
     let mut listeners = Vec::new();
     let mut ports = [0; 5];
     for port in &mut ports {
-        // Kept open meanwhile, so that no port is given out twice.
+        // All listeners stay open until the end, so that no port is returned twice.
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         *port = listener.local_addr()?.port();
         listeners.push(listener);
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,6 +1,7 @@
-//! A randomized fault soak: the real daemon as separate processes on one machine, before stand-ins,
-//! behind proxies that harm connections, under signals that stop, pause, kill and restart it. From
-//! what callers and backend servers see it is checked that promises hold all the while.
+//! A randomized fault-injection soak test. It runs the real daemon as separate processes on one
+//! machine, connected to stand-ins through proxies that inject connection faults, and stops,
+//! pauses, kills and restarts the processes by signals. Throughout, the daemon's guarantees are
+//! checked from what callers and backend servers observe.
 
 pub mod callers;
 pub mod cli;
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,4 +1,4 @@
-//! The fault soak as a program.
+//! The command line program of the soak test.
 
 #![allow(clippy::print_stdout, clippy::print_stderr, reason = "the report is the output")]
 
--- a/crates/soak/src/process.rs
+++ b/crates/soak/src/process.rs
@@ -1,4 +1,4 @@
-//! One daemon process that the soak started; only such processes are ever signalled.
+//! A daemon process started by the soak test. Signals are sent only to such processes.
 
 use rustix::process::{Pid, Signal, kill_process};
 use std::fs::File;
@@ -6,7 +6,7 @@
 use std::process::{Child, Command, Stdio};
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// A daemon with its settings and its log.
+/// A daemon process with its settings file and its log file.
 #[derive(Clone, Debug)]
 pub struct Daemon {
     program: PathBuf,
@@ -16,7 +16,7 @@
 }
 
 impl Daemon {
-    /// A daemon that is not running yet. Its settings file and its log lie in `folder`.
+    /// Creates a daemon that is not running yet. Its settings and log are written to `folder`.
     pub fn new(program: &Path, folder: &Path, name: &str, settings: &str) -> std::io::Result<Self> {
         let file = folder.join(format!("{name}.conf"));
         std::fs::write(&file, settings)?;
@@ -28,7 +28,7 @@
         })
     }
 
-    /// Starts it, unless it runs.
+    /// Starts the process unless it is running.
     pub fn start(&self) -> std::io::Result<()> {
         let mut child = self.lock();
         if child.as_mut().is_some_and(is_running) {
@@ -45,17 +45,17 @@
         Ok(())
     }
 
-    /// Sends a signal, if it runs.
+    /// Sends a signal if the process is running.
     pub fn signal(&self, signal: Signal) {
         if let Some(child) = self.lock().as_mut()
             && is_running(child)
         {
-            // It may end at this moment; then there is nothing left to signal.
+            // The error is ignored: the process may have exited since the check.
             let _ = kill_process(Pid::from_child(child), signal);
         }
     }
 
-    /// Whether it runs, stopped or not.
+    /// Whether the process has not exited. A process paused by `SIGSTOP` counts as running.
     pub fn is_running(&self) -> bool {
         self.lock().as_mut().is_some_and(is_running)
     }
@@ -69,7 +69,7 @@
     matches!(child.try_wait(), Ok(None))
 }
 
-/// Ends the processes of a soak, whatever becomes of it.
+/// Kills the processes when dropped, so that none outlives the test, even if it fails.
 #[derive(Debug, Default)]
 pub struct Reaper(pub Vec<Daemon>);
 
@@ -78,7 +78,7 @@
         for daemon in &self.0 {
             daemon.signal(Signal::KILL);
             if let Some(child) = daemon.lock().as_mut() {
-                // A process that was killed has ended or will at once.
+                // Returns at once or shortly after, since the process was killed.
                 let _ = child.wait();
             }
         }
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy that harms the connections which pass it.
+//! A loopback TCP proxy that injects faults into the connections through it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -7,63 +7,63 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// Most bytes that are passed on at once.
-const PIECE_BYTES: usize = 16 * 1024;
+/// Size of the copy buffer, the most bytes forwarded at once.
+const BUFFER_BYTES: usize = 16 * 1024;
 
-/// What the proxy does to connections.
+/// Fault that the proxy injects into its connections, open and new ones.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LinkFault {
-    /// Nothing.
+    /// Forwards everything.
     #[default]
     None,
-    /// Each piece waits this long, in milliseconds.
+    /// Delays each chunk of data by this time, in milliseconds.
     Delay(u64),
-    /// Nothing passes, and no connection is closed.
+    /// Holds back all data; connections stay open.
     Silence,
-    /// What the listener's side sends does not arrive; answers do.
+    /// Holds back requests; answers pass.
     CutRequests,
-    /// Answers don't arrive; requests do.
+    /// Holds back answers; requests pass.
     CutAnswers,
-    /// Open connections are reset, and new ones at once.
+    /// Resets open connections, and new ones as soon as they are accepted.
     Reset,
 }
 
-/// A proxy before one listener.
+/// A proxy in front of one listener; clones control the same proxy.
 #[derive(Clone, Debug)]
 pub struct Proxy {
-    /// Where it listens.
+    /// Address that the proxy listens on.
     pub address: SocketAddr,
-    harm: Arc<watch::Sender<LinkFault>>,
+    fault: Arc<watch::Sender<LinkFault>>,
 }
 
 #[derive(Clone, Copy)]
-enum Way {
+enum Direction {
     Request,
     Answer,
 }
 
 impl Proxy {
-    /// Starts a proxy before `target` on an address of its own.
+    /// Starts a proxy to `target` on a free loopback port.
     pub async fn start(target: SocketAddr) -> std::io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
-        let (sender, harm) = watch::channel(LinkFault::None);
+        let (sender, fault) = watch::channel(LinkFault::None);
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                tokio::spawn(pass(stream, target, harm.clone()));
+                tokio::spawn(forward(stream, target, fault.clone()));
             }
         });
-        Ok(Self { address, harm: Arc::new(sender) })
+        Ok(Self { address, fault: Arc::new(sender) })
     }
 
-    /// Harms connections from now on.
-    pub fn set_fault(&self, harm: LinkFault) {
-        self.harm.send_replace(harm);
+    /// Sets the fault of all connections; [`LinkFault::None`] ends the current one.
+    pub fn set_fault(&self, fault: LinkFault) {
+        self.fault.send_replace(fault);
     }
 }
 
-async fn pass(caller: TcpStream, target: SocketAddr, harm: watch::Receiver<LinkFault>) {
-    if *harm.borrow() == LinkFault::Reset {
+async fn forward(caller: TcpStream, target: SocketAddr, fault: watch::Receiver<LinkFault>) {
+    if *fault.borrow() == LinkFault::Reset {
         reset(&caller);
         return;
     }
@@ -71,16 +71,17 @@
         reset(&caller);
         return;
     };
-    let mut resets = harm.clone();
-    let is_reset = async move {
-        // The sender lives as long as the proxy; its end is the end of the soak.
-        let _ = resets.wait_for(|harm| *harm == LinkFault::Reset).await.map(|_| ());
+    let mut resets = fault.clone();
+    let reset_requested = async move {
+        // An error means that the proxy was dropped, at the end of the run.
+        let _ = resets.wait_for(|fault| *fault == LinkFault::Reset).await.map(|_| ());
     };
     let (caller, server) = (Arc::new(caller), Arc::new(server));
-    let requests = copy(Arc::clone(&caller), Arc::clone(&server), harm.clone(), Way::Request);
-    let answers = copy(Arc::clone(&server), Arc::clone(&caller), harm, Way::Answer);
+    let requests =
+        copy(Arc::clone(&caller), Arc::clone(&server), fault.clone(), Direction::Request);
+    let answers = copy(Arc::clone(&server), Arc::clone(&caller), fault, Direction::Answer);
     tokio::select! {
-        () = is_reset => reset(&caller),
+        () = reset_requested => reset(&caller),
         () = requests => {}
         () = answers => {}
     }
@@ -89,51 +90,51 @@
 async fn copy(
     from: Arc<TcpStream>,
     to: Arc<TcpStream>,
-    mut harm: watch::Receiver<LinkFault>,
-    way: Way,
+    mut fault: watch::Receiver<LinkFault>,
+    direction: Direction,
 ) {
-    let mut piece = vec![0; PIECE_BYTES];
+    let mut buffer = vec![0; BUFFER_BYTES];
     loop {
-        let Ok(count) = read(&from, &mut piece).await else { return };
+        let Ok(count) = read(&from, &mut buffer).await else { return };
         if count == 0 {
             return;
         }
-        let current = *harm.borrow();
+        let current = *fault.borrow();
         if let LinkFault::Delay(delay_ms) = current {
             sleep(Duration::from_millis(delay_ms)).await;
         }
-        if harm.wait_for(|harm| !holds_back(*harm, way)).await.is_err() {
+        if fault.wait_for(|fault| !is_blocked(*fault, direction)).await.is_err() {
             return;
         }
-        if write(&to, &piece[..count]).await.is_err() {
+        if write(&to, &buffer[..count]).await.is_err() {
             return;
         }
     }
 }
 
-fn holds_back(harm: LinkFault, way: Way) -> bool {
-    let cuts_way = match way {
-        Way::Request => LinkFault::CutRequests,
-        Way::Answer => LinkFault::CutAnswers,
+fn is_blocked(fault: LinkFault, direction: Direction) -> bool {
+    let blocking_fault = match direction {
+        Direction::Request => LinkFault::CutRequests,
+        Direction::Answer => LinkFault::CutAnswers,
     };
-    harm == LinkFault::Silence || harm == cuts_way
+    fault == LinkFault::Silence || fault == blocking_fault
 }
 
-async fn read(stream: &TcpStream, piece: &mut [u8]) -> std::io::Result<usize> {
+async fn read(stream: &TcpStream, buffer: &mut [u8]) -> std::io::Result<usize> {
     loop {
         stream.readable().await?;
-        match stream.try_read(piece) {
+        match stream.try_read(buffer) {
             Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => {}
             result => return result,
         }
     }
 }
 
-async fn write(stream: &TcpStream, mut piece: &[u8]) -> std::io::Result<()> {
-    while !piece.is_empty() {
+async fn write(stream: &TcpStream, mut buffer: &[u8]) -> std::io::Result<()> {
+    while !buffer.is_empty() {
         stream.writable().await?;
-        match stream.try_write(piece) {
-            Ok(count) => piece = &piece[count..],
+        match stream.try_write(buffer) {
+            Ok(count) => buffer = &buffer[count..],
             Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => {}
             Err(error) => return Err(error),
         }
@@ -141,8 +142,8 @@
     Ok(())
 }
 
-/// Has the connection reset as it is dropped.
+/// Makes the connection send a reset when it is dropped.
 fn reset(stream: &TcpStream) {
-    // A connection that has closed already can't be reset.
+    // The error is ignored: a connection that is already closed can't be reset.
     let _ = stream.set_zero_linger();
 }
--- a/crates/soak/src/report.rs
+++ b/crates/soak/src/report.rs
@@ -1,49 +1,49 @@
-//! What a soak has seen.
+//! Counts and violations of a run.
 
 use std::fmt;
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// A promise that was broken.
+/// A violated guarantee.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Violation {
     /// Work that must not be repeated ran more than once.
     #[error("attempt {attempt} ran {runs} times")]
     RanTwice {
-        /// The attempt.
+        /// Id of the attempt.
         attempt: String,
-        /// How often it ran.
+        /// Number of runs, over all backend servers.
         runs: u32,
     },
-    /// A status that promises "not run" for an attempt that ran.
+    /// An attempt that ran got a status that reports "not run".
     #[error("attempt {attempt} was answered {status} and ran")]
     FalseRefusal {
-        /// The attempt.
+        /// Id of the attempt.
         attempt: String,
-        /// The status.
+        /// HTTP status of the answer.
         status: u16,
     },
-    /// A success that is not the backend server's whole answer to this very attempt.
+    /// A success that lacks the backend server's signature or its complete answer to this attempt.
     #[error("attempt {attempt} got a wrong or partial answer as a success: {body:?}")]
     WrongAnswer {
-        /// The attempt.
+        /// Id of the attempt.
         attempt: String,
-        /// What it got.
+        /// Body of the answer.
         body: String,
     },
-    /// A proper request was answered with a status that says it was not.
+    /// A valid request got a status that rejects it as invalid.
     #[error("attempt {attempt} was denied with {status}")]
     Denied {
-        /// The attempt.
+        /// Id of the attempt.
         attempt: String,
-        /// The status.
+        /// HTTP status of the answer.
         status: u16,
     },
-    /// With all faults over, too few requests are served.
+    /// Too few requests were served after the last fault.
     #[error("{served} of {asked} requests were served after the last fault")]
     NotRecovered {
-        /// Requests that were served.
+        /// Number of probe requests that were served.
         served: u32,
-        /// Requests that were sent.
+        /// Number of probe requests that were sent.
         asked: u32,
     },
 }
@@ -51,19 +51,19 @@
 /// Counts and violations.
 #[derive(Clone, Debug, Default)]
 pub struct Tally {
-    /// Requests sent.
+    /// Requests with an answer or an error.
     pub asked: u32,
-    /// Whole answers.
+    /// Answers with status 200.
     pub served: u32,
-    /// Statuses that promise "not run".
+    /// Answers with a status that reports "not run".
     pub refused: u32,
-    /// Everything else: failures, broken answers, no answer.
+    /// Unknown outcomes: other statuses, broken answers, no answer.
     pub unknown: u32,
-    /// Promises that were broken.
+    /// Violated guarantees.
     pub violations: Vec<Violation>,
 }
 
-/// A tally that all callers share.
+/// Tally shared by all callers.
 #[derive(Clone, Debug, Default)]
 pub struct SharedTally(Arc<Mutex<Tally>>);
 
@@ -76,7 +76,7 @@
         change(&mut self.0.lock().unwrap_or_else(PoisonError::into_inner));
     }
 
-    /// The tally so far.
+    /// Copy of the tally so far.
     pub fn read(&self) -> Tally {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! One seed of a soak.
+//! Runs the soak test with one seed.
 
 use crate::callers::{Caller, probe};
 use crate::cli::Options;
@@ -15,22 +15,22 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-/// Time for the processes to start and learn of each other.
+/// Time for the processes to start and discover each other.
 const WARM_UP: Duration = Duration::from_millis(1_500);
 
-/// Time from one fault to the next, in milliseconds; faults last longer than that and overlap.
+/// Time between the starts of two faults, in milliseconds. Most last longer than this and overlap.
 const FAULT_GAP_MS: std::ops::Range<u64> = 150..900;
 
-/// How long a fault lasts, in milliseconds: beyond a lease of 3 s at the most.
-const FAULT_TIME_MS: std::ops::Range<u64> = 200..4_000;
+/// How long a fault lasts, in milliseconds. The longest faults outlast a lease of 3 s.
+const FAULT_DURATION_MS: std::ops::Range<u64> = 200..4_000;
 
-/// Time after the last fault within which everything is as before.
-const RECOVERY: Duration = Duration::from_secs(5);
+/// Time after the last fault within which the fleet must serve normally again.
+const RECOVERY_TIME: Duration = Duration::from_secs(5);
 
-/// Requests that show whether it is.
-const PROBES: u32 = 30;
+/// Number of requests that check the recovery.
+const PROBE_COUNT: u32 = 30;
 
-/// Runs one seed. Settings, logs and the list of faults lie in `folder`.
+/// Runs one seed. Settings, logs and the list of faults are written to `folder`.
 pub async fn run_seed(options: &Options, seed: u64, folder: &Path) -> Result<Tally> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let fleet = Arc::new(Fleet::start_all(options, folder).await?);
@@ -43,22 +43,23 @@
         let caller = Caller { entries, run_counter, tally: tally.clone() };
         callers.spawn(caller.run(rng.random(), stop.clone()));
     }
-    let (strikes, mut played) = (TaskTracker::new(), String::new());
-    let begun = Instant::now();
-    while begun.elapsed() < Duration::from_secs(options.seconds) {
+    let (injections, mut fault_log) = (TaskTracker::new(), String::new());
+    let started = Instant::now();
+    while started.elapsed() < Duration::from_secs(options.seconds) {
         let fault = faults::random_fault(&fleet, &mut rng);
-        let time = Duration::from_millis(rng.random_range(FAULT_TIME_MS));
-        played += &format!("{} ms: {fault:?} for {time:?}\n", begun.elapsed().as_millis());
-        strikes.spawn(faults::inject(Arc::clone(&fleet), fault, time));
+        let duration = Duration::from_millis(rng.random_range(FAULT_DURATION_MS));
+        fault_log += &format!("{} ms: {fault:?} for {duration:?}\n", started.elapsed().as_millis());
+        injections.spawn(faults::inject(Arc::clone(&fleet), fault, duration));
         sleep(Duration::from_millis(rng.random_range(FAULT_GAP_MS))).await;
     }
-    std::fs::write(folder.join("faults.txt"), played).wrap_err("list of faults")?;
-    strikes.close();
-    strikes.wait().await;
-    // An entry that was stopped while another fault started it again must not stay away.
+    std::fs::write(folder.join("faults.txt"), fault_log).wrap_err("list of faults")?;
+    injections.close();
+    injections.wait().await;
+    // With overlapping faults an entry can end up stopped: one fault starts it again while another
+    // is still stopping it.
     (0..fleet.entries.len()).for_each(|entry| fleet.start_entry(entry));
-    sleep(RECOVERY).await;
-    let violation = probe(&entries, PROBES, &mut rng).await;
+    sleep(RECOVERY_TIME).await;
+    let violation = probe(&entries, PROBE_COUNT, &mut rng).await;
     tally.update(|tally| tally.violations.extend(violation));
     stop.cancel();
     callers.close();
--- a/crates/soak/tests/checks.rs
+++ b/crates/soak/tests/checks.rs
@@ -1,4 +1,4 @@
-//! The soak's checks, each against an entry that breaks just this promise.
+//! Tests of the soak test's checks, each with an entry that violates one guarantee.
 
 use axum::Router;
 use axum::extract::{Request, State};
@@ -62,8 +62,8 @@
     (listener, address)
 }
 
-/// One caller before one entry with this fault, until it was answered a few times.
-async fn play(fault: Fault) -> Tally {
+/// Runs one caller against one entry with this fault until it has a few answers.
+async fn run_caller(fault: Fault) -> Tally {
     let run_counter = RunCounter::default();
     let (listener, address) = listen().await;
     let server = PlatformServer::new("s", run_counter.clone(), Duration::ZERO, 8);
@@ -84,40 +84,40 @@
 }
 
 #[tokio::test]
-async fn run_sound_entry() {
-    let tally = play(Fault::None).await;
+async fn run_correct_entry() {
+    let tally = run_caller(Fault::None).await;
     assert!(tally.violations.is_empty(), "{tally}");
     assert_eq!(tally.served, tally.asked);
 }
 
 #[tokio::test]
 async fn run_work_sent_twice() {
-    let tally = play(Fault::SendsTwice).await;
+    let tally = run_caller(Fault::SendsTwice).await;
     assert!(tally.violations.iter().any(|v| matches!(v, Violation::RanTwice { runs: 2, .. })));
 }
 
 #[tokio::test]
 async fn run_refused_though_it_ran() {
-    let tally = play(Fault::RefusesAfterwards).await;
+    let tally = run_caller(Fault::RefusesAfterwards).await;
     assert!(tally.violations.iter().any(|v| matches!(v, Violation::FalseRefusal { .. })));
 }
 
 #[tokio::test]
-async fn run_part_passed_for_whole() {
-    let tally = play(Fault::CutsShort).await;
+async fn run_partial_answer_as_success() {
+    let tally = run_caller(Fault::CutsShort).await;
     assert!(tally.violations.iter().any(|v| matches!(v, Violation::WrongAnswer { .. })));
 }
 
 #[tokio::test]
-async fn run_proper_request_denied() {
-    let tally = play(Fault::Denies).await;
+async fn run_valid_request_denied() {
+    let tally = run_caller(Fault::Denies).await;
     assert!(tally.violations.iter().any(|v| matches!(v, Violation::Denied { status: 404, .. })));
 }
 
-/// A connection that is reset must end at once at the caller's side, and one that is silent must
-/// not.
+/// A reset must close the connection at the caller's side, and silence must leave it open until the
+/// timeout.
 #[tokio::test]
-async fn set_harm_shows() {
+async fn set_fault_reaches_caller() {
     let (listener, address) = listen().await;
     let server = PlatformServer::new("s", RunCounter::default(), Duration::ZERO, 8);
     tokio::spawn(server.serve(listener));
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -1,4 +1,4 @@
-//! A model engine: calls, cancel, load, cache events, orders and its state.
+//! Serves a fake model engine: calls, cancellation, load, cache events, orders and state.
 
 use crate::host::{self, Connections};
 use crate::service::{failure, routes};
@@ -21,14 +21,14 @@
     after: u64,
 }
 
-/// Serves the fake until `shutdown`; any path but the control ones is a call.
+/// Serves the fake until `shutdown`. A path without a route of its own is a call to the model.
 pub async fn serve(
     listener: TcpListener,
     fake: FakeEngine,
     connections: Connections,
     shutdown: CancellationToken,
 ) -> io::Result<()> {
-    tokio::spawn(connections.clone().follow(fake.subscribe_up()));
+    tokio::spawn(connections.clone().follow_availability(fake.subscribe_up()));
     let router: Router<FakeEngine> = routes();
     let router = router
         .route("/v1/cache-events", get(cache_events))
--- a/crates/standin/src/fast.rs
+++ b/crates/standin/src/fast.rs
@@ -1,5 +1,5 @@
-//! An engine for benchmarks of the relay: a rendered event stream, one chunk an event, without
-//! any delay.
+//! An engine for benchmarks of the relay. It sends an event stream rendered in advance, one chunk
+//! per event, without delays.
 
 use crate::host::{self, Connections};
 use axum::Router;
@@ -17,10 +17,10 @@
 use tokio::net::TcpListener;
 use tokio_util::sync::CancellationToken;
 
-/// The report of an engine that is always idle.
+/// Load report of an idle engine.
 const IDLE_REPORT: &str = r#"{"running":0,"waiting":0,"uptime_ms":1,"process_id":1}"#;
 
-/// Serves an answer of `chunks` events and the end marker to every call until `shutdown`.
+/// Answers every call with `chunks` events and the end marker until `shutdown`.
 pub async fn serve(
     listener: TcpListener,
     chunks: u64,
--- a/crates/standin/src/host.rs
+++ b/crates/standin/src/host.rs
@@ -1,4 +1,4 @@
-//! Serves a router on a listener, with faults of the connections themselves.
+//! Serves a router on a listener, with injectable connection faults.
 
 use axum::Router;
 use hyper::server::conn::http1;
@@ -12,8 +12,8 @@
 use tokio::sync::watch;
 use tokio_util::sync::CancellationToken;
 
-/// Pause before a port is tried again that another socket still holds.
-const REBIND_PAUSE: Duration = Duration::from_millis(10);
+/// Delay between attempts to bind the port again while another socket still holds it.
+const REBIND_DELAY: Duration = Duration::from_millis(10);
 
 #[derive(Debug, Default)]
 struct Tokens {
@@ -21,7 +21,7 @@
     broken: CancellationToken,
 }
 
-/// Faults of a server's connections; clones share one server.
+/// Injects faults into the connections of one server; clones control the same server.
 ///
 /// ```
 /// let connections = flamingowheel_standin::Connections::default();
@@ -45,29 +45,29 @@
 }
 
 impl Connections {
-    /// Makes all open connections silent for good; new ones work. The kernel goes on accepting
-    /// their bytes, so that only a missing answer tells.
+    /// Makes all open connections silent permanently; new ones work. The kernel keeps accepting
+    /// their bytes, so the client can only detect the fault by the missing answer.
     pub fn silence_open(&self) {
-        self.replace(|tokens| &mut tokens.silenced);
+        self.cancel_and_replace(|tokens| &mut tokens.silenced);
     }
 
-    /// Accepts connections but never answers on them, or answers on new ones again.
+    /// While `true`, new connections are accepted but never answered.
     pub fn set_silent(&self, silent: bool) {
         self.silent.send_replace(silent);
     }
 
-    /// Breaks all open connections.
+    /// Closes all open connections without finishing their requests.
     pub fn break_open(&self) {
-        self.replace(|tokens| &mut tokens.broken);
+        self.cancel_and_replace(|tokens| &mut tokens.broken);
     }
 
-    /// Refuses connections, or accepts them again on the same port.
+    /// Closes the listener, so that connections are refused, or binds the same port again.
     pub fn set_accepting(&self, accepting: bool) {
         self.accepting.send_replace(accepting);
     }
 
-    /// Follows the server's own being up and down: down breaks and refuses connections.
-    pub(crate) async fn follow(self, mut up: watch::Receiver<bool>) {
+    /// Breaks and refuses connections while the fake is down, and accepts them while it is up.
+    pub(crate) async fn follow_availability(self, mut up: watch::Receiver<bool>) {
         loop {
             let is_up = *up.borrow_and_update();
             self.set_accepting(is_up);
@@ -80,18 +80,18 @@
         }
     }
 
-    fn replace(&self, pick: fn(&mut Tokens) -> &mut CancellationToken) {
+    fn cancel_and_replace(&self, pick: fn(&mut Tokens) -> &mut CancellationToken) {
         let mut tokens = self.tokens.lock().unwrap_or_else(PoisonError::into_inner);
         std::mem::take(pick(&mut tokens)).cancel();
     }
 
-    fn current(&self) -> (CancellationToken, CancellationToken) {
+    fn current_tokens(&self) -> (CancellationToken, CancellationToken) {
         let tokens = self.tokens.lock().unwrap_or_else(PoisonError::into_inner);
         (tokens.silenced.clone(), tokens.broken.clone())
     }
 }
 
-/// Serves until `shutdown`, then breaks what is open.
+/// Serves until `shutdown`, then closes all open connections without finishing their requests.
 pub async fn serve(
     listener: TcpListener,
     router: Router,
@@ -102,11 +102,11 @@
     let mut listener = Some(listener);
     let mut accepting = connections.accepting.subscribe();
     loop {
-        let wanted = *accepting.borrow_and_update();
-        listener = match (wanted, listener) {
-            (true, None) => Some(bind_again(address).await),
+        let should_accept = *accepting.borrow_and_update();
+        listener = match (should_accept, listener) {
+            (true, None) => Some(rebind(address).await),
             (true, bound) => bound,
-            // Closing the listener makes the kernel refuse, as it does for a dead process.
+            // With the listener closed, the kernel refuses connections as for a dead process.
             (false, _) => None,
         };
         tokio::select! {
@@ -120,18 +120,23 @@
             accepted = accept(listener.as_ref()) => {
                 if let Ok(stream) = accepted {
                     let router = router.clone();
-                    tokio::spawn(run(stream, router, connections.clone(), shutdown.clone()));
+                    tokio::spawn(handle_connection(
+                        stream,
+                        router,
+                        connections.clone(),
+                        shutdown.clone(),
+                    ));
                 }
             }
         }
     }
 }
 
-async fn bind_again(address: SocketAddr) -> TcpListener {
+async fn rebind(address: SocketAddr) -> TcpListener {
     loop {
         match TcpListener::bind(address).await {
             Ok(listener) => return listener,
-            Err(_) => tokio::time::sleep(REBIND_PAUSE).await,
+            Err(_) => tokio::time::sleep(REBIND_DELAY).await,
         }
     }
 }
@@ -143,15 +148,15 @@
     }
 }
 
-async fn run(
+async fn handle_connection(
     stream: TcpStream,
     router: Router,
     connections: Connections,
     shutdown: CancellationToken,
 ) {
-    let (silenced, broken) = connections.current();
+    let (silenced, broken) = connections.current_tokens();
     if *connections.silent.borrow() {
-        hold(stream, &shutdown, &broken).await;
+        hold_open(stream, &shutdown, &broken).await;
         return;
     }
     let _ = stream.set_nodelay(true);
@@ -164,13 +169,13 @@
         biased;
         () = shutdown.cancelled() => {}
         () = broken.cancelled() => {}
-        () = silenced.cancelled() => hold(served, &shutdown, &broken).await,
+        () = silenced.cancelled() => hold_open(served, &shutdown, &broken).await,
         _ = served.as_mut() => {}
     }
 }
 
-/// Keeps a connection open without ever reading or writing again.
-async fn hold<C>(connection: C, shutdown: &CancellationToken, broken: &CancellationToken) {
+/// Keeps a connection open, without reading or writing, until it is broken or the server stops.
+async fn hold_open<C>(connection: C, shutdown: &CancellationToken, broken: &CancellationToken) {
     tokio::select! {
         () = shutdown.cancelled() => {}
         () = broken.cancelled() => {}
--- a/crates/standin/src/kv.rs
+++ b/crates/standin/src/kv.rs
@@ -1,4 +1,4 @@
-//! The key-value service as the etcd v3 HTTP/JSON gateway shows it.
+//! Serves the fake key-value service over the API of the etcd v3 HTTP/JSON gateway.
 
 use crate::host::{self, Connections};
 use axum::body::Body;
@@ -26,7 +26,7 @@
 use tokio::net::TcpListener;
 use tokio_util::sync::CancellationToken;
 
-/// Room for a transaction that writes a dozen of the largest values, in base64.
+/// Fits a transaction that writes a dozen of the largest values in base64.
 const MAX_REQUEST_BYTES: usize = 16 * MAX_VALUE_BYTES;
 
 /// Serves the fake until `shutdown`.
@@ -36,7 +36,7 @@
     connections: Connections,
     shutdown: CancellationToken,
 ) -> io::Result<()> {
-    tokio::spawn(connections.clone().follow(fake.subscribe_up()));
+    tokio::spawn(connections.clone().follow_availability(fake.subscribe_up()));
     let router = Router::new()
         .route("/v3/kv/range", post(range))
         .route("/v3/kv/txn", post(transact))
@@ -49,10 +49,11 @@
     host::serve(listener, router, connections, shutdown).await
 }
 
-/// Turns a failure of the fake into what a caller sees of it.
+/// Maps an error of the fake to the response that a client gets, if it gets one.
 async fn failure(error: KeyValueError) -> Response {
     let (status, code) = match error {
-        // The connection breaks with the fake; nothing may be said before that.
+        // No response: the client must see a timeout, or the connection that breaks when the fake
+        // goes down.
         KeyValueError::Unreachable | KeyValueError::NoAnswer { .. } => std::future::pending().await,
         KeyValueError::RateExceeded => (StatusCode::TOO_MANY_REQUESTS, CODE_RESOURCE_EXHAUSTED),
         KeyValueError::LeaseNotFound => (StatusCode::NOT_FOUND, CODE_NOT_FOUND),
@@ -63,7 +64,7 @@
     (status, Json(ErrorBody { code, message: error.to_string() })).into_response()
 }
 
-async fn answer<T>(result: Result<T, KeyValueError>) -> Response
+async fn json_response<T>(result: Result<T, KeyValueError>) -> Response
 where
     T: Serialize,
 {
@@ -78,21 +79,21 @@
 }
 
 async fn range(State(fake): State<FakeKeyValue>, Json(request): Json<RangeRequest>) -> Response {
-    answer(read_range(&fake, &request).await).await
+    json_response(read_range(&fake, &request).await).await
 }
 
 async fn read_range(
     fake: &FakeKeyValue,
     request: &RangeRequest,
 ) -> Result<RangeResponse, KeyValueError> {
-    let prefix = prefix(request)?;
+    let prefix = requested_prefix(request)?;
     let snapshot = fake.range(&prefix).await?;
     let kvs = snapshot.entries.into_iter().map(WireEntry::from).collect();
     Ok(RangeResponse { header: header(snapshot.revision), kvs })
 }
 
-/// The prefix that a range stands for; other ranges are not served.
-fn prefix(request: &RangeRequest) -> Result<String, KeyValueError> {
+/// The prefix that a range covers. A range that isn't a prefix is rejected as malformed.
+fn requested_prefix(request: &RangeRequest) -> Result<String, KeyValueError> {
     if request.key.0.as_ref() == b"\0" {
         return Ok(String::new());
     }
@@ -104,7 +105,7 @@
 }
 
 async fn transact(State(fake): State<FakeKeyValue>, Json(request): Json<TxnRequest>) -> Response {
-    answer(run_transaction(&fake, request).await).await
+    json_response(run_transaction(&fake, request).await).await
 }
 
 async fn run_transaction(
@@ -164,7 +165,8 @@
 ) -> Response {
     let ttl = Duration::from_secs(u64::try_from(request.ttl_s.0).unwrap_or(0).max(1));
     let granted = fake.grant_lease(ttl).await;
-    answer(granted.map(|lease| LeaseMessage { id: Int64(lease.0), ttl_s: request.ttl_s })).await
+    json_response(granted.map(|lease| LeaseMessage { id: Int64(lease.0), ttl_s: request.ttl_s }))
+        .await
 }
 
 async fn keep_alive(
@@ -173,12 +175,12 @@
 ) -> Response {
     let kept = match fake.keep_alive(LeaseId(request.id.0)).await {
         Ok(()) => Ok(1),
-        // The gateway answers with no time left rather than with an error.
+        // For an unknown lease the gateway answers with a TTL of 0 instead of an error.
         Err(KeyValueError::LeaseNotFound) => Ok(0),
         Err(error) => Err(error),
     };
     let message = |ttl_s| Streamed { result: LeaseMessage { id: request.id, ttl_s: Int64(ttl_s) } };
-    answer(kept.map(message)).await
+    json_response(kept.map(message)).await
 }
 
 async fn revoke_lease(
@@ -186,7 +188,7 @@
     Json(request): Json<LeaseMessage>,
 ) -> Response {
     let revoked = fake.revoke_lease(LeaseId(request.id.0)).await;
-    answer(revoked.map(|()| Streamed { result: LeaseMessage::default() })).await
+    json_response(revoked.map(|()| Streamed { result: LeaseMessage::default() })).await
 }
 
 async fn watch(State(fake): State<FakeKeyValue>, Json(request): Json<WatchRequest>) -> Response {
@@ -198,8 +200,8 @@
 
 async fn open_watch(fake: &FakeKeyValue, request: WatchRequest) -> Result<Body, KeyValueError> {
     let create = request.create_request;
-    let prefix = prefix(&RangeRequest { key: create.key, range_end: create.range_end })?;
-    // A start of zero means "from now on".
+    let prefix = requested_prefix(&RangeRequest { key: create.key, range_end: create.range_end })?;
+    // A start revision of 0 means that the watch begins after the current revision.
     let after = match create.start_revision.0 {
         0 => fake.peek("").revision,
         start => Int64(start - 1).revision(),
@@ -211,12 +213,12 @@
             Some(created) => created,
             None => watch_response(watch.recv().await?),
         };
-        Some((line(response), (None, watch)))
+        Some((encode_line(response), (None, watch)))
     });
     Ok(Body::from_stream(lines))
 }
 
-fn line(response: WatchResponse) -> Result<Bytes, Infallible> {
+fn encode_line(response: WatchResponse) -> Result<Bytes, Infallible> {
     let mut text = serde_json::to_vec(&Streamed { result: response }).unwrap_or_default();
     text.push(b'\n');
     Ok(text.into())
@@ -226,7 +228,7 @@
     match event {
         WatchEvent::Put(entry) => {
             let revision = entry.mod_revision;
-            changed(revision, WireEvent { kind: EventKind::Put, kv: entry.into() })
+            change_response(revision, WireEvent { kind: EventKind::Put, kv: entry.into() })
         }
         WatchEvent::Delete { key, revision } => {
             let kv = WireEntry {
@@ -234,7 +236,7 @@
                 mod_revision: revision.into(),
                 ..WireEntry::default()
             };
-            changed(revision, WireEvent { kind: EventKind::Delete, kv })
+            change_response(revision, WireEvent { kind: EventKind::Delete, kv })
         }
         WatchEvent::Progress { revision } => {
             WatchResponse { header: header(revision), ..WatchResponse::default() }
@@ -247,6 +249,6 @@
     }
 }
 
-fn changed(revision: Revision, change: WireEvent) -> WatchResponse {
+fn change_response(revision: Revision, change: WireEvent) -> WatchResponse {
     WatchResponse { header: header(revision), events: vec![change], ..WatchResponse::default() }
 }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,6 +1,6 @@
 //! Small HTTP servers over the in-memory fakes, so that tests and the demo run against real
-//! connections. Each serves on a listener until it is told to stop; faults of the service are set
-//! on its fake, faults of its connections on [`Connections`].
+//! connections. Each serves on a listener until its cancellation token is cancelled. Faults of the
+//! service are injected through its fake, faults of its connections through [`Connections`].
 
 pub mod engine;
 pub mod fast;
--- a/crates/standin/src/platform/messages.rs
+++ b/crates/standin/src/platform/messages.rs
@@ -1,31 +1,32 @@
-//! What callers, operators, backend servers and the platform itself write in the platform's form.
+//! Messages in the platform's format: headers of callers and backend servers, stored records and
+//! the settings of an entry.
 
 use http::HeaderMap;
 use http::request::Builder;
 use serde_json::json;
 use std::net::SocketAddr;
 
-/// The service of all backend servers.
+/// Service that all backend servers belong to.
 const SERVICE: &str = "s";
 
-/// The host of all routes.
+/// Host name that all routes match.
 const HOST: &str = "soak.example";
 
-/// Header of the attempt that a request belongs to.
-pub(super) const ATTEMPT: &str = "flamingowheel-attempt-id";
+/// Header with the id of the attempt that a request belongs to.
+pub(super) const ATTEMPT_HEADER: &str = "flamingowheel-attempt-id";
 
-/// Header of a backend server's mark on its answer.
-pub(super) const SIGNATURE: &str = "flamingowheel-instance-signature";
+/// Header with which a backend server signs its answer.
+pub(super) const SIGNATURE_HEADER: &str = "flamingowheel-instance-signature";
 
-/// The key of the newest configuration.
+/// Store key of the newest configuration.
 pub const CONFIGURATION_KEY: &str = "op/config";
 
-/// The key under which a backend server lists itself.
+/// Store key of a backend server's record.
 pub fn server_key(id: &str) -> String {
     format!("servers/{id}")
 }
 
-/// How a backend server lists itself.
+/// Record with which a backend server registers itself.
 pub fn server_record(address: SocketAddr, slots: u32, is_draining: bool) -> String {
     let state = if is_draining { "draining" } else { "ready" };
     json!({
@@ -35,14 +36,14 @@
     .to_string()
 }
 
-/// A configuration with a route each for work that runs once (`/once/`), calls that may be repeated
-/// (`/safe/`) and streams that may be resumed (`/stream/`), all with this time limit, and one workspace
-/// with one key.
-pub fn configuration(version: u64, api_key: &str, limit_ms: u64) -> String {
+/// A configuration with one workspace, one API key and three routes: `/once/` for work that runs
+/// once, `/safe/` for calls that may be retried and `/stream/` for streams that may be resumed. All
+/// routes have the same timeout.
+pub fn configuration(version: u64, api_key: &str, timeout_ms: u64) -> String {
     let route = |kind: &str, path: &str, attempts: u32| {
         json!({
             "name": path, "host": HOST, "prefix": format!("/{path}/"), "routeKind": kind,
-            "service": SERVICE, "maxAttempts": attempts, "timeoutMs": limit_ms, "goalMs": 100,
+            "service": SERVICE, "maxAttempts": attempts, "timeoutMs": timeout_ms, "goalMs": 100,
             "resumable": kind == "streaming", "gapGoalMs": 150,
         })
     };
@@ -57,35 +58,35 @@
     .to_string()
 }
 
-/// Adds what a caller says of a request.
+/// Adds the headers that a caller sends with a request.
 pub fn caller_headers(request: Builder, attempt: &str, api_key: &str, deadline_ms: u64) -> Builder {
     request
         .header("host", HOST)
         .header("authorization", format!("Token {api_key}"))
-        .header(ATTEMPT, attempt)
+        .header(ATTEMPT_HEADER, attempt)
         .header("flamingowheel-deadline-ms", deadline_ms)
 }
 
-/// The attempt that a caller's request belongs to; empty if it names none.
+/// Value of the attempt header of a request; empty if it has none.
 pub fn attempt_id(headers: &HeaderMap) -> &str {
-    headers.get(ATTEMPT).and_then(|value| value.to_str().ok()).unwrap_or("")
+    headers.get(ATTEMPT_HEADER).and_then(|value| value.to_str().ok()).unwrap_or("")
 }
 
-/// Whether an answer bears a backend server's signature.
+/// Whether an answer carries a backend server's signature.
 pub fn is_signed(headers: &HeaderMap) -> bool {
-    headers.contains_key(SIGNATURE)
+    headers.contains_key(SIGNATURE_HEADER)
 }
 
 /// The ports of an entry on loopback.
 #[derive(Clone, Copy, Debug)]
 pub struct EntryPorts {
-    /// Where callers connect.
+    /// Port that callers connect to.
     pub callers: u16,
-    /// Readiness.
+    /// Port of the readiness check.
     pub ready: u16,
-    /// The directory.
+    /// Port of the directory.
     pub directory: u16,
-    /// Two for connections between processes.
+    /// First and last port of the range for connections between processes.
     pub internal: (u16, u16),
 }
 
--- a/crates/standin/src/platform/mod.rs
+++ b/crates/standin/src/platform/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins in the form that the users' platform speaks: its store and its backend servers.
+//! Stand-ins that speak the protocol of the users' platform: its store and its backend servers.
 
 pub mod messages;
 pub mod server;
--- a/crates/standin/src/platform/server.rs
+++ b/crates/standin/src/platform/server.rs
@@ -1,6 +1,7 @@
-//! A backend server in the platform's form, and the ledger in which all of them note what they ran.
+//! A backend server that speaks the platform's protocol, and the counter in which all of them
+//! record their runs.
 
-use super::messages::{ATTEMPT, SIGNATURE, attempt_id};
+use super::messages::{ATTEMPT_HEADER, SIGNATURE_HEADER, attempt_id};
 use axum::Router;
 use axum::body::Body;
 use axum::extract::{Request, State};
@@ -15,20 +16,20 @@
 use tokio::net::TcpListener;
 use tokio::time::sleep;
 
-/// Events of every stream.
+/// Number of events in every stream.
 pub const STREAM_EVENTS: u64 = 8;
 
-/// How often each attempt of a caller began to run, over all backend servers.
+/// Counts how often each attempt of a caller began to run, over all backend servers.
 #[derive(Clone, Debug, Default)]
 pub struct RunCounter(Arc<Mutex<HashMap<String, u32>>>);
 
 impl RunCounter {
-    /// Runs of an attempt so far.
+    /// Number of runs of an attempt so far.
     pub fn runs(&self, attempt: &str) -> u32 {
         self.lock().get(attempt).copied().unwrap_or(0)
     }
 
-    fn note(&self, attempt: &str) {
+    fn increment(&self, attempt: &str) {
         *self.lock().entry(attempt.to_owned()).or_default() += 1;
     }
 
@@ -40,27 +41,27 @@
 /// A backend server. Paths under `/stream/` get an event stream, all others a plain answer.
 #[derive(Clone, Debug)]
 pub struct PlatformServer {
-    /// Its name, as it is listed.
+    /// Name under which it is registered.
     pub id: String,
-    /// Where its runs are noted.
+    /// Counts its runs.
     pub run_counter: RunCounter,
-    /// Time that a plain answer takes, and that lies between two events.
+    /// Time before a plain answer, and before each event of a stream.
     pub delay: Duration,
-    /// Requests that it works on at once; more are refused.
+    /// Most requests in progress at once; further ones are refused.
     pub slots: u32,
-    taken: Arc<AtomicU32>,
+    used_slots: Arc<AtomicU32>,
 }
 
-/// A place of a server, given back when dropped.
-struct Place(Arc<AtomicU32>);
+/// A slot of a server, released on drop.
+struct SlotGuard(Arc<AtomicU32>);
 
-impl Drop for Place {
+impl Drop for SlotGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
-/// The plain answer to an attempt.
+/// Body of the plain answer to an attempt.
 pub fn answer_body(attempt: &str) -> String {
     format!("answer to {attempt}")
 }
@@ -71,23 +72,23 @@
 }
 
 impl PlatformServer {
-    /// A server that has run nothing yet.
+    /// Creates a server with all slots free.
     pub fn new(id: &str, run_counter: RunCounter, delay: Duration, slots: u32) -> Self {
-        Self { id: id.to_owned(), run_counter, delay, slots, taken: Arc::default() }
+        Self { id: id.to_owned(), run_counter, delay, slots, used_slots: Arc::default() }
     }
 
-    /// Serves until dropped.
+    /// Serves until the future is dropped.
     pub async fn serve(self, listener: TcpListener) -> std::io::Result<()> {
         axum::serve(listener, Router::new().fallback(handle).with_state(self)).await
     }
 
-    fn take_place(&self) -> Option<Place> {
-        let place = Place(Arc::clone(&self.taken));
-        (self.taken.fetch_add(1, Ordering::SeqCst) < self.slots).then_some(place)
+    fn acquire_slot(&self) -> Option<SlotGuard> {
+        let slot = SlotGuard(Arc::clone(&self.used_slots));
+        (self.used_slots.fetch_add(1, Ordering::SeqCst) < self.slots).then_some(slot)
     }
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> &'a str {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> &'a str {
     headers.get(name).and_then(|value| value.to_str().ok()).unwrap_or("")
 }
 
@@ -100,31 +101,35 @@
 
 async fn handle(State(server): State<PlatformServer>, request: Request) -> Response {
     let attempt = attempt_id(request.headers()).to_owned();
-    let expected = text(request.headers(), "flamingowheel-expect-instance");
+    let expected = header_text(request.headers(), "flamingowheel-expect-instance");
     if !expected.is_empty() && expected != server.id {
-        return response(StatusCode::MISDIRECTED_REQUEST, &[(ATTEMPT, &attempt)], Body::empty());
+        return response(
+            StatusCode::MISDIRECTED_REQUEST,
+            &[(ATTEMPT_HEADER, &attempt)],
+            Body::empty(),
+        );
     }
-    let Some(place) = server.take_place() else {
-        let headers = [(ATTEMPT, attempt.as_str()), ("flamingowheel-not-executed", "1")];
+    let Some(slot) = server.acquire_slot() else {
+        let headers = [(ATTEMPT_HEADER, attempt.as_str()), ("flamingowheel-not-executed", "1")];
         return response(StatusCode::SERVICE_UNAVAILABLE, &headers, Body::empty());
     };
-    server.run_counter.note(&attempt);
-    let headers = [(ATTEMPT, attempt.as_str()), (SIGNATURE, server.id.as_str())];
+    server.run_counter.increment(&attempt);
+    let headers = [(ATTEMPT_HEADER, attempt.as_str()), (SIGNATURE_HEADER, server.id.as_str())];
     if !request.uri().path().starts_with("/stream/") {
         sleep(server.delay).await;
         return response(StatusCode::OK, &headers, Body::from(answer_body(&attempt)));
     }
-    let after: u64 = text(request.headers(), "last-event-id").parse().unwrap_or(0);
-    let work = server.delay;
+    let last_id: u64 = header_text(request.headers(), "last-event-id").parse().unwrap_or(0);
+    let delay = server.delay;
     let events = stream::unfold(
-        (after + 1, attempt.clone(), place),
-        move |(id, attempt, place)| async move {
+        (last_id + 1, attempt.clone(), slot),
+        move |(id, attempt, slot)| async move {
             if id > STREAM_EVENTS {
                 return None;
             }
-            sleep(work).await;
+            sleep(delay).await;
             let event = Ok::<_, std::io::Error>(Bytes::from(stream_event(&attempt, id)));
-            Some((event, (id + 1, attempt, place)))
+            Some((event, (id + 1, attempt, slot)))
         },
     );
     response(StatusCode::OK, &headers, Body::from_stream(events))
--- a/crates/standin/src/platform/store.rs
+++ b/crates/standin/src/platform/store.rs
@@ -1,4 +1,5 @@
-//! The platform's store, over the fake key-value service. Faults are set on the fake.
+//! The API of the platform's store over the fake key-value service. Faults are injected through the
+//! fake.
 
 use axum::Router;
 use axum::extract::{Path, Query, State};
@@ -18,15 +19,15 @@
 use tokio::net::TcpListener;
 use tokio::time::{Instant, timeout_at};
 
-/// Serves the store until dropped.
+/// Serves the store until the future is dropped.
 pub async fn serve(listener: TcpListener, kv: FakeKeyValue) -> std::io::Result<()> {
     let router = Router::new()
         .route("/v1/kv-range", get(range))
         .route("/v1/kv-watch", get(watch))
         .route("/v1/kv-txn", post(transact))
-        .route("/v1/kv-lease", post(grant))
-        .route("/v1/kv-keep/{lease}", post(keep))
-        .route("/v1/kv-lease-end/{lease}", delete(end))
+        .route("/v1/kv-lease", post(grant_lease))
+        .route("/v1/kv-keep/{lease}", post(keep_alive))
+        .route("/v1/kv-lease-end/{lease}", delete(revoke_lease))
         .with_state(kv);
     axum::serve(listener, router).await
 }
@@ -44,6 +45,7 @@
     prefix: String,
 }
 
+/// Body of a transaction request.
 #[derive(Deserialize)]
 struct Written {
     #[serde(default)]
@@ -54,6 +56,7 @@
     deletes: Vec<String>,
 }
 
+/// Revision that a key must have; 0 if the key must be absent.
 #[derive(Deserialize)]
 struct Expected {
     key: String,
@@ -67,13 +70,14 @@
     lease: Option<i64>,
 }
 
+/// Body of a request for a lease.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct Granted {
     ttl_ms: u64,
 }
 
-/// A failure in the platform's form. A call whose answer is lost never gets one.
+/// Maps an error to the platform's status codes. A call whose answer is lost gets no response.
 async fn failure(error: KeyValueError) -> Response {
     match error {
         KeyValueError::LeaseNotFound => StatusCode::NOT_FOUND.into_response(),
@@ -110,11 +114,11 @@
         Ok(watch) => watch,
         Err(error) => return failure(error).await,
     };
-    let end = Instant::now() + Duration::from_millis(query.wait_ms);
+    let deadline = Instant::now() + Duration::from_millis(query.wait_ms);
     let mut revision = query.after;
     let mut events = Vec::new();
     while events.is_empty() {
-        match timeout_at(end, watch.recv()).await {
+        match timeout_at(deadline, watch.recv()).await {
             Err(_) => break,
             Ok(None) => return StatusCode::SERVICE_UNAVAILABLE.into_response(),
             Ok(Some(event)) => {
@@ -140,8 +144,8 @@
     Json(json!({"events": events, "storeRevision": revision})).into_response()
 }
 
-async fn transact(State(kv): State<FakeKeyValue>, Json(written): Json<Written>) -> Response {
-    let Some(transaction) = transaction(written) else {
+async fn transact(State(kv): State<FakeKeyValue>, Json(request): Json<Written>) -> Response {
+    let Some(transaction) = parse_transaction(request) else {
         return StatusCode::BAD_REQUEST.into_response();
     };
     match kv.transact(transaction).await {
@@ -156,41 +160,41 @@
     }
 }
 
-/// `None` for a value that is not base64.
-fn transaction(written: Written) -> Option<Transaction> {
+/// Returns `None` if a value is not base64.
+fn parse_transaction(request: Written) -> Option<Transaction> {
     let mut transaction = Transaction::default();
-    for Expected { key, revision } in written.precondition {
+    for Expected { key, revision } in request.precondition {
         transaction.on_failure.push(Operation::Get { key: key.clone() });
         transaction.compares.push(match revision {
             0 => Compare::Absent { key },
             _ => Compare::ModRevision { key, revision: Revision(revision) },
         });
     }
-    for Put { key, value, lease } in written.puts {
+    for Put { key, value, lease } in request.puts {
         let value = STANDARD.decode(value).ok()?.into();
         let lease = lease.filter(|lease| *lease != 0).map(LeaseId);
         transaction.on_success.push(Operation::Put { key, value, lease });
     }
-    let deletes = written.deletes.into_iter().map(|key| Operation::Delete { key });
+    let deletes = request.deletes.into_iter().map(|key| Operation::Delete { key });
     transaction.on_success.extend(deletes);
     Some(transaction)
 }
 
-async fn grant(State(kv): State<FakeKeyValue>, Json(granted): Json<Granted>) -> Response {
-    match kv.grant_lease(Duration::from_millis(granted.ttl_ms)).await {
-        Ok(lease) => Json(json!({"lease": lease.0, "ttlMs": granted.ttl_ms})).into_response(),
+async fn grant_lease(State(kv): State<FakeKeyValue>, Json(request): Json<Granted>) -> Response {
+    match kv.grant_lease(Duration::from_millis(request.ttl_ms)).await {
+        Ok(lease) => Json(json!({"lease": lease.0, "ttlMs": request.ttl_ms})).into_response(),
         Err(error) => failure(error).await,
     }
 }
 
-async fn keep(State(kv): State<FakeKeyValue>, Path(lease): Path<i64>) -> Response {
+async fn keep_alive(State(kv): State<FakeKeyValue>, Path(lease): Path<i64>) -> Response {
     match kv.keep_alive(LeaseId(lease)).await {
         Ok(()) => Json(json!({"lease": lease})).into_response(),
         Err(error) => failure(error).await,
     }
 }
 
-async fn end(State(kv): State<FakeKeyValue>, Path(lease): Path<i64>) -> Response {
+async fn revoke_lease(State(kv): State<FakeKeyValue>, Path(lease): Path<i64>) -> Response {
     match kv.revoke_lease(LeaseId(lease)).await {
         Ok(()) => Json(json!({})).into_response(),
         Err(error) => failure(error).await,
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -1,4 +1,5 @@
-//! A plain service, and what it shares with the engine: calls, cancel and load.
+//! Serves a fake plain service. Its routes for calls, cancellation and load are shared with the
+//! engine.
 
 use crate::host::{self, Connections};
 use axum::body::{Body, Bytes};
@@ -18,19 +19,19 @@
 use tokio::net::TcpListener;
 use tokio_util::sync::CancellationToken;
 
-/// Serves the fake until `shutdown`; any path but the control ones is a call.
+/// Serves the fake until `shutdown`. A path without a route of its own is a call to the service.
 pub async fn serve(
     listener: TcpListener,
     fake: FakeService,
     connections: Connections,
     shutdown: CancellationToken,
 ) -> io::Result<()> {
-    tokio::spawn(connections.clone().follow(fake.subscribe_up()));
+    tokio::spawn(connections.clone().follow_availability(fake.subscribe_up()));
     let router = routes::<FakeService>().with_state(fake);
     host::serve(listener, router, connections, shutdown).await
 }
 
-/// Routes of every kind of backend server.
+/// Routes common to all kinds of backend servers.
 pub(crate) fn routes<B>() -> Router<B>
 where
     B: BackendServer + Clone,
@@ -41,7 +42,8 @@
         .fallback(call::<B>)
 }
 
-/// A failed call breaks off: a dead or silent process sends no error.
+/// Reproduces a failed call on the connection: no answer, or a body that breaks off. No error
+/// status is sent, since a dead or silent process sends none.
 pub(crate) async fn failure(error: BackendError) -> Response {
     match error {
         BackendError::Refused | BackendError::Silent { .. } => std::future::pending().await,
@@ -83,13 +85,13 @@
     B: BackendServer + Clone,
 {
     let call = BackendCall {
-        id: parse(&headers, REQUEST_ID_HEADER),
+        id: parse_header(&headers, REQUEST_ID_HEADER),
         method,
         path: uri.path_and_query().map(ToString::to_string).unwrap_or_default(),
-        content_type: text(&headers, header::CONTENT_TYPE.as_str()).map(str::to_owned),
+        content_type: header_text(&headers, header::CONTENT_TYPE.as_str()).map(str::to_owned),
         body,
-        priority: Priority(parse(&headers, PRIORITY_HEADER)),
-        resume_after_events: parse(&headers, RESUME_HEADER),
+        priority: Priority(parse_header(&headers, PRIORITY_HEADER)),
+        resume_after_events: parse_header(&headers, RESUME_HEADER),
     };
     match fake.call(call).await {
         Ok(answer) => answer_response(answer),
@@ -97,18 +99,18 @@
     }
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok())
 }
 
-fn parse<T>(headers: &HeaderMap, name: &str) -> T
+fn parse_header<T>(headers: &HeaderMap, name: &str) -> T
 where
     T: FromStr + Default,
 {
-    text(headers, name).and_then(|text| text.parse().ok()).unwrap_or_default()
+    header_text(headers, name).and_then(|text| text.parse().ok()).unwrap_or_default()
 }
 
-/// Passes pieces on; a body that ends without its end mark breaks the connection.
+/// Streams the pieces of an answer. A body that ends without its end marker breaks the connection.
 fn answer_response(answer: BackendAnswer) -> Response {
     let pieces = stream::unfold(Some(answer.body), |body| async move {
         let mut body = body?;
--- a/crates/standin/src/vms.rs
+++ b/crates/standin/src/vms.rs
@@ -1,4 +1,4 @@
-//! The VM list.
+//! Serves the fake VM list.
 
 use crate::host::{self, Connections};
 use axum::extract::State;
--- a/crates/standin/src/weights.rs
+++ b/crates/standin/src/weights.rs
@@ -1,4 +1,5 @@
-//! The weight store: the answer carries no weights, only the permit's cost is real.
+//! Serves the fake weight store. An answer carries no weights, but a read costs as much of the read
+//! permit as a real one.
 
 use crate::host::{self, Connections};
 use axum::Router;
--- a/crates/standin/tests/contract_engine.rs
+++ b/crates/standin/tests/contract_engine.rs
@@ -1,5 +1,5 @@
-//! One set of cases for engines and plain services, run against the fake under a paused clock and
-//! against the HTTP client and stand-in over loopback.
+//! Contract tests of engines and plain services. Each case runs against the fake under a
+//! paused clock and against the HTTP client and stand-in over loopback.
 
 use bytes::Bytes;
 use flamingowheel_backing::backend::{
@@ -87,8 +87,8 @@
 }
 
 contract!(
-    call_streams_whole,
-    call_whole_json,
+    call_streams_complete_answer,
+    call_complete_json,
     call_resumes,
     call_crash_loses_answer,
     call_dropped_stops_engine,
@@ -122,7 +122,7 @@
     (pieces, Err(BackendError::Lost))
 }
 
-async fn call_streams_whole<B, O>(backend: &B, _orders: &O, fake: &FakeEngine)
+async fn call_streams_complete_answer<B, O>(backend: &B, _orders: &O, fake: &FakeEngine)
 where
     B: BackendServer,
     O: EngineOrders,
@@ -135,7 +135,7 @@
     assert_eq!(fake.runs_of_call("a").started, 1);
 }
 
-async fn call_whole_json<B, O>(backend: &B, _orders: &O, _fake: &FakeEngine)
+async fn call_complete_json<B, O>(backend: &B, _orders: &O, _fake: &FakeEngine)
 where
     B: BackendServer,
     O: EngineOrders,
@@ -157,7 +157,8 @@
     assert_eq!((&events[..], end), (&whole_stream(b"x", 8)[6..], Ok(())));
 }
 
-// The engine's process dies in the middle of a stream; what came so far must not look whole.
+// The engine's process dies in the middle of a stream. The part received must not count as
+// complete.
 async fn call_crash_loses_answer<B, O>(backend: &B, _orders: &O, fake: &FakeEngine)
 where
     B: BackendServer,
@@ -180,7 +181,7 @@
     let mut answer = backend.call(call("a", body)).await.unwrap();
     assert!(answer.body.recv().await.is_some());
     drop(answer);
-    // The engine sees the closed connection at its next token, so other work passes the time.
+    // The engine detects the closed connection at its next token. The other calls give it time.
     while fake.runs_of_call("a").cancelled == 0 {
         let (_, end) = read(backend.call(call("b", "x")).await.unwrap()).await;
         assert_eq!(end, Ok(()));
@@ -193,7 +194,7 @@
     O: EngineOrders,
 {
     fake.crash();
-    // The stand-in's listener follows within moments; until then the connection breaks.
+    // The stand-in's listener closes shortly after; until then connections break instead.
     let mut calls = 0;
     let error = loop {
         calls += 1;
@@ -268,8 +269,8 @@
     assert_eq!(state.highest_fence, Some(Fence(8)));
 }
 
-// The connection to the engine goes silent in the middle of a stream; the agent must hear of it
-// within its limit, and its health check on another connection works.
+// The connection to the engine goes silent in the middle of a stream. The call must fail within its
+// timeout, and a health check on another connection must work.
 #[tokio::test]
 async fn call_connection_silent() {
     let remote = remote().await;
@@ -284,7 +285,8 @@
     .await;
 }
 
-// The engine's process hangs: its kernel accepts everything and nothing is answered.
+// The engine's process hangs: the kernel accepts connections but nothing is answered. A health
+// check must fail within its timeout.
 #[tokio::test]
 async fn load_engine_frozen() {
     let remote = remote().await;
@@ -298,7 +300,8 @@
     .await;
 }
 
-// An engine closes its stream politely but without the end marker, as one does that was stopped.
+// A stopped engine closes its stream cleanly but without the end marker. The answer must not count
+// as complete.
 #[tokio::test]
 async fn call_stream_without_end_marker() {
     let (listener, authority) = listen().await;
@@ -317,7 +320,8 @@
     .await;
 }
 
-// A service that dies in the middle of a body without a length looks like one that finished.
+// A service dies in the middle of a body without a length. Its closed connection looks like the end
+// of the body, so the answer must not count as complete.
 #[tokio::test]
 async fn call_body_without_proven_end() {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -335,7 +339,7 @@
     .await;
 }
 
-// The engine moved and says so by a redirect; following it could run the request twice.
+// An engine answers with a redirect. The client must not follow it: the request could run twice.
 #[tokio::test]
 async fn call_redirect_not_followed() {
     let (listener, authority) = listen().await;
--- a/crates/standin/tests/contract_kv.rs
+++ b/crates/standin/tests/contract_kv.rs
@@ -1,5 +1,5 @@
-//! One set of cases for the key-value service, run against the fake under a paused clock and
-//! against the HTTP client and stand-in over loopback.
+//! Contract tests of the key-value service. Each case runs against the fake under a
+//! paused clock and against the HTTP client and stand-in over loopback.
 
 use bytes::Bytes;
 use flamingowheel_backing::client::{EtcdClient, HttpLimits, etcd};
@@ -145,7 +145,7 @@
     let answer = kv.transact(transaction.clone()).await.unwrap();
     let found: Vec<bool> = answer.reads.iter().map(Option::is_some).collect();
     assert_eq!((found, answer.revision), (vec![true, false, false], Revision(2)));
-    // Deleting what is not there is no write.
+    // Deleting an absent key is not a write.
     assert_eq!(kv.transact(transaction).await.unwrap().revision, Revision(2));
 }
 
@@ -235,7 +235,7 @@
     let mut watch = kv.watch("a", Revision(0)).await.unwrap();
     fake.set_down(true);
     while watch.recv().await.is_some() {}
-    // The stand-in's listener follows within moments; until then there is no answer at all.
+    // The stand-in's listener closes shortly after; until then there is no answer at all.
     while kv.transact(put("a", "1", None)).await != Err(KeyValueError::Unreachable) {}
     fake.set_down(false);
     while kv.range("a").await.is_err() {
@@ -264,8 +264,8 @@
     assert!(kv.range("a").await.unwrap().entries.is_empty());
 }
 
-// Something between the two ends loses track of the connections; new ones work. A caller on the
-// old one must hear of it within its limit and be served on the next call.
+// A device on the path drops the state of open connections, so they go silent; new ones work. The
+// call must fail within its timeout and the next one must succeed on a new connection.
 #[tokio::test]
 async fn range_connection_silent() {
     let remote = remote().await;
@@ -279,7 +279,7 @@
     .await;
 }
 
-// The service accepts connections and never says a word on any of them.
+// The service accepts connections but never answers. Calls must fail within their timeout.
 #[tokio::test]
 async fn range_server_silent() {
     let remote = remote().await;
