--- a/crates/standin/tests/contract_engine.rs
+++ b/crates/standin/tests/contract_engine.rs
@@ -1,5 +1,5 @@
-//! Contract tests of engines and plain services. Each case runs against the fake under a
-//! paused clock and against the HTTP client and stand-in over loopback.
+//! Contract tests of engines and plain services. Each case runs against the fake under a paused
+//! clock and against the HTTP client and stand-in over loopback.
 
 use bytes::Bytes;
 use flamingowheel_backing::backend::{
@@ -16,7 +16,7 @@
 use tokio::net::TcpListener;
 use tokio_util::sync::{CancellationToken, DropGuard};
 
-const CASE_LIMIT: Duration = Duration::from_secs(20);
+const CASE_TIMEOUT: Duration = Duration::from_secs(20);
 const LIMITS: HttpLimits = HttpLimits {
     connect_timeout_ms: 400,
     head_timeout_ms: 400,
@@ -59,7 +59,7 @@
 where
     F: Future<Output = ()>,
 {
-    tokio::time::timeout(CASE_LIMIT, case).await.expect("case hangs");
+    tokio::time::timeout(CASE_TIMEOUT, case).await.expect("case hangs");
 }
 
 macro_rules! contract {
@@ -242,7 +242,7 @@
             _ => tokio::task::yield_now().await,
         }
     };
-    assert!(after.uptime_ms <= CASE_LIMIT.as_millis() as u64);
+    assert!(after.uptime_ms <= CASE_TIMEOUT.as_millis() as u64);
 }
 
 async fn order_and_state<B, O>(_backend: &B, orders: &O, _fake: &FakeEngine)
--- a/crates/standin/tests/contract_kv.rs
+++ b/crates/standin/tests/contract_kv.rs
@@ -1,5 +1,5 @@
-//! Contract tests of the key-value service. Each case runs against the fake under a
-//! paused clock and against the HTTP client and stand-in over loopback.
+//! Contract tests of the key-value service. Each case runs against the fake under a paused
+//! clock and against the HTTP client and stand-in over loopback.
 
 use bytes::Bytes;
 use flamingowheel_backing::client::{EtcdClient, HttpLimits, etcd};
@@ -14,7 +14,7 @@
 use tokio::net::TcpListener;
 use tokio_util::sync::{CancellationToken, DropGuard};
 
-const CASE_LIMIT: Duration = Duration::from_secs(20);
+const CASE_TIMEOUT: Duration = Duration::from_secs(20);
 
 struct Remote {
     client: EtcdClient,
@@ -39,7 +39,7 @@
 where
     F: Future<Output = ()>,
 {
-    tokio::time::timeout(CASE_LIMIT, case).await.expect("case hangs");
+    tokio::time::timeout(CASE_TIMEOUT, case).await.expect("case hangs");
 }
 
 macro_rules! contract {
