--- a/crates/proof/benches/capacity/membership.rs
+++ b/crates/proof/benches/capacity/membership.rs
@@ -34,11 +34,11 @@
 }
 
 /// A node whose membership table has `count` entries.
-async fn node_of(own: usize, count: usize) -> Node {
-    let node = Node::new(member(own), Recorder::for_tests("entry"));
+async fn node_of(own_number: usize, count: usize) -> Node {
+    let node = Node::new(member(own_number), Recorder::for_tests("entry"));
     let others = Node::new(member(count), Recorder::for_tests("other"));
     let records: Vec<MemberRecord> =
-        (0..count).filter(|number| *number != own).map(member).collect();
+        (0..count).filter(|number| *number != own_number).map(member).collect();
     let update = MembershipUpdate { records, ..MembershipUpdate::default() };
     let mut heartbeat = others.heartbeat(None, Duration::ZERO);
     heartbeat.updates = update;
@@ -78,12 +78,12 @@
     table.merge(update, Instant::now());
     let duties_us = cpu_us_each(200, |_| drop(std::hint::black_box(Duties::new(&table))))?;
     print("membership_duties_cpu_us_per_change_of_members", duties_us);
-    let links = |own: usize| -> usize {
+    let links = |own_number: usize| -> usize {
         let update = MembershipUpdate {
             records: (0..ENTRIES).map(member).collect(),
             ..MembershipUpdate::default()
         };
-        let mut table = Table::new(member(own), Instant::now());
+        let mut table = Table::new(member(own_number), Instant::now());
         table.merge(update, Instant::now());
         let duties = Duties::new(&table);
         duties.poll_targets.len() + duties.pollers.len()
--- a/crates/proof/benches/outage/keys.rs
+++ b/crates/proof/benches/outage/keys.rs
@@ -47,15 +47,15 @@
 
 /// The other entries of a region, in memory.
 struct Region {
-    own: String,
+    own_name: String,
     entries: Arc<BTreeMap<String, Claims>>,
     forwarded: Arc<AtomicU32>,
 }
 
 impl Peers for Region {
     fn writer(&self) -> Option<String> {
-        let writer = writer_of(&self.own, self.entries.keys().map(String::as_str));
-        (writer != self.own).then(|| writer.to_owned())
+        let writer = writer_of(&self.own_name, self.entries.keys().map(String::as_str));
+        (writer != self.own_name).then(|| writer.to_owned())
     }
 
     fn forward<'a>(
@@ -235,8 +235,12 @@
         let named = in_region.map(|(entry, claims)| (entry_name(entry), claims.clone()));
         let peers: Arc<BTreeMap<_, _>> = Arc::new(named.collect());
         for (name, claims) in peers.iter() {
-            let (own, entries) = (name.clone(), Arc::clone(&peers));
-            claims.set_peers(Arc::new(Region { own, entries, forwarded: Arc::clone(forwarded) }));
+            let (own_name, entries) = (name.clone(), Arc::clone(&peers));
+            claims.set_peers(Arc::new(Region {
+                own_name,
+                entries,
+                forwarded: Arc::clone(forwarded),
+            }));
         }
     }
 }
--- a/crates/proof/examples/faults.rs
+++ b/crates/proof/examples/faults.rs
@@ -1,5 +1,4 @@
-//! Runs every cell of the fault matrix and every two faults that meet, and writes the page about
-//! it.
+//! Runs every cell and every pair of faults of the fault matrix, and prints the matrix as a page.
 
 #![allow(clippy::print_stdout, clippy::print_stderr, reason = "the page is the output")]
 
@@ -8,7 +7,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::thread;
 
-/// Threads that run cells; each takes the next step that nobody has taken.
+/// Threads that run cells; each takes the next step that has not been taken.
 const THREADS: usize = 4;
 
 fn main() -> ExitCode {
@@ -29,7 +28,7 @@
     ExitCode::SUCCESS
 }
 
-/// Runs all cells and pairs of a step, and prints each failure.
+/// Runs all cells and pairs of a step, prints each failure and returns their number.
 fn failures(step: Step) -> usize {
     let cells = Fault::ALL.into_iter();
     let cells = cells.filter_map(|fault| Some(run::check(step, fault).err()?.to_string()));
--- a/crates/proof/src/configuration/fleet.rs
+++ b/crates/proof/src/configuration/fleet.rs
@@ -137,7 +137,7 @@
     topology: Shared,
     processes: Vec<Option<RunningProcess>>,
     mutation: Option<Mutation>,
-    next_incarnation: u64,
+    last_incarnation: u64,
     last_value: u64,
 }
 
@@ -151,7 +151,7 @@
             topology: Shared::default(),
             processes: (0..PROCESSES).map(|_| None).collect(),
             mutation,
-            next_incarnation: 0,
+            last_incarnation: 0,
             last_value: 0,
         };
         (0..PROCESSES).for_each(|process| fleet.start_process(process));
@@ -169,8 +169,8 @@
     }
 
     fn new_node(&mut self, process: usize) -> Node {
-        self.next_incarnation += 1;
-        let record = record(process, Incarnation(self.next_incarnation));
+        self.last_incarnation += 1;
+        let record = record(process, Incarnation(self.last_incarnation));
         let recorder = Recorder::for_tests(&record.name);
         Node::new(record, recorder)
     }
@@ -239,8 +239,8 @@
         paused || lock(&self.topology).cut.contains(&address(process))
     }
 
-    /// Applies an operator's change through a process; returns the value that it sets, or `None` if
-    /// the process does not run.
+    /// Starts to apply an operator's change through a process; returns the value that it sets, or
+    /// `None` if the process does not run.
     pub fn change(&mut self, process: usize) -> Option<u64> {
         let running = self.processes[process].as_ref()?;
         self.last_value += 1;
@@ -324,8 +324,9 @@
     /// The mutation: a process that reaches an older one adopts its configuration.
     fn adopt_from_older_peer(&mut self) {
         let reachable = |process: usize| !self.is_unreachable(process);
-        let revision =
-            |running: &Option<RunningProcess>| running.as_ref().map_or(0, |l| l.node.revision().0);
+        let revision = |running: &Option<RunningProcess>| {
+            running.as_ref().map_or(0, |process| process.node.revision().0)
+        };
         let revisions: Vec<u64> = self.processes.iter().map(revision).collect();
         let older = (0..PROCESSES)
             .filter(|peer| reachable(*peer) && revisions[*peer] > 0)
--- a/crates/proof/src/configuration/oracle.rs
+++ b/crates/proof/src/configuration/oracle.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConfigViolation {
     /// A process went back to an older configuration.
-    #[error("process {process} went back from revision {from} to {to}")]
+    #[error("process {process} reverted from revision {from} to {to}")]
     Reverted {
         /// Index of the process.
         process: usize,
@@ -22,7 +22,9 @@
         to: u64,
     },
     /// A process has a different value in force than was accepted under that revision.
-    #[error("process {process} has {found} in force at revision {revision}, accepted was {wanted}")]
+    #[error(
+        "process {process} has {found} in force at revision {revision}, not the accepted {wanted}"
+    )]
     OtherThanAccepted {
         /// Index of the process.
         process: usize,
@@ -34,7 +36,7 @@
         wanted: u64,
     },
     /// A process lacks a revision for too long that others have.
-    #[error("process {process} at revision {revision} lacks {newest} for {behind_ms} ms")]
+    #[error("process {process} at revision {revision} has lacked {newest} for {behind_ms} ms")]
     Behind {
         /// Index of the process.
         process: usize,
@@ -46,7 +48,7 @@
         behind_ms: u64,
     },
     /// A change is in force whose operator got the answer that it is not accepted.
-    #[error("process {process} has {value} in force, which was told not to be accepted")]
+    #[error("process {process} has {value} in force, which was reported as not accepted")]
     NotAcceptedButInForce {
         /// Index of the process.
         process: usize,
--- a/crates/proof/src/group/fleet.rs
+++ b/crates/proof/src/group/fleet.rs
@@ -53,15 +53,15 @@
 pub enum GroupViolation {
     /// A step was run with two different maps.
     #[error("step {} was run with different maps: {:?}", .0.step, .0.maps)]
-    Split(MapMismatch),
+    MapMismatch(MapMismatch),
     /// The group makes no steps and no rank is reported out of service.
-    #[error("the group stands still and no rank is named: {status:?}")]
-    StandsStill {
+    #[error("the group makes no steps and no rank is out of service: {status:?}")]
+    Stalled {
         /// Status of each coordinator.
         status: Vec<GroupStatus>,
     },
     /// A rank serves another version than the newest executed order says.
-    #[error("the rank serves version {found:?}; {wanted:?} was the newest carried out")]
+    #[error("the rank serves version {found:?}; the newest executed order was {wanted:?}")]
     OtherVersion {
         /// The version that the rank serves.
         found: String,
@@ -69,8 +69,8 @@
         wanted: String,
     },
     /// A new order is not executed although all faults have ended.
-    #[error("a new order is not carried out: {last}")]
-    NotOrdered {
+    #[error("a new order is not executed: {last}")]
+    OrderNotExecuted {
         /// Error of the last attempt.
         last: String,
     },
@@ -295,7 +295,7 @@
     /// Checks that no step was run with two maps.
     pub fn check(&self) -> Result<(), GroupViolation> {
         match self.group.map_mismatches().into_iter().next() {
-            Some(split) => Err(GroupViolation::Split(split)),
+            Some(mismatch) => Err(GroupViolation::MapMismatch(mismatch)),
             None => Ok(()),
         }
     }
@@ -327,7 +327,7 @@
         if self.group.step() > before || has_named_rank {
             return Ok(());
         }
-        Err(GroupViolation::StandsStill { status })
+        Err(GroupViolation::Stalled { status })
     }
 }
 
--- a/crates/proof/src/matrix/load.rs
+++ b/crates/proof/src/matrix/load.rs
@@ -71,7 +71,7 @@
     scenario.repair();
     let last = taking_over.await.unwrap_or(Err(RankError::NoAnswer));
     if let Err(last) = last {
-        return Err(GroupViolation::NotOrdered { last: last.to_string() });
+        return Err(GroupViolation::OrderNotExecuted { last: last.to_string() });
     }
     scenario.watch().await?;
     Ok(Observed { first: scenario.outcome(), resend: Some(Outcome::Complete) })
@@ -85,7 +85,7 @@
         let record = GroupRecord::first(Default::default(), crate::group::fleet::RANKS);
         let _ = records.create(record).await;
         let served = until_served(fleet.link(), records.clone(), FIRST_VERSION).await;
-        served.map_err(|last| GroupViolation::NotOrdered { last: last.to_string() })?;
+        served.map_err(|last| GroupViolation::OrderNotExecuted { last: last.to_string() })?;
         let stored = take_over_record(&records).await;
         // An engine continues a load whose caller is gone, so the order takes effect late.
         if faults.iter().any(|fault| matches!(fault, Fault::AgentKilled | Fault::ConnectionSilent))
--- a/crates/proof/src/matrix/mod.rs
+++ b/crates/proof/src/matrix/mod.rs
@@ -18,7 +18,7 @@
     ChatStreaming,
     /// The end of a stream is about to be sent.
     ChatEnding,
-    /// An idempotent service call is being carried out.
+    /// An idempotent service call is running.
     StatusRunning,
     /// A ticket is being requested.
     TicketTaken,
@@ -117,7 +117,7 @@
 /// An injected fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Fault {
-    /// The entry process dies and is replaced at once.
+    /// The entry process dies and is replaced.
     EntryKilled,
     /// The agent process dies; another starts a second later.
     AgentKilled,
--- a/crates/proof/src/oracle.rs
+++ b/crates/proof/src/oracle.rs
@@ -65,7 +65,7 @@
         runs: u32,
     },
     /// A caller got "not run" for work that ran.
-    #[error("told \"not run\" of work that ran {runs} times: {work}")]
+    #[error("outcome \"not run\" for work that ran {runs} times: {work}")]
     NotRunButRan {
         /// The work with its submissions.
         work: String,
@@ -73,19 +73,19 @@
         runs: u32,
     },
     /// A caller got "complete" with an answer that is not the complete answer to its work.
-    #[error("told \"complete\" with another answer than the whole one: {work}")]
-    NotWhole {
+    #[error("outcome \"complete\" without the complete answer: {work}")]
+    IncompleteAnswer {
         /// The work with its submissions.
         work: String,
     },
     /// A caller got no outcome.
-    #[error("no outcome was told: {work}")]
+    #[error("no outcome: {work}")]
     NoOutcome {
         /// The work with its submissions.
         work: String,
     },
     /// A leaving entry still counts requests in progress although all were answered.
-    #[error("entry {entry} was told to leave and does not come to an end")]
+    #[error("entry {entry} is leaving and does not drain")]
     LeaveNeverEnds {
         /// Index of the entry.
         entry: usize,
@@ -195,9 +195,9 @@
         }
         for submission in &self.submissions {
             if let CallOutcome::Complete(answer) = &submission.outcome
-                && !self.is_whole(answer, runs)
+                && !self.is_complete(answer, runs)
             {
-                return Err(Violation::NotWhole { work: self.to_string() });
+                return Err(Violation::IncompleteAnswer { work: self.to_string() });
             }
         }
         Ok(())
@@ -212,9 +212,9 @@
         voided || all
     }
 
-    fn is_whole(&self, answer: &Bytes, runs: u32) -> bool {
+    fn is_complete(&self, answer: &Bytes, runs: u32) -> bool {
         match self.kind {
-            Kind::Chat => self.is_whole_chat(answer),
+            Kind::Chat => self.is_complete_chat(answer),
             // A service's answer has the number of its execution.
             Kind::Status => (1..=runs).any(|run| FakeService::answer(&self.body, run) == *answer),
             Kind::Addresses => answer.windows(9).any(|part| part == b"127.0.0.1"),
@@ -222,7 +222,7 @@
         }
     }
 
-    fn is_whole_chat(&self, answer: &Bytes) -> bool {
+    fn is_complete_chat(&self, answer: &Bytes) -> bool {
         let generation = GenerationRequest::from_body(&self.body, 0);
         if !generation.stream {
             return whole_json(&self.body, generation.tokens) == *answer;
--- a/crates/proof/tests/cells.rs
+++ b/crates/proof/tests/cells.rs
@@ -1,4 +1,4 @@
-//! Agents outside an entry's cells, and cells that change while work runs.
+//! Requests whose agents are outside an entry's cells, and cells that change while work runs.
 
 use bytes::Bytes;
 use flamingowheel_entry::agents::{AgentVm, Target};
@@ -22,7 +22,7 @@
     Bytes::from(body.to_string())
 }
 
-/// The directory as of now.
+/// Records of all agents that run now.
 fn directory(world: &World) -> Vec<Arc<AgentRecord>> {
     let record = |server: usize| {
         let hello = world.network.endpoint(address(server))?.hello;
@@ -41,7 +41,7 @@
     (0..SERVERS).filter_map(record).collect()
 }
 
-/// A world whose second entry stands before no cell and has no link.
+/// A world whose second entry is in no cell and has no link.
 async fn world_with_unlinked_entry() -> World {
     let world = World::start(None).await;
     let unlinked = &world.entry(1).agents;
@@ -58,8 +58,8 @@
     world.ledger.get(index).unwrap().submissions.pop().unwrap().outcome
 }
 
-// A caller keeps an address for long and goes on to use an entry whose cells don't serve its model.
-// Without links on demand it would be told that no backend server is there.
+// Guards against reporting that no backend server exists to a caller that keeps using an entry
+// whose cells don't serve its model. The entry must open links on demand.
 #[tokio::test(start_paused = true)]
 async fn ask_entry_outside_cell_served() {
     let mut world = world_with_unlinked_entry().await;
@@ -73,8 +73,8 @@
     world.settle().await.unwrap();
 }
 
-// A ticket was taken at one entry and is used at another one that has no link to its agent. The
-// work runs there and nowhere else, and a resend at the first entry gets the same answer.
+// Guards against a second run when a ticket is used at an entry without a link to the ticket's
+// agent. The work must run only there, and a resend at the first entry must get the same answer.
 #[tokio::test(start_paused = true)]
 async fn ask_ticket_home_outside_cell_served() {
     let mut world = world_with_unlinked_entry().await;
@@ -91,9 +91,8 @@
     world.settle().await.unwrap();
 }
 
-// An entry joins, the cells change, and an agent falls out of this entry's cells while it streams;
-// then the connection breaks as well. The caller must not notice either, and the link goes once
-// nothing needs it.
+// Guards against a broken stream when the agent leaves the entry's cells while it streams and then
+// the connection breaks as well. The link must close once nothing needs it.
 #[tokio::test(start_paused = true)]
 async fn cells_change_stream_goes_on() {
     let mut world = World::start(None).await;
@@ -115,7 +114,7 @@
     world.entry(0).agents.set_vms(&[]);
     sleep(Duration::from_millis(10)).await;
     assert!(world.entry(0).agents.connected().is_empty());
-    // Back in the cells, they take work at once.
+    // Agents that return to the cells must get work at once.
     let all: Vec<AgentVm> =
         (0..SERVERS).map(|s| AgentVm { address: address(s), leaving: false }).collect();
     world.entry(0).agents.set_vms(&all);
@@ -130,8 +129,9 @@
     world.settle().await.unwrap();
 }
 
-// The directory lags: an agent was replaced under its name, and the record names the process
-// before. A ticket of that process must not run in the new one; other work may.
+// Guards against a second run when the directory is stale: an agent was replaced under its name and
+// its record has the old incarnation. A ticket of the old process must not run in the new one;
+// other work may.
 #[tokio::test(start_paused = true)]
 async fn ask_stale_record_no_second_run() {
     let mut world = world_with_unlinked_entry().await;
@@ -159,8 +159,8 @@
     world.settle().await.unwrap();
 }
 
-// Copies of a request that crashes backend servers come through two entries of different cells.
-// Both must choose the same backend server, or each copy takes down another one.
+// Guards against several crashes by one request: its copies arrive through two entries with
+// different cells. Both entries must choose the same backend server for it.
 #[tokio::test(start_paused = true)]
 async fn route_isolated_other_cells_same_server() {
     let world = world_with_unlinked_entry().await;
--- a/crates/proof/tests/decoders/mod.rs
+++ b/crates/proof/tests/decoders/mod.rs
@@ -1,4 +1,4 @@
-//! The decoders of inner frames, and valid batches to start from.
+//! The decoders of internal frames, and valid sample batches.
 
 use bytes::Bytes;
 use flamingowheel_config::bucket::Bucket;
@@ -15,10 +15,10 @@
     PeerRequest, Sender, StoredValue,
 };
 
-/// Number of the archived ticket.
+/// Ticket number in the archive.
 const NUMBER: uuid::Uuid = uuid::Uuid::from_u128(9);
 
-/// Tries every decoder of inner frames and of what is stored.
+/// Runs every decoder of internal frames and of stored values.
 pub fn decode_all(bytes: &[u8]) {
     let _ = decode::<EntryMessage>(bytes);
     let _ = decode::<AgentMessage>(bytes);
@@ -36,7 +36,7 @@
     AttemptId { request: RequestId(uuid::Uuid::from_u128(7)), number: 1 }
 }
 
-/// Valid batches to start from.
+/// Valid encoded batches for tests to change.
 pub fn samples() -> Vec<Vec<u8>> {
     let key = ExecutionKey::Ticket { number: uuid::Uuid::from_u128(9), window: Window(3) };
     let cancel = EntryMessage::Cancel {
--- a/crates/proof/tests/fault_matrix.rs
+++ b/crates/proof/tests/fault_matrix.rs
@@ -1,4 +1,4 @@
-//! Every cell of the fault matrix, and the page that tells of it.
+//! Runs every cell of the fault matrix and checks the generated page.
 
 use flamingowheel_proof::matrix::{Fault, Step, report, run};
 use std::path::Path;
@@ -7,7 +7,7 @@
     assert_none(Fault::ALL.into_iter().filter_map(|fault| single(step, fault)));
 }
 
-/// Two faults that meet; the page's command runs them in the other order too.
+/// Runs pairs of faults in one order; the page's command runs both orders.
 fn check_pairs(step: Step) {
     let pairs = Fault::pairs_once(step).into_iter();
     assert_none(pairs.filter_map(|(first, second)| pair(step, first, second)));
@@ -80,8 +80,9 @@
     matrix_model_loaded_unfenced: ModelLoadedUnfenced,
 );
 
-// An agent dies with a model load in its engine's queue, the engine checks no fencing numbers, and
-// the old load takes effect after a newer one: callers get answers of a version that was replaced.
+// Guards against an old model load that takes effect after a newer one: the agent dies while the
+// load is in the queue of an engine that checks no fencing numbers, and callers get answers of a
+// replaced version.
 #[test]
 fn model_load_unfenced_agent_killed() {
     let step = Step::ModelLoadedUnfenced;
@@ -96,5 +97,5 @@
 fn page_matches_table() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/FAULTS.md");
     let page = std::fs::read_to_string(path).unwrap();
-    assert_eq!(page, report::page(), "run the command that the page names");
+    assert_eq!(page, report::page(), "regenerate the page with the command in its header");
 }
--- a/crates/proof/tests/fuzz_configuration.rs
+++ b/crates/proof/tests/fuzz_configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration under random faults, and the same with a safeguard left out.
+//! The configuration under random faults, and detection of its mutation.
 
 #![allow(clippy::print_stdout, reason = "figures of the run")]
 
@@ -15,13 +15,13 @@
     assert_invariants::<ConfigDriver>(CASES, SEED);
 }
 
-// A process that was cut off comes back with what it had, and another takes that for the newest:
-// what an operator was told is accepted is gone again.
+// Checks that the oracle detects the loss of an accepted change: a process returns from a partition
+// with an older configuration and another process adopts it.
 #[test]
 fn fuzz_finds_older_peer_taken() {
     let (steps, violation) =
         steps_until_found::<ConfigDriver>(Mutation::OlderPeerTaken, MAX_STEPS_TO_FIND, SEED)
-            .expect("planted fault not found");
+            .expect("mutation not detected");
     println!("OlderPeerTaken: found after {steps} steps: {violation}");
 }
 
@@ -32,9 +32,9 @@
     }
 }
 
-// Right after a change three of five processes are lost at once, the key-value service gets slow
-// and a watch has missed the event. A process that can reach one with the change still lacks it
-// after 11 s. Found with seed 4.
+// Guards against a change that is not in force 11 s later in a process that can reach one with the
+// change: right after it three of five processes are lost, the key-value service becomes slow and a
+// watch has missed the event. Found with seed 4.
 #[test]
 fn change_three_of_five_lost_service_slow() {
     let steps = [
@@ -53,10 +53,10 @@
     assert_steps_hold(&steps);
 }
 
-// An operator's change is accepted by a process that watches nothing, while all watches are deaf,
-// and the key-value service goes right after. The processes that it polls hear its newer revision
-// with each poll, yet wait for the service: callers there meet the old configuration for the whole
-// outage. Found with seed 771823.
+// Guards against an old configuration that stays in force during an outage: a process accepts a
+// change while all watches are silent, and the key-value service goes down right after. The
+// processes that it polls learn of the newer revision with each poll, and must not wait for the
+// service to get it. Found with seed 771823.
 #[test]
 fn change_watches_silent_service_lost() {
     let steps = [
--- a/crates/proof/tests/fuzz_decode.rs
+++ b/crates/proof/tests/fuzz_decode.rs
@@ -1,4 +1,4 @@
-//! Hostile bytes against the decoders: never a panic, never a loop without end.
+//! Hostile input to the decoders must never cause a panic or an endless loop.
 
 mod decoders;
 
@@ -14,7 +14,7 @@
 
 const CASES: u32 = 2_000;
 const SEED: u64 = 20261202;
-/// Changes to a valid batch.
+/// A change to valid bytes.
 #[derive(Clone, Debug)]
 enum Change {
     Set(usize, u8),
@@ -82,7 +82,7 @@
         prop_assert!(StreamToken::from_text(&text, &FleetKey::new([1; 32])).is_err());
     }
 
-    // A ticket that was tampered with must not be read: it could name another workspace's work.
+    // Guards against accepting a forged ticket, which could name another workspace's work.
     #[test]
     fn fuzz_ticket_changed(changes in proptest::collection::vec(change(), 1..4)) {
         let key = FleetKey::new([1; 32]);
@@ -107,7 +107,7 @@
     }
 }
 
-// Nesting without end would exhaust the stack, which kills the process without a word.
+// Guards against stack exhaustion by deep nesting, which would abort the process without a message.
 #[test]
 fn fuzz_decode_nesting_bounded() {
     for byte in [0x81, 0x9f, 0xa1, 0xbf, 0xc1, 0xd8] {
@@ -115,7 +115,7 @@
     }
 }
 
-// Brackets without end would exhaust the parser's stack.
+// Guards against exhaustion of the parser's stack by deep nesting.
 #[test]
 fn fuzz_settings_nesting_bounded() {
     for open in ["[", "{a: ", "- ", "? "] {
--- a/crates/proof/tests/fuzz_group.rs
+++ b/crates/proof/tests/fuzz_group.rs
@@ -1,4 +1,4 @@
-//! Switches of a group's map under random faults, and the same with a safeguard left out.
+//! Switches of a group's map under random faults, and detection of its mutation.
 
 #![allow(clippy::print_stdout, reason = "figures of the run")]
 
@@ -15,12 +15,12 @@
     assert_invariants::<GroupDriver>(CASES, SEED);
 }
 
-// An order waits behind another until a newer coordinator is in charge, and is then written all the
-// same: one rank steps with another map than the rest.
+// Checks that the oracle detects ranks that step with different maps: an order waits behind another
+// until a newer coordinator leads, and is then written although it is stale.
 #[test]
 fn fuzz_finds_fence_at_receipt_only() {
     let (steps, violation) =
         steps_until_found::<GroupDriver>(Mutation::FenceAtReceiptOnly, MAX_STEPS_TO_FIND, SEED)
-            .expect("planted fault not found");
+            .expect("mutation not detected");
     println!("FenceAtReceiptOnly: found after {steps} steps: {violation}");
 }
--- a/crates/proof/tests/fuzz_memory.rs
+++ b/crates/proof/tests/fuzz_memory.rs
@@ -1,5 +1,5 @@
-//! Memory that hostile bytes can make a decoder take. One test in a process of its own, since the
-//! kernel counts a process's memory as a whole.
+//! Bounds the memory that decoders allocate for hostile input. It is the only test of its process,
+//! since the kernel counts memory per process.
 
 mod decoders;
 
@@ -8,19 +8,19 @@
 use flamingowheel_config::settings::Settings;
 use std::path::Path;
 
-/// Decoding may hold this much beyond what the process held before.
+/// Limit for the growth of the process's peak memory during decoding.
 const MAX_GROWTH_KB: u64 = 64 * 1024;
 
-/// Most memory the process ever held, as the kernel counts it.
+/// Peak resident memory of the process, as the kernel counts it.
 fn peak_kb() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap();
     let line = status.lines().find(|line| line.starts_with("VmHWM:")).unwrap();
     line.split_whitespace().nth(1).unwrap().parse().unwrap()
 }
 
-// A stranger sends a few bytes that announce terabytes; the process must not set them aside.
+// Guards against allocating terabytes for a few bytes that announce a huge length.
 fn decode_huge_lengths() {
-    // Byte strings, texts, arrays and maps, side by side.
+    // Byte strings, texts, arrays and maps, in parallel.
     std::thread::scope(|scope| {
         for major in [0x5b, 0x7b, 0x9b, 0xbb] {
             scope.spawn(move || decode_huge_lengths_of(major));
@@ -28,12 +28,12 @@
     });
 }
 
-/// Claims every power of two of elements.
+/// Announces every power of two as the number of elements.
 fn decode_huge_lengths_of(major: u8) {
     for power in 0..64 {
         let mut head = vec![major];
         head.extend_from_slice(&(1u64 << power).to_be_bytes());
-        // Alone, as the batch, and in the place of a body within one.
+        // By itself, as the batch, and at every position within one.
         decode_all(&head);
         decode_all(&[&[0x82, 0x01][..], &head[..]].concat());
         for sample in samples() {
@@ -44,7 +44,7 @@
     }
 }
 
-// A few lines of YAML whose aliases stand for billions of values.
+// Guards against expanding a few lines of YAML whose aliases stand for billions of values.
 fn parse_nested_aliases() {
     let mut text = "a0: &a0 [x, x, x, x, x, x, x, x, x, x]\n".to_owned();
     for level in 1..12 {
--- a/crates/proof/tests/fuzz_requests.rs
+++ b/crates/proof/tests/fuzz_requests.rs
@@ -1,4 +1,4 @@
-//! Requests under random faults, and the same with safeguards left out.
+//! Requests under random faults, and detection of their mutations.
 
 #![allow(clippy::print_stdout, reason = "figures of the run")]
 
@@ -17,30 +17,30 @@
 
 fn assert_found(mutation: Mutation) {
     let (steps, violation) = steps_until_found::<Driver>(mutation, MAX_STEPS_TO_FIND, SEED)
-        .expect("planted fault not found");
+        .expect("mutation not detected");
     println!("{mutation:?}: found after {steps} steps: {violation}");
 }
 
-// An agent says "not run" of a dispatch that is still on its way, and runs it when it arrives.
+// The mutated agent answers "not run" for a dispatch in flight, and runs it when it arrives.
 #[test]
 fn fuzz_finds_tombstone_skipped() {
     assert_found(Mutation::TombstoneSkipped);
 }
 
-// A ticket's work, or a late copy of a dispatch, reaches the next process at the same place, which
-// has no record of it and runs it once more.
+// Work under a ticket, or a delayed duplicate of a dispatch, reaches the agent's replacement, which
+// has no record of it and runs it again.
 #[test]
 fn fuzz_finds_incarnation_ignored() {
     assert_found(Mutation::IncarnationIgnored);
 }
 
-// A work order whose answer was lost is sent again.
+// Non-idempotent work whose answer was lost is retried and runs twice.
 #[test]
 fn fuzz_finds_non_idempotent_retried() {
     assert_found(Mutation::NonIdempotentRetried);
 }
 
-// A stream breaks off and the caller takes what came for the whole answer.
+// A truncated stream is reported to the caller as complete.
 #[test]
 fn fuzz_finds_truncated_stream_accepted() {
     assert_found(Mutation::TruncatedStreamAccepted);
--- a/crates/proof/tests/group.rs
+++ b/crates/proof/tests/group.rs
@@ -1,12 +1,13 @@
-//! Switches of a group's map at a distance.
+//! Switches of a group's map with high message latency.
 
 use flamingowheel_group::gate::EngineKind;
 use flamingowheel_proof::group::Fleet;
 use std::time::Duration;
 use tokio::time::sleep;
 
-// Messages take longer than steps, as on a bad day between two data centres. The boundary at which
-// the group was to stop had always been passed when the order came, so the map never changed.
+// Guards against a switch that never happens when messages take longer than steps, as can occur
+// between two data centres: the step at which the group was to stop had always passed when the
+// order arrived.
 #[tokio::test(start_paused = true)]
 async fn switch_messages_slower_than_steps() {
     let distance = Duration::from_millis(100);
--- a/crates/proof/tests/intake.rs
+++ b/crates/proof/tests/intake.rs
@@ -1,4 +1,4 @@
-//! Requests that are refused before anything is sent.
+//! Requests that an entry refuses before it dispatches them.
 
 use axum::body::Body;
 use flamingowheel_entry::http::{CHAT_PATH, OUTCOME_HEADER, TICKET_HEADER, TIMEOUT_HEADER};
@@ -9,7 +9,7 @@
 use http_body_util::BodyExt;
 use tower::ServiceExt;
 
-/// Larger than an entry takes.
+/// Larger than the maximum body of an entry.
 const TOO_LARGE: usize = 9 << 20;
 
 fn request(method: &str, path: &str, token: &str) -> Builder {
@@ -17,7 +17,7 @@
     Request::builder().method(method).uri(path).header(header::AUTHORIZATION, token)
 }
 
-/// Sends a request that must be refused as not run; gives status and code.
+/// Sends a request that must be refused as not run; returns status and error code.
 async fn send_refused(world: &World, request: Request<Body>) -> (StatusCode, String) {
     let Ok(response) = world.router(0).oneshot(request).await;
     let status = response.status();
@@ -35,8 +35,8 @@
     assert_eq!((refusal.0, refusal.1.as_str()), (status, code));
 }
 
-// A caller uses a token that was withdrawn, asks for what its workspace does not have, or sends
-// what nobody can read. It is told at once, with a code for programs, and nothing has run.
+// Guards against wrong status or error codes for withdrawn tokens, models and routes that the
+// workspace lacks, and malformed requests. Each must be refused at once, as not run.
 #[tokio::test(start_paused = true)]
 async fn intake_refuses_with_typed_errors() {
     let world = World::start(None).await;
@@ -58,8 +58,8 @@
     assert_refusal(&send_refused(&world, ticket).await, StatusCode::BAD_REQUEST, "ticket");
 }
 
-// Every call of a workspace is refused before it is dispatched, and strangers knock. Operators must
-// see both in the metrics, and apart.
+// Guards against refusals that are missing from the metrics. Those of a workspace's calls and those
+// of unauthenticated calls must be counted separately.
 #[tokio::test(start_paused = true)]
 async fn intake_refusals_are_counted() {
     let world = World::start(None).await;
@@ -81,7 +81,7 @@
     assert_eq!(count("normal").as_deref(), Some("2"));
 }
 
-// A body that is larger than an entry holds must not fill its memory.
+// Guards against memory exhaustion by a body larger than an entry accepts.
 #[tokio::test(start_paused = true)]
 async fn intake_body_too_large() {
     let world = World::start(None).await;
@@ -91,8 +91,9 @@
     assert_refusal(&refusal, StatusCode::PAYLOAD_TOO_LARGE, "too_large");
 }
 
-// A payout's route begins like that of a status check, with dots or an encoding in between. The
-// service would resolve it to the payout, which would then pass for a call that may be repeated.
+// Guards against path traversal into another route: a path starts like the idempotent status route
+// but, with dots or an encoding, resolves to the order route at the service. The order would then
+// be retried as idempotent.
 #[tokio::test(start_paused = true)]
 async fn intake_path_outside_route() {
     let world = World::start(None).await;
--- a/crates/proof/tests/keys.rs
+++ b/crates/proof/tests/keys.rs
@@ -1,4 +1,4 @@
-//! Callers' own idempotency keys while the key-value service is in trouble.
+//! Callers' idempotency keys while the key-value service is silent or slow.
 
 use bytes::Bytes;
 use flamingowheel_proof::caller::CallOutcome;
@@ -9,9 +9,9 @@
 
 const TIMEOUT_MS: u64 = 3_000;
 
-// The key-value service goes silent while very many callers bring keys of their own, and batch
-// after batch waits for an answer that does not come. A caller must be told "not run" by its own
-// deadline, not when all who came before it have been; nothing may run.
+// Guards against outcomes after the deadline: the key-value service goes silent while many callers
+// bind keys, and batch after batch waits for an answer. Each caller must get "not run" by its own
+// deadline, without waiting for earlier callers, and nothing may run.
 #[tokio::test(start_paused = true)]
 async fn ask_with_key_service_silent_told_by_deadline() {
     const CALLERS: usize = 900;
@@ -30,7 +30,7 @@
     assert!((0..CALLERS).all(|number| world.servers.started(&body(number)) == 0));
 }
 
-// The service comes back. Callers must not stand behind those that gave up long ago.
+// Guards against a queue of expired callers that delays new ones after the service has recovered.
 #[tokio::test(start_paused = true)]
 async fn ask_with_key_service_back_bound_soon() {
     const CALLERS: usize = 900;
--- a/crates/proof/tests/poison.rs
+++ b/crates/proof/tests/poison.rs
@@ -1,4 +1,4 @@
-//! Requests that kill the backend server that runs them, sent again and again.
+//! Resends of requests that crash the backend server that runs them.
 
 use bytes::Bytes;
 use flamingowheel_proof::caller::CallOutcome;
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Backend servers that may die for one request, however often it is sent.
+/// Limit for the crashes caused by one request, however often it is resent.
 const MAX_CRASHES: u64 = 2;
 const RESENDS: usize = 12;
 
@@ -30,7 +30,8 @@
     world.servers.engines.iter().map(|engine| engine.crashes()).sum()
 }
 
-// A caller whose request broke off sends it again, through whatever entry, for a minute.
+// Guards against repeated crashes when a caller resends a crashing request through all entries for
+// a minute.
 #[tokio::test(start_paused = true)]
 async fn resend_poison_everywhere() {
     let mut world = world().await;
@@ -40,12 +41,12 @@
         world.resend(resend % ENTRIES, work, 9_000);
     }
     sleep(Duration::from_secs(10)).await;
-    assert!(crashes(&world) >= 1, "nothing was killed, so nothing is shown");
+    assert!(crashes(&world) >= 1, "no engine crashed, so the test shows nothing");
     assert!(crashes(&world) <= MAX_CRASHES, "{} crashes", crashes(&world));
     world.settle().await.unwrap();
 }
 
-// The same, and the entry that knows is replaced each time.
+// Guards against the same when the entry that suspects the request is replaced each time.
 #[tokio::test(start_paused = true)]
 async fn resend_poison_entry_replaced() {
     let mut world = world().await;
@@ -60,7 +61,7 @@
     assert!(crashes(&world) <= MAX_CRASHES, "{} crashes", crashes(&world));
 }
 
-// The same, and each agent is replaced after its backend server died.
+// Guards against the same when each agent is replaced after its backend server crashed.
 #[tokio::test(start_paused = true)]
 async fn resend_poison_agents_replaced() {
     let mut world = world().await;
@@ -77,7 +78,8 @@
     assert!(crashes(&world) <= MAX_CRASHES, "{} crashes", crashes(&world));
 }
 
-// Others shared the batch when the backend server died; asked again, they finish.
+// Guards against quarantining requests that only shared the batch of a crash; resent, they must
+// complete.
 #[tokio::test(start_paused = true)]
 async fn resend_poison_others_finish() {
     let mut world = world().await;
--- a/crates/proof/tests/prefix.rs
+++ b/crates/proof/tests/prefix.rs
@@ -1,4 +1,4 @@
-//! Knowledge of prefix caches from the engines to the entries' choices.
+//! Propagation of prefix cache contents from engines to the entries' routing.
 
 use bytes::Bytes;
 use flamingowheel_backing::backend::{BackendCall, BackendServer, Priority};
@@ -19,11 +19,11 @@
 use tokio::time::sleep;
 
 const REQUESTS: usize = 12;
-/// Blocks that all requests with the same long prompt have in common.
+/// Blocks that all requests with the same long prompt share.
 const SHARED_BLOCKS: usize = 8;
-/// Longer than polls and heartbeats take to reach the entries.
+/// Longer than polls and heartbeats take to propagate cache events to the entries.
 const PROPAGATION_TIME: Duration = Duration::from_secs(2);
-/// Longer than doubt about an engine's cache lasts.
+/// Longer than the decay of uncertain cache contents takes.
 const DECAY_TIME: Duration = Duration::from_secs(62);
 
 fn body(prompt: &str, number: usize) -> Bytes {
@@ -39,7 +39,7 @@
     send(entry.router.clone(), entry.lifecycle.clone(), call).await
 }
 
-/// Asks and gives the engine that answered.
+/// Sends a request and returns the engine that answered.
 async fn ask_engine(world: &World, body: Bytes) -> usize {
     let outcome = ask(world, body.clone()).await;
     assert!(matches!(outcome, CallOutcome::Complete(_)), "{outcome:?}");
@@ -47,7 +47,7 @@
     (0..ENGINES).find(ran).unwrap()
 }
 
-/// Sends a body to a given engine, past the entries.
+/// Sends a body directly to an engine, bypassing the entries.
 async fn call_engine(world: &World, engine: usize, body: Bytes) {
     let call = BackendCall {
         id: "past-entries".to_owned(),
@@ -86,8 +86,8 @@
     assert_eq!(entry, text::block_hashes(&body)[..SHARED_BLOCKS]);
 }
 
-// Requests that share a long prompt are spread over the ranks, and each rank prefills the prompt
-// for itself: callers wait for work that was already done next door.
+// Guards against requests with the same long prompt being spread over the ranks, so that each rank
+// prefills a prompt that another has cached.
 #[tokio::test(start_paused = true)]
 async fn same_prompt_cached_rank_chosen() {
     let world = World::start(None).await;
@@ -101,7 +101,8 @@
     assert!(by_prefix > 0 && by_prefix < REQUESTS, "{by_prefix}");
 }
 
-// Were the prompts not the same, both ranks would get some: it is the cache that decides above.
+// Control for the test above: with different prompts both ranks get requests, so there the cache
+// decides.
 #[tokio::test(start_paused = true)]
 async fn other_prompts_both_ranks_used() {
     let world = World::start(None).await;
@@ -115,8 +116,8 @@
     assert_eq!(routes_by_prefix(&world), 0);
 }
 
-// An engine loses an event. What is known of it is trusted less and less, and is forgotten in the
-// end, while what it stores from then on counts in full.
+// Guards against routing by outdated cache contents after an engine lost a cache event. The weight
+// of blocks indexed before must decay to zero.
 #[tokio::test(start_paused = true)]
 async fn cache_event_lost_index_decays() {
     let world = World::start(None).await;
@@ -136,8 +137,8 @@
     assert_eq!(covered(), 0.0);
 }
 
-// An engine comes back with an empty cache. Prompts that were sent to it for what it had cached
-// would wait for a prefill that they could have had anywhere.
+// Guards against routing prompts to an engine that restarted with an empty cache, where they would
+// wait for a prefill without any benefit.
 #[tokio::test(start_paused = true)]
 async fn engine_restarted_index_cleared() {
     let world = World::start(None).await;
@@ -150,7 +151,7 @@
     sleep(PROPAGATION_TIME).await;
     assert_eq!(covered(), 0.0);
     assert_eq!(world.entry(0).routes.block_count(), 0);
-    // The new process counts from one again, and is heard.
+    // The new process numbers its events from one again; they must be accepted.
     let second = body("hilltop ", 1);
     let engine = ask_engine(&world, second.clone()).await;
     sleep(PROPAGATION_TIME).await;
@@ -158,7 +159,8 @@
     assert_eq!(covered, SHARED_BLOCKS as f64);
 }
 
-// An entry that starts late would send every known prompt astray until the caches have changed.
+// Guards against misrouting by an entry that starts late: it must get the cache contents without
+// waiting for them to change.
 #[tokio::test(start_paused = true)]
 async fn entry_started_late_index_synchronized() {
     let mut world = World::start(None).await;
@@ -171,7 +173,7 @@
     assert_eq!(covered, SHARED_BLOCKS as f64);
 }
 
-// A caller sends ever new prompts, up to the longest body. An entry's memory must not follow.
+// Guards against unbounded memory of an entry's index when a caller keeps sending new long prompts.
 #[tokio::test(start_paused = true)]
 async fn many_prompts_memory_bounded() {
     let world = World::start(None).await;
--- a/crates/proof/tests/rebind.rs
+++ b/crates/proof/tests/rebind.rs
@@ -1,4 +1,4 @@
-//! Callers' own keys whose home refuses for good, or is gone.
+//! Callers' idempotency keys whose home agent refuses permanently or is gone.
 
 use bytes::Bytes;
 use flamingowheel_backing::fake::LostAnswer;
@@ -19,7 +19,7 @@
     serde_json::from_slice(&stored.value).ok()
 }
 
-/// The server that the only key is bound to.
+/// Index of the backend server that the only key is bound to.
 fn home(world: &World) -> usize {
     let name = world.ticket_home(&claim(world).unwrap().ticket).unwrap();
     (0..SERVICES).find(|server| name == format!("runner-{server}")).unwrap()
@@ -29,7 +29,7 @@
     world.ledger.get(work).unwrap().submissions[submission].outcome.clone()
 }
 
-/// A key that is bound, though its entry died before it sent anything under it.
+/// Binds a key and kills its entry before anything is sent under the key.
 async fn bound_unused(world: &mut World) -> usize {
     world.kv.set_delay(Duration::from_millis(200));
     let work = world.ask_with_key(0, Bytes::from_static(BODY), TIMEOUT_MS);
@@ -51,8 +51,8 @@
     outcome
 }
 
-// A key is bound to an agent that is told to leave before anything is sent under the key. It
-// refuses each resend, and the payout is never made although other backend servers have room.
+// Guards against work that never runs: its key is bound to an agent that begins to leave before
+// anything is sent under the key, and refuses each resend although other backend servers are free.
 #[tokio::test(start_paused = true)]
 async fn resend_home_leaving_runs_elsewhere() {
     let mut world = World::start(None).await;
@@ -65,7 +65,8 @@
     assert_eq!(world.servers.started(BODY), 1);
 }
 
-// The agent has ended as planned. Its archive says that it never ran the work.
+// Guards against the same after the agent has shut down gracefully: its archive shows that it never
+// ran the work.
 #[tokio::test(start_paused = true)]
 async fn resend_home_stopped_unused_runs_elsewhere() {
     let mut world = World::start(None).await;
@@ -76,8 +77,8 @@
     assert_eq!(world.servers.started(BODY), 1);
 }
 
-// A ticket that nothing was sent under, whose agent ended as planned: its caller is told "not run"
-// and may take another.
+// Guards against "unknown" for an unused ticket whose agent shut down gracefully. Its caller must
+// get "not run" and may request another ticket.
 #[tokio::test(start_paused = true)]
 async fn resend_ticket_home_stopped_unused_not_run() {
     let mut world = World::start(None).await;
@@ -90,7 +91,8 @@
     assert_eq!(world.servers.started(BODY), 0);
 }
 
-// The agent was killed. It may have run the work, or not: nobody can know, so it runs nowhere else.
+// Guards against a second run after the agent was killed: whether it ran the work is unknown, so
+// the work must not run elsewhere.
 #[tokio::test(start_paused = true)]
 async fn resend_home_killed_unknown() {
     let mut world = World::start(None).await;
@@ -103,7 +105,8 @@
     assert_eq!(world.servers.started(BODY), 0);
 }
 
-// The agent ended as planned, but its archive could not be written. What is absent proves nothing.
+// Guards against taking a missing archive for proof that the work did not run: the agent shut down
+// gracefully, but its archive could not be written.
 #[tokio::test(start_paused = true)]
 async fn resend_home_stopped_unarchived_unknown() {
     let mut world = World::start(None).await;
@@ -116,8 +119,8 @@
     assert_eq!(world.servers.started(BODY), 0);
 }
 
-// The backend server of the key's home is down, so the call goes to another. The network brings a
-// copy of the first dispatch when the first backend server is up again.
+// Guards against a second run by a duplicate of the first dispatch: the home's backend server is
+// down, so the call runs on another, and the duplicate arrives when the first is up again.
 #[tokio::test(start_paused = true)]
 async fn late_copy_after_rebinding_does_not_run() {
     let mut world = World::start(None).await;
@@ -135,7 +138,7 @@
     assert_eq!(world.servers.started(BODY), 1);
 }
 
-// Two resends through two entries find the home leaving at the same moment.
+// Guards against two runs when two entries rebind a key of a leaving home at the same time.
 #[tokio::test(start_paused = true)]
 async fn two_entries_rebind_at_once_one_run() {
     let mut world = World::start(None).await;
@@ -152,7 +155,8 @@
     assert_eq!(world.servers.started(BODY), 1);
 }
 
-// The answer of the write that binds the key anew is lost, before or after its effect.
+// Guards against a second run or no run when the answer to the rebinding write is lost, before or
+// after its effect.
 #[tokio::test(start_paused = true)]
 async fn rebind_answer_lost_one_run() {
     for lost in [LostAnswer::BeforeEffect, LostAnswer::AfterEffect] {
@@ -173,8 +177,9 @@
     }
 }
 
-// The entry that binds the key anew dies at any moment: before the old home's tombstone, between it
-// and the write, while the write is on its way, or after it. The next resend must run the payout.
+// Guards against a lost or repeated run when the rebinding entry dies: before the old home's
+// tombstone, between it and the write, while the write is in flight, or after it. The next resend
+// must run the work exactly once.
 #[tokio::test(start_paused = true)]
 async fn rebinding_entry_killed_at_each_step_one_run() {
     const STEP: Duration = Duration::from_millis(25);
--- a/crates/proof/tests/resume.rs
+++ b/crates/proof/tests/resume.rs
@@ -1,4 +1,4 @@
-//! Answers whose agent process is replaced half-way.
+//! Answers whose agent process is replaced while they are transferred.
 
 use bytes::Bytes;
 use flamingowheel_proof::caller::CallOutcome;
@@ -14,15 +14,15 @@
     Bytes::from(body.to_string())
 }
 
-/// The agent in front of the engine that runs this body.
+/// Index of the agent whose engine runs this body.
 fn agent_of(world: &World, body: &[u8]) -> usize {
     let runs = |engine: usize| world.servers.engines[engine].runs_of_body(body).started;
     SERVICES + (0..ENGINES).find(|engine| runs(*engine) > 0).expect("nothing runs")
 }
 
-// The agent process is replaced while an answer that is not streamed comes in. An engine counts
-// events, not pieces of a body, so asking it to go on would bring the whole answer once more, and
-// the caller would get one and a half answers that look like a whole one.
+// Guards against a corrupt answer that looks complete: the agent is replaced during an answer that
+// is not streamed. An engine counts events, not body pieces, so a resume would deliver the whole
+// answer again after the first part.
 #[tokio::test(start_paused = true)]
 async fn ask_json_agent_replaced_in_body() {
     let mut world = World::start(None).await;
@@ -38,7 +38,8 @@
     assert!(matches!(outcome, CallOutcome::Unknown(_)), "{outcome:?}");
 }
 
-// The same with a stream: the engine goes on from the event that the caller lacks.
+// Guards against a failed stream when the agent is replaced: the engine must resume from the first
+// event that the caller lacks.
 #[tokio::test(start_paused = true)]
 async fn ask_stream_agent_replaced() {
     let mut world = World::start(None).await;
--- a/crates/proof/tests/stop.rs
+++ b/crates/proof/tests/stop.rs
@@ -1,4 +1,4 @@
-//! Work orders whose agent process ends, as planned or not, before the caller resends.
+//! Non-idempotent calls whose agent shuts down gracefully or is killed before the caller resends.
 
 use bytes::Bytes;
 use flamingowheel_proof::backend::Lifecycle;
@@ -9,11 +9,11 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// Longer than a planned stop with nothing in progress may take, and shorter than patience.
+/// Limit for a graceful shutdown with no work in progress; shorter than the caller's timeout.
 const STOP_LIMIT: Duration = Duration::from_secs(4);
 const TIMEOUT_MS: u64 = 5_000;
 
-/// A finished work order under a ticket, and the server that ran it.
+/// Finishes an order under a ticket; returns its work and the backend server that ran it.
 async fn finished_order(world: &mut World, body: &'static str) -> (usize, usize) {
     let work = world.ask_with_ticket(0, Bytes::from_static(body.as_bytes()), TIMEOUT_MS).await;
     let work = work.unwrap();
@@ -32,16 +32,15 @@
     world.ledger.get(work).unwrap().submissions[submission].outcome.clone()
 }
 
-/// Resends at the other entry and waits for what it is told.
+/// Resends at the other entry and returns the outcome.
 async fn resend_outcome(world: &mut World, work: usize) -> CallOutcome {
     world.resend(1, work, TIMEOUT_MS);
     world.settle().await.unwrap();
     outcome(world, work, 1)
 }
 
-// A VM is replaced as planned right after a work order ended, and the caller, whose own connection
-// was lost, resends it. The answer was known all the time, so the caller must not be told that
-// nobody can know.
+// Guards against "unknown" for a resend after a planned VM replacement: the order had finished, and
+// its answer is in the archive.
 #[tokio::test(start_paused = true)]
 async fn resend_after_planned_stop_same_answer() {
     let mut world = World::start(None).await;
@@ -52,7 +51,7 @@
     assert_eq!(world.servers.started(b"payout 5"), 1);
 }
 
-// The same while no new process has come in the old one's place.
+// Guards against the same while the agent has no replacement yet.
 #[tokio::test(start_paused = true)]
 async fn resend_after_planned_stop_home_unreachable() {
     let mut world = World::start(None).await;
@@ -65,8 +64,8 @@
     assert_eq!(world.servers.started(b"payout 6"), 1);
 }
 
-// A program reuses a ticket for another work order after the stop. The old answer must not pass
-// for an answer to the new work.
+// Guards against returning the archived answer for other work when a caller reuses a ticket with
+// another body.
 #[tokio::test(start_paused = true)]
 async fn other_body_after_planned_stop_stays_unknown() {
     let mut world = World::start(None).await;
@@ -82,7 +81,8 @@
     assert_eq!(world.servers.started(b"box 18"), 0);
 }
 
-// The process is killed: nothing is archived, and the resend is told "unknown" and does not run.
+// Guards against a second run after the agent was killed: nothing is archived, so the resend must
+// get "unknown".
 #[tokio::test(start_paused = true)]
 async fn resend_after_kill_stays_unknown() {
     let mut world = World::start(None).await;
@@ -94,8 +94,8 @@
     assert_eq!(world.servers.started(b"payout 7"), 1);
 }
 
-// The key-value service refuses connections, or takes calls and never answers, while an agent
-// stops. The stop must end all the same; only the better answer is lost.
+// Guards against a shutdown that hangs while the key-value service refuses connections or never
+// answers. Only the archived answer may be lost.
 #[tokio::test(start_paused = true)]
 async fn planned_stop_service_down_ends() {
     for silent in [false, true] {
@@ -117,8 +117,8 @@
     }
 }
 
-// The key-value service goes silent after the stop. Looking the answer up must not hold the caller
-// for longer than a second beyond what it waits today.
+// Guards against a caller that waits long for "unknown" when the key-value service goes silent
+// after the shutdown. The archive lookup may add at most one second.
 #[tokio::test(start_paused = true)]
 async fn resend_service_silent_told_unknown_soon() {
     let mut world = World::start(None).await;
@@ -133,8 +133,8 @@
     assert!(matches!(outcome(&world, work, 1), CallOutcome::Unknown(_)));
 }
 
-// Hundreds of agents may leave in one roll-out. Each must cost the service's rate a few calls, not
-// one for every answer.
+// Guards against overload of the key-value service when hundreds of agents leave in one roll-out:
+// each may make only a few calls, not one per answer.
 #[tokio::test(start_paused = true)]
 async fn planned_stop_few_calls() {
     const ORDERS: usize = 600;
--- a/crates/proof/tests/stream.rs
+++ b/crates/proof/tests/stream.rs
@@ -1,4 +1,4 @@
-//! Event streams that outlive the entry that began them.
+//! Event streams that are resumed at another entry.
 
 use axum::body::Body;
 use axum::response::Response;
@@ -58,8 +58,8 @@
     whole_stream(body.as_bytes(), 0).into_iter().enumerate().map(number).collect()
 }
 
-// The VM of the entry that streams an answer disappears. The caller asks another entry with the id
-// of the last event it has, and must get exactly the rest: no event missing, none twice.
+// Guards against missing or repeated events when the entry that streams an answer is killed and the
+// caller resumes at another entry with the id of its last event.
 #[tokio::test(start_paused = true)]
 async fn resume_entry_killed() {
     let mut world = World::start(None).await;
@@ -73,8 +73,8 @@
     assert_eq!(events, expected(&body));
 }
 
-// The caller's connection dies without a word; the entry that streams does not notice yet. The
-// caller goes on at another entry, and the first one's late cancel must not cut that off.
+// Guards against a resumed stream that the first entry cancels: it notices the caller's dead
+// connection only after the caller has resumed at another entry.
 #[tokio::test(start_paused = true)]
 async fn resume_while_first_entry_still_streams() {
     let world = World::start(None).await;
@@ -88,8 +88,8 @@
     assert_eq!(events, expected(&body));
 }
 
-// The caller comes back long after its stream was given up. It must be told that nobody can know,
-// not be given a stream that ends early.
+// Guards against a truncated stream when the caller resumes long after its stream was dropped. It
+// must get "unknown".
 #[tokio::test(start_paused = true)]
 async fn resume_too_late() {
     let mut world = World::start(None).await;
