--- a/crates/gateway/src/feed/groups.rs
+++ b/crates/gateway/src/feed/groups.rs
@@ -127,7 +127,8 @@
     loop {
         match connect::<AgentRequest, RankUpdate>(agent, &identity).await {
             Ok(mut link) => {
-                let subscribed = link.sender.send(AgentRequest::Tell(Subscription::Group)).await;
+                let subscribed =
+                    link.sender.send(AgentRequest::Subscribe(Subscription::Group)).await;
                 while let (Ok(()), Some(update)) = (&subscribed, link.receiver.recv().await) {
                     if let RankUpdate::Group(status) = update {
                         merge_status(&statuses, TimedStatus::arrived(status));
--- a/crates/policy/benches/model/limits.rs
+++ b/crates/policy/benches/model/limits.rs
@@ -19,8 +19,10 @@
     pub load: f64,
     /// Number of entries that get the whole load at a time; they change every 20 s.
     pub busy: u64,
-    pub loss: f64,
-    pub delay: Duration,
+    /// Share of messages that are lost.
+    pub message_loss: f64,
+    /// Longest delay of a message; each is delayed by a random part of it.
+    pub message_delay: Duration,
 }
 
 pub struct LimitsFigures {
@@ -71,8 +73,8 @@
         worst = worst.max(excess);
         let mut send = |message: Sent| {
             sent += 1.0;
-            let delay = config.delay.mul_f64(rng.random());
-            let is_lost = rng.random::<f64>() < config.loss;
+            let delay = config.message_delay.mul_f64(rng.random());
+            let is_lost = rng.random::<f64>() < config.message_loss;
             (!is_lost).then_some((message.0 + delay, message.1, message.2, message.3))
         };
         for (member, key) in members.iter_mut().zip(&keys) {
--- a/crates/policy/src/subset.rs
+++ b/crates/policy/src/subset.rs
@@ -272,8 +272,8 @@
     }
 
     fn subset_size(&self, rate_per_s: f64) -> usize {
-        let wanted = (rate_per_s / self.config.rate_per_entry_per_s).ceil();
-        (wanted as usize).max(self.config.min_subset)
+        let size = (rate_per_s / self.config.rate_per_entry_per_s).ceil();
+        (size as usize).max(self.config.min_subset)
     }
 
     /// Sorts entries by weighted rendezvous hashing, the highest score first.
@@ -284,8 +284,9 @@
 
     fn assign_entries(&mut self) {
         let mut scopes = std::mem::take(&mut self.scopes);
-        let wanted: usize = scopes.values().flatten().map(|cell| self.wanted_entries(cell)).sum();
-        let mean = wanted.div_ceil(self.entries.len().max(1));
+        let target_count: usize =
+            scopes.values().flatten().map(|cell| self.target_entries(cell)).sum();
+        let mean = target_count.div_ceil(self.entries.len().max(1));
         let mut capacity: HashMap<EntryKey, usize> =
             self.entries.keys().map(|entry| (*entry, mean + MAX_CELLS_ABOVE_MEAN)).collect();
         for cell in scopes.values_mut().flatten() {
@@ -302,7 +303,7 @@
         self.config.uses_all_entries(self.entries.len(), self.fleet)
     }
 
-    fn wanted_entries(&self, cell: &Cell) -> usize {
+    fn target_entries(&self, cell: &Cell) -> usize {
         let by_size = cell.servers.len().div_ceil(self.config.servers_per_entry.max(1));
         if self.uses_all_entries() {
             return self.entries.len();
@@ -318,13 +319,13 @@
         cell: &Cell,
         capacity: &mut HashMap<EntryKey, usize>,
     ) -> Vec<EntryKey> {
-        let wanted = self.wanted_entries(cell);
+        let target_count = self.target_entries(cell);
         let is_local = |entry: &EntryInfo| cell.region.is_none_or(|region| entry.region == region);
         let has_local = self.entries.values().any(is_local);
         let is_near = |entry: &EntryInfo| !has_local || is_local(entry);
-        let mut quota = self.data_centre_quota(wanted, is_near);
-        let mut chosen: Vec<EntryKey> = Vec::with_capacity(wanted);
-        for slot in 0..wanted as u64 {
+        let mut quota = self.data_centre_quota(target_count, is_near);
+        let mut chosen: Vec<EntryKey> = Vec::with_capacity(target_count);
+        for slot in 0..target_count as u64 {
             let seed = mix(cell.id, slot);
             let is_open = |entry: &EntryInfo| {
                 is_near(entry)
@@ -356,7 +357,7 @@
         })
     }
 
-    fn data_centre_quota<F>(&self, wanted: usize, is_near: F) -> HashMap<DataCentreKey, usize>
+    fn data_centre_quota<F>(&self, target_count: usize, is_near: F) -> HashMap<DataCentreKey, usize>
     where
         F: Fn(&EntryInfo) -> bool,
     {
@@ -364,7 +365,7 @@
         for entry in self.entries.values().filter(|entry| is_near(entry)) {
             quota.insert(entry.data_centre, 0);
         }
-        let share = wanted.div_ceil(quota.len().max(1));
+        let share = target_count.div_ceil(quota.len().max(1));
         quota.values_mut().for_each(|left| *left = share);
         quota
     }
--- a/crates/policy/src/suspicion.rs
+++ b/crates/policy/src/suspicion.rs
@@ -1,8 +1,8 @@
 //! Detection of requests that crash the backend servers that run them.
 //!
 //! Every request that was running when a backend server crashed becomes a suspect under its
-//! fingerprint, since resends have new ids. A suspect runs alone, so that a second crash can only
-//! be its own fault: after crashes on two different backend servers it is refused for a period. One
+//! fingerprint, since resends have new ids. A suspect runs alone, so that only it can have caused
+//! a second crash: after crashes on two different backend servers it is refused for a period. One
 //! finished run clears a suspect.
 //!
 //! The record of a fingerprint is a pair of grow-only sets, crashes and cleared crashes, each
--- a/crates/policy/tests/batch.rs
+++ b/crates/policy/tests/batch.rs
@@ -12,6 +12,7 @@
 const STEPS: f64 = 4.0;
 const STEP_MS: f64 = 4.55;
 const PER_SEQUENCE_MS: f64 = 0.905;
+/// Share of the pass time that is proportional to the skew.
 const EXPERT_SHARE: f64 = 0.85;
 /// Events of a stream, one per pass.
 const EVENTS: u32 = 24;
--- a/crates/policy/tests/limits.rs
+++ b/crates/policy/tests/limits.rs
@@ -24,13 +24,15 @@
     rng: ChaCha8Rng,
     members: Vec<WorkspaceLimits>,
     messages: VecDeque<(Duration, EntryKey, EntryKey, Message)>,
-    loss: f64,
-    delay: Duration,
+    /// Share of messages that are lost.
+    message_loss: f64,
+    /// Longest delay of a message; each is delayed by a random part of it.
+    message_delay: Duration,
     now: Duration,
 }
 
 impl Subset {
-    fn new(seed: u64, limits: Limits, loss: f64, delay: Duration) -> Self {
+    fn new(seed: u64, limits: Limits, message_loss: f64, message_delay: Duration) -> Self {
         let keys: Vec<EntryKey> = (0..MEMBERS).map(EntryKey).collect();
         let member = |key: &EntryKey| {
             let config = SplitConfig::default();
@@ -42,8 +44,8 @@
             rng: ChaCha8Rng::seed_from_u64(seed),
             members: keys.iter().map(member).collect(),
             messages: VecDeque::new(),
-            loss,
-            delay,
+            message_loss,
+            message_delay,
             now: Duration::ZERO,
         }
     }
@@ -69,8 +71,8 @@
     }
 
     fn send(&mut self, from: EntryKey, to: EntryKey, message: Message) {
-        if self.rng.random::<f64>() >= self.loss {
-            let delay = self.delay.mul_f64(self.rng.random());
+        if self.rng.random::<f64>() >= self.message_loss {
+            let delay = self.message_delay.mul_f64(self.rng.random());
             self.messages.push_back((self.now + delay, from, to, message));
         }
     }
--- a/crates/policy/tests/suspicion.rs
+++ b/crates/policy/tests/suspicion.rs
@@ -127,8 +127,8 @@
 /// Result of one simulation.
 struct RunResult {
     servers_lost: usize,
-    innocents_refused: usize,
-    innocents_finished: usize,
+    harmless_refused: usize,
+    harmless_finished: usize,
 }
 
 struct Fleet {
@@ -255,15 +255,15 @@
         let copies = fleet.rng.random_range(1..=ENTRIES);
         let entries: Vec<usize> = (0..copies).map(|_| fleet.rng.random_range(0..ENTRIES)).collect();
         fleet.send_concurrently(crasher, true, &entries);
-        if let Some(innocent) = batch.get(round + 1) {
-            match fleet.send_concurrently(*innocent, false, &entries) {
+        if let Some(harmless) = batch.get(round + 1) {
+            match fleet.send_concurrently(*harmless, false, &entries) {
                 Some(_) => finished += 1,
                 None => refused += 1,
             }
         }
     }
     let servers_lost = fleet.lost.len();
-    RunResult { servers_lost, innocents_refused: refused, innocents_finished: finished }
+    RunResult { servers_lost, harmless_refused: refused, harmless_finished: finished }
 }
 
 // One request crashes every backend server that runs it. Its caller resends it repeatedly through
@@ -272,13 +272,13 @@
 // backend server and abort all requests running there.
 #[test]
 fn verdict_crashing_request_resent_two_servers_lost() {
-    let (mut refused, mut innocents) = (0, 0);
+    let (mut refused, mut harmless) = (0, 0);
     for seed in 0..50 {
         let result = run_batch(seed, Duration::from_millis(2));
         assert!(result.servers_lost <= 2, "seed {seed}: {} lost", result.servers_lost);
-        refused += result.innocents_refused;
-        innocents += result.innocents_refused + result.innocents_finished;
+        refused += result.harmless_refused;
+        harmless += result.harmless_refused + result.harmless_finished;
     }
-    assert_eq!(innocents, 50 * (BATCH - 1));
-    assert!(refused * 100 <= innocents, "{refused} of {innocents} innocents refused");
+    assert_eq!(harmless, 50 * (BATCH - 1));
+    assert!(refused * 100 <= harmless, "{refused} of {harmless} harmless requests refused");
 }
--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -59,8 +59,8 @@
     Gone,
 }
 
-/// An agent as entries gossip it, so that each entry can reach every agent without having been
-/// connected to it.
+/// The record of an agent that entries exchange, so that each entry can reach every agent without
+/// having been connected to it before.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AgentRecord {
     /// Name, unique in the fleet.
@@ -84,8 +84,8 @@
     /// Increased by any entry that finds the record outdated; the highest version wins.
     #[serde(rename = "v")]
     pub version: u64,
-    /// `Live`; `Leaving` if the VM list says so; or `Gone`: its VM is not listed and it can't be
-    /// reached.
+    /// `Live`; `Leaving` if the VM list marks its VM as leaving; or `Gone` if its VM is not listed
+    /// and it can't be reached.
     #[serde(rename = "t")]
     pub state: MemberState,
 }
--- a/crates/protocol/src/ranks.rs
+++ b/crates/protocol/src/ranks.rs
@@ -222,7 +222,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AgentRequest {
     /// Send these updates on the connection.
-    Tell(Subscription),
+    #[serde(rename = "Tell")]
+    Subscribe(Subscription),
     /// Sum the expert counts of the agents at these addresses.
     Collect(Packed),
     /// Bring the rank to a target state.
--- a/crates/protocol/src/targets.rs
+++ b/crates/protocol/src/targets.rs
@@ -22,7 +22,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Base {
     /// The map last sent on this connection.
-    Told,
+    #[serde(rename = "Told")]
+    LastSent,
     /// The map that a group starts with.
     First {
         /// Sets of layers.
@@ -220,7 +221,7 @@
     fn decode_map(&self, message: &MapMessage) -> Option<Map> {
         match message {
             MapMessage::Whole(map) => map.unpack(),
-            MapMessage::Changed(Base::Told, changes) => {
+            MapMessage::Changed(Base::LastSent, changes) => {
                 apply_changes(self.0.map.as_ref()?, changes)
             }
             MapMessage::Changed(Base::First { sets, experts, ranks }, changes) => {
@@ -242,7 +243,7 @@
 
 fn encode_map(base: Option<&Map>, map: &Map) -> Option<MapMessage> {
     if let Some(changes) = base.and_then(|base| pack_changes(base, map)) {
-        return Some(MapMessage::Changed(Base::Told, changes));
+        return Some(MapMessage::Changed(Base::LastSent, changes));
     }
     let whole = Packed::pack(map)?;
     let message = match changes_from_first(map) {
--- a/crates/protocol/src/websocket.rs
+++ b/crates/protocol/src/websocket.rs
@@ -60,8 +60,8 @@
         /// The peer's version.
         theirs: u16,
     },
-    /// The peer's tag does not match: it does not know the fleet key.
-    #[error("peer does not know the fleet key")]
+    /// The peer's tag does not match, so the peer uses another fleet key.
+    #[error("peer's tag does not match the fleet key")]
     NotAuthentic,
 }
 
@@ -77,9 +77,8 @@
 }
 
 impl Identity {
-    /// An identity for a deployment that gives its processes no secret. The key is the same
-    /// everywhere and known, so it authenticates nobody: the network is trusted as far as the
-    /// platform isolates it.
+    /// An identity for a deployment whose processes share no secret. The key is a constant, so a
+    /// peer is not authenticated: security depends on the platform's isolation of the network.
     ///
     /// ```
     /// use flamingowheel_protocol::{link::Timing, message::Role, websocket::Identity};
--- a/crates/ranks/src/agent.rs
+++ b/crates/ranks/src/agent.rs
@@ -37,7 +37,7 @@
             tokio::select! {
                 request = link.receiver.recv() => match request {
                     None => break,
-                    Some(AgentRequest::Tell(asked)) => subscription = asked,
+                    Some(AgentRequest::Subscribe(requested)) => subscription = requested,
                     Some(AgentRequest::Collect(addresses)) => {
                         let Some(addresses) = addresses.unpack::<Vec<SocketAddr>>() else {
                             tracing::warn!("can't decode the addresses to collect from");
--- a/crates/ranks/src/collect.rs
+++ b/crates/ranks/src/collect.rs
@@ -74,7 +74,7 @@
             requests.push(AgentRequest::Collect(packed));
         }
         if self.subscription != sent.0 {
-            requests.push(AgentRequest::Tell(self.subscription));
+            requests.push(AgentRequest::Subscribe(self.subscription));
         }
         requests
     }
@@ -242,7 +242,7 @@
 }
 
 async fn forward_choices(mut link: AgentLink, choices: mpsc::Sender<ExpertCounts>) -> Reconnect {
-    if link.sender.send(AgentRequest::Tell(Subscription::Choices)).await.is_err() {
+    if link.sender.send(AgentRequest::Subscribe(Subscription::Choices)).await.is_err() {
         return Reconnect::Yes;
     }
     while let Some(update) = link.receiver.recv().await {
--- a/crates/ranks/tests/load.rs
+++ b/crates/ranks/tests/load.rs
@@ -129,7 +129,7 @@
     }
 }
 
-/// A collector dies. The choices of its members must reach the coordinator through another one;
+/// A collector fails. The choices of its members must reach the coordinator through another one;
 /// otherwise they are missing from the demand while it is away.
 #[test]
 fn distribute_collector_gone() {
