--- a/crates/proof/src/backend.rs
+++ b/crates/proof/src/backend.rs
@@ -1,4 +1,4 @@
-//! A backend server as seen by an agent process that can be killed or paused.
+//! The connection of an agent process, which can be killed or paused, to its backend server.
 
 use bytes::Bytes;
 use flamingowheel_backing::BoxFuture;
@@ -39,7 +39,7 @@
         self.killed.is_cancelled()
     }
 
-    /// Waits for the kill.
+    /// Waits until the process is killed.
     pub async fn killed(&self) {
         self.killed.cancelled().await;
     }
@@ -54,7 +54,7 @@
         *self.paused.borrow()
     }
 
-    /// Waits for a pause.
+    /// Waits until the process is paused.
     pub async fn paused(&self) {
         let mut paused = self.paused.subscribe();
         let _ = paused.wait_for(|paused| *paused).await;
--- a/crates/proof/src/group/fleet.rs
+++ b/crates/proof/src/group/fleet.rs
@@ -323,8 +323,8 @@
         self.check()?;
         let status: Vec<_> =
             self.processes.iter().map(|process| process.status.borrow().clone()).collect();
-        let has_named_rank = status.iter().any(|status| !status.out_of_service.is_empty());
-        if self.group.step() > before || has_named_rank {
+        let is_rank_reported = status.iter().any(|status| !status.out_of_service.is_empty());
+        if self.group.step() > before || is_rank_reported {
             return Ok(());
         }
         Err(GroupViolation::Stalled { status })
@@ -456,7 +456,7 @@
                 return std::future::pending().await;
             }
             let answer = shared.deliver_with_fault(rank, request).await;
-            // The connection went silent with the answer on its way.
+            // The connection went silent while the answer was in flight.
             match shared.silent_until() == silent_before {
                 true => answer,
                 false => std::future::pending().await,
--- a/crates/proof/tests/prefix.rs
+++ b/crates/proof/tests/prefix.rs
@@ -117,7 +117,7 @@
 }
 
 // Guards against routing by outdated cache contents after an engine lost a cache event. The weight
-// of blocks indexed before must decay to zero.
+// of blocks indexed before must decay to zero; blocks stored afterwards have full weight.
 #[tokio::test(start_paused = true)]
 async fn cache_event_lost_index_decays() {
     let world = World::start(None).await;
