--- a/crates/agent/src/control/attempts.rs
+++ b/crates/agent/src/control/attempts.rs
@@ -59,7 +59,8 @@
     }
 
     /// Refuses an attempt, and its ticket if that is voided, as "not run". Tombstones are needed
-    /// because the dispatch may still be on its way, and would run after the caller was told so.
+    /// because the dispatch may still be on its way, and would run after the caller received that
+    /// outcome.
     fn refuse_all(
         &mut self,
         sender: &mpsc::Sender<AgentMessage>,
--- a/crates/agent/src/control/handle.rs
+++ b/crates/agent/src/control/handle.rs
@@ -85,7 +85,7 @@
     pub backend_up: bool,
 }
 
-/// Handle to a running control task.
+/// Sends commands to an agent's control task and reads its status.
 #[derive(Clone, Debug)]
 pub struct AgentHandle {
     pub(super) commands: mpsc::Sender<Command>,
--- a/crates/agent/src/control/intake.rs
+++ b/crates/agent/src/control/intake.rs
@@ -5,9 +5,9 @@
 use flamingowheel_protocol::message::Refusal;
 
 impl Control {
-    /// Opens or closes admission. When closed, running requests go on, and queued ones are refused
-    /// as "not run", so that another group of the model can run them at once. Heartbeats then
-    /// report the backend server as down, so that entries send no requests here.
+    /// Opens or closes admission. When closed, running requests continue, and queued ones are
+    /// refused as "not run", so that another group of the model can run them at once. Heartbeats
+    /// then report the backend server as down, so that entries send no requests here.
     pub(super) fn set_open(&mut self, open: bool) {
         let closed = !open;
         if std::mem::replace(&mut self.closed, closed) == closed {
--- a/crates/agent/src/control/work.rs
+++ b/crates/agent/src/control/work.rs
@@ -175,7 +175,7 @@
             self.record_suspects();
         }
         if matches!(end, RunEnd::NotStarted) {
-            // Tombstones come first: no late copy may run after callers were told "not run".
+            // Tombstones come first: no late copy may run after callers received "not run".
             self.add_tombstones(key);
             self.finish(key, Ending::NotRun(Refusal::BackendDown));
             self.records.remove_ticket(key);
--- a/crates/agent/src/stored.rs
+++ b/crates/agent/src/stored.rs
@@ -26,7 +26,7 @@
         self.0.fetch_sub(bytes, Ordering::Relaxed);
     }
 
-    /// Returns the bytes kept now.
+    /// The number of bytes currently counted.
     pub fn get(&self) -> usize {
         self.0.load(Ordering::Relaxed)
     }
--- a/crates/agent/tests/agent.rs
+++ b/crates/agent/tests/agent.rs
@@ -22,7 +22,7 @@
 }
 
 // The network delivers a dispatch twice: the first copy is refused because all places are taken,
-// and the second arrives when places are free. The caller was told "not run", so it must not run.
+// and the second arrives when places are free. The caller received "not run", so it must not run.
 #[tokio::test(start_paused = true)]
 async fn dispatch_refused_late_copy_does_not_run() {
     let service = slow_service();
@@ -41,8 +41,8 @@
     assert_eq!(service.executions(b"c"), 0);
 }
 
-// A cancel message arrives before its dispatch, and the caller is told "not run". The late dispatch
-// must be refused.
+// A cancel message arrives before its dispatch, and the caller receives "not run". The late
+// dispatch must be refused.
 #[tokio::test(start_paused = true)]
 async fn cancel_overtakes_dispatch() {
     let service = FakeService::new(1);
@@ -375,7 +375,7 @@
 }
 
 // A ticket is queued, its entry dies, and the ticket is voided. A late copy of its dispatch arrives
-// when there is room again. The caller was told "not run", so it must not run.
+// when there is room again. The caller received "not run", so it must not run.
 #[tokio::test(start_paused = true)]
 async fn void_waiting_ticket_late_copy_does_not_run() {
     let service = slow_service();
--- a/crates/gateway/src/connection.rs
+++ b/crates/gateway/src/connection.rs
@@ -114,8 +114,8 @@
 }
 
 /// Makes closing reset the connection, so that an abandoned request is not delivered any more.
-/// After a regular close, the kernel would go on sending data that a stalled VM has not accepted
-/// yet, and the server would receive a request whose caller has long left.
+/// After a regular close, the kernel would continue to send data that a stalled VM has not accepted
+/// yet, and the server would receive a request seconds after its caller gave up.
 fn enable_reset_on_close(stream: &TcpStream) {
     if let Err(error) = SockRef::from(stream).set_linger(Some(Duration::ZERO)) {
         tracing::debug!(%error, "can't make the connection reset on close");
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -26,10 +26,10 @@
 const RESEND_PAUSE: Duration = Duration::from_millis(150);
 
 /// A caller whose remaining time is shorter than the route's time limit by more than this share has
-/// probably been refused before: callers give a first attempt the whole time.
+/// probably been refused before: callers give a first attempt the full time limit.
 const CALLER_RETRY_SHORTFALL: f64 = 0.01;
 
-/// A caller's request with its whole body, and the configuration that applies to it.
+/// A caller's request with its complete body, and the configuration that applies to it.
 #[derive(Debug)]
 pub struct Exchange {
     /// When the request's head arrived.
@@ -44,13 +44,13 @@
     pub service: String,
     /// The workspace of the caller's API key; `None` if no key is required and none matched.
     pub workspace: Option<Arc<Workspace>>,
-    /// The method.
+    /// The request's HTTP method.
     pub method: Method,
     /// The path and query.
     pub uri: Uri,
     /// The caller's headers, unmodified.
     pub headers: HeaderMap,
-    /// The body.
+    /// The request body, resent with each attempt.
     pub body: Bytes,
 }
 
@@ -64,10 +64,11 @@
         }
     }
 
-    /// Whether this seems to be a retry after a refusal: part of the caller's time has passed.
+    /// Whether this seems to be a caller's retry after a refusal: its remaining time is below the
+    /// route's time limit by more than `CALLER_RETRY_SHORTFALL`.
     pub fn is_caller_retry(&self) -> bool {
-        let whole_ms = self.route.timeout_ms as f64;
-        let least_ms = whole_ms * (1.0 - CALLER_RETRY_SHORTFALL);
+        let full_ms = self.route.timeout_ms as f64;
+        let least_ms = full_ms * (1.0 - CALLER_RETRY_SHORTFALL);
         self.head.deadline_ms.is_some_and(|left_ms| (left_ms as f64) < least_ms)
     }
 
--- a/crates/gateway/src/feed/follower.rs
+++ b/crates/gateway/src/feed/follower.rs
@@ -29,12 +29,12 @@
 /// have to come over a slow link.
 const MAX_START_READ_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Follows the store while this entry is told to.
+/// Follows the store while `should_follow` is true.
 #[derive(Debug)]
 pub struct StoreFollower<K> {
     store: K,
     mirror: Arc<Mirror>,
-    /// Whether this entry is to follow the store.
+    /// Set by [`crate::feed::reader::Reader`].
     should_follow: watch::Receiver<bool>,
     failures: u32,
 }
@@ -43,12 +43,12 @@
 where
     K: KeyValue,
 {
-    /// Creates a follower that is idle until told to follow.
+    /// Creates a follower that is idle until `should_follow` is true.
     pub fn new(store: K, mirror: Arc<Mirror>, should_follow: watch::Receiver<bool>) -> Self {
         Self { store, mirror, should_follow, failures: 0 }
     }
 
-    /// Follows the store whenever told to, until dropped.
+    /// Follows the store whenever `should_follow` is true, until dropped.
     pub async fn run(mut self) {
         self.read_first().await;
         loop {
@@ -70,7 +70,7 @@
     }
 
     /// Reads the store after the start of the process. The read may be stale, at a tenth of the
-    /// price: all processes may start at the same time, and data that is some seconds old is enough
+    /// cost: all processes may start at the same time, and data that is some seconds old is enough
     /// to find the sources for the rest.
     async fn read_first(&self) {
         let mut limit = START_READ_INTERVAL;
--- a/crates/gateway/src/feed/groups.rs
+++ b/crates/gateway/src/feed/groups.rs
@@ -23,7 +23,7 @@
 /// A group's status with a local timestamp.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TimedStatus {
-    /// The status.
+    /// The status as its coordinator reported it.
     pub status: GroupStatus,
     /// When the status was taken, on this process's clock.
     pub taken_at: Instant,
--- a/crates/gateway/src/feed/isolation.rs
+++ b/crates/gateway/src/feed/isolation.rs
@@ -12,13 +12,14 @@
 /// Shortest time for which an isolated entry follows the store.
 const MIN_FOLLOW_TIME: Duration = Duration::from_secs(2);
 
-/// Whether an entry is isolated, that is without a fresh source, and what it does about it.
+/// Whether an entry is isolated, that is without a fresh source, and whether it follows the store
+/// because of that.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Isolation {
     /// At least one source is fresh.
     Connected,
-    /// No source is fresh. The entry waits: another source may be, or another entry may start to
-    /// follow.
+    /// No source is fresh. The entry waits for a fresh one to be found, or for another entry to
+    /// follow the store.
     Waiting {
         /// When this entry starts to follow the store.
         until: Instant,
--- a/crates/gateway/src/feed/mirror.rs
+++ b/crates/gateway/src/feed/mirror.rs
@@ -231,8 +231,7 @@
 
 impl State {
     fn set(&mut self, key: String, revision: u64, value: Option<Bytes>) {
-        // A key that is absent had been deleted, as far as writes up to the known revision are
-        // concerned.
+        // An absent key counts as deleted at the copy's revision.
         let known_revision =
             self.keys.get(&key).map_or(self.revision, |(known_revision, _)| *known_revision);
         if revision <= known_revision {
--- a/crates/gateway/src/feed/reader.rs
+++ b/crates/gateway/src/feed/reader.rs
@@ -39,8 +39,8 @@
 /// Time between two choices of random entries.
 const RANDOM_SOURCES_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time after a start during which the list of entries is not acted on: all entries may have
-/// started together, and each of the first to be listed would consider itself a follower.
+/// Time after a start during which the list of entries is ignored: all entries may have started
+/// together, and each of the first to be listed would consider itself a follower.
 const STARTUP_DELAY: Duration = Duration::from_millis(1_000);
 
 /// Time without a status of groups after which another source is asked for it.
@@ -231,8 +231,8 @@
         }
     }
 
-    /// Has one source, the first that responds, send the statuses of groups. Followers get them
-    /// from the coordinators.
+    /// Requests the statuses of groups from one source, the first connected one in the order of
+    /// preference. Followers get them from the coordinators instead.
     fn request_statuses(&mut self) {
         let now = Instant::now();
         let is_needed = !*self.follows.borrow();
@@ -339,8 +339,8 @@
         }
     }
 
-    /// Decides whether this entry follows the store itself: because it is a follower for all, or
-    /// because it is isolated.
+    /// Decides whether this entry follows the store itself: because it is one of the fleet's
+    /// followers, or because it is isolated.
     fn update_follows(&mut self) {
         let now = Instant::now();
         let is_settled = now - self.started_at > STARTUP_DELAY;
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -39,7 +39,7 @@
 /// A request sent to a backend server, with the head of its answer.
 #[derive(Debug)]
 pub struct SentRequest {
-    /// The answer; its body is still to be read.
+    /// The answer, with its body unread.
     pub response: Response<Incoming>,
     /// Fields parsed from the answer's headers.
     pub answer: AnswerHead,
@@ -287,8 +287,8 @@
                 let id = &exchange.head.attempt_id;
                 let answer = headers::parse_answer(response.headers(), response.status(), id);
                 if !answer.is_for_attempt {
-                    // A second answer to an earlier request; what follows on this connection can't
-                    // be attributed either.
+                    // A second answer to an earlier request; later answers on this connection can't
+                    // be matched to requests either.
                     tracing::warn!(
                         request = id,
                         server = server.listed.id,
@@ -467,7 +467,7 @@
     let pause_goal_ms = exchange.route.pause_goal_ms as f64;
     let is_caller_retry = exchange.is_caller_retry();
     let pass_limit_ms = passes::limit_ms(pause_goal_ms, is_caller_retry, draw);
-    // A caller that retries as told has priority over one with a first attempt.
+    // A caller's retry has priority over a first attempt.
     let draw = if is_caller_retry { 1.0 } else { draw };
     (pause_goal_ms > 0.0).then_some(Admission { pass_limit_ms, pause_goal_ms, draw })
 }
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -21,7 +21,7 @@
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Idle time after which a connection is closed, as a multiple of the configured limit. Callers may
-/// use the limit of an earlier version for a while, and would lose a request sent while the
+/// use the limit of an earlier configuration for a while, and would lose a request sent while the
 /// connection closes.
 const IDLE_TIMEOUT_FACTOR: f64 = 1.5;
 
--- a/crates/gateway/src/group.rs
+++ b/crates/gateway/src/group.rs
@@ -56,9 +56,9 @@
 /// Requests running or queued at a rank, as reported by its group's coordinator.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RankReport {
-    /// Number of requests.
+    /// Running and queued requests at the rank.
     pub requests: u32,
-    /// When the number was taken.
+    /// When the coordinator counted them, on this process's clock.
     pub taken_at: Instant,
 }
 
@@ -104,9 +104,9 @@
 /// A rank of a group, as needed to choose a server.
 #[derive(Clone, Debug)]
 pub struct GroupRank {
-    /// The group's load.
+    /// Load of the rank's group, shared by all its ranks.
     pub group: Arc<GroupLoad>,
-    /// The rank.
+    /// Index of the rank in its group.
     pub rank: usize,
     /// The rank's pass time relative to the engine's published parameters; above 1 if it is slower.
     pub pace: f64,
@@ -251,7 +251,7 @@
 pub struct GroupInFlight(Arc<GroupLoad>);
 
 impl GroupInFlight {
-    /// The group.
+    /// The group in which the request is counted.
     pub fn group(&self) -> &Arc<GroupLoad> {
         &self.0
     }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,8 +1,9 @@
 //! The entry of a platform deployment: accepts callers' requests, forwards each to a backend server
 //! and relays the answer.
 //!
-//! The control thread learns from the key-value store and publishes immutable [`view::View`]s. The
-//! traffic threads serve requests and read the newest view without a lock.
+//! The control thread reads the key-value store, directly or through other entries, and publishes
+//! immutable [`view::View`]s. The traffic threads serve requests and read the newest view without a
+//! lock.
 
 pub mod balance;
 pub mod breaker;
--- a/crates/gateway/src/process.rs
+++ b/crates/gateway/src/process.rs
@@ -108,7 +108,8 @@
     Ok(())
 }
 
-/// Starts the tasks that learn from the store and from other entries and serve other entries.
+/// Starts the tasks that update the mirror from the store and from other entries, publish views and
+/// serve the mirror to other entries.
 async fn start_feed(
     settings: &ProcessSettings,
     address: SocketAddr,
--- a/crates/gateway/src/refusal.rs
+++ b/crates/gateway/src/refusal.rs
@@ -6,8 +6,9 @@
 /// Default time after which a refused caller should retry, in milliseconds.
 const RETRY_AFTER_MS: u64 = 250;
 
-/// The same for a process that started while the store can't be reached, at the least and at the
-/// most. A shorter time would bring callers back to the same state, and most callers retry once.
+/// Shortest and longest time, in milliseconds, after which a caller should retry that was refused
+/// by a process started while the store can't be reached. A shorter time would bring callers back
+/// to the same state, and most callers retry once.
 const STORE_OUTAGE_RETRY_AFTER_MS: (u64, u64) = (1_500, 2_500);
 
 /// Time within which a new process usually learns the configuration if the store answers.
@@ -45,20 +46,21 @@
 }
 
 impl Refusal {
-    /// The refusal of a process without a configuration, `running` being its uptime. `draw`, a
-    /// random number between 0 and 1, spreads callers that are refused at the same time.
+    /// The refusal of a process without a configuration, where `uptime` is the time since its
+    /// start. `draw`, a random number between 0 and 1, spreads callers that are refused at the same
+    /// time.
     ///
     /// ```
     /// use flamingowheel_gateway::refusal::Refusal;
     /// use std::time::Duration;
     /// let (new, old) = (Duration::from_millis(100), Duration::from_secs(2));
-    /// let wait_ms = |running| Refusal::no_configuration(running, 0.5).retry_after_ms().unwrap();
+    /// let wait_ms = |uptime| Refusal::no_configuration(uptime, 0.5).retry_after_ms().unwrap();
     /// assert!(wait_ms(new) < wait_ms(old));
     /// ```
-    pub fn no_configuration(running: Duration, draw: f64) -> Self {
+    pub fn no_configuration(uptime: Duration, draw: f64) -> Self {
         let (least, most) = STORE_OUTAGE_RETRY_AFTER_MS;
         let spread_ms = ((most - least) as f64 * draw) as u64;
-        let is_usual = running < USUAL_START_TIME;
+        let is_usual = uptime < USUAL_START_TIME;
         let retry_after_ms = if is_usual { RETRY_AFTER_MS } else { least + spread_ms };
         Self::NoConfiguration { retry_after_ms }
     }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -18,7 +18,7 @@
 use tokio::time::{Instant, timeout_at};
 
 /// A stream that can't be completed. The connection to the caller is closed, so that the caller
-/// does not mistake the part for the whole.
+/// does not take a truncated answer for a complete one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("answer truncated: no backend server could complete it")]
 pub struct Truncated;
@@ -26,7 +26,7 @@
 /// The body of an answer to a caller.
 pub type AnswerBody = UnsyncBoxBody<Bytes, Truncated>;
 
-/// A body from bytes that are all known.
+/// A body that consists of these bytes.
 pub fn full_body(bytes: Bytes) -> AnswerBody {
     Full::new(bytes).map_err(|never| match never {}).boxed_unsync()
 }
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -34,7 +34,8 @@
 /// group under load.
 const MIN_SILENCE: Duration = Duration::from_millis(600);
 
-/// The same as a multiple of the server's mean latency, for servers that are slow by nature.
+/// The same as a multiple of the server's mean latency, for servers whose answers usually take
+/// long.
 const SILENCE_LATENCY_FACTOR: f64 = 3.0;
 
 /// Largest number of doublings: 150 ms grows to 2.4 s, well below the time for which a failed
@@ -257,12 +258,12 @@
 }
 
 impl InFlight {
-    /// The server's rank group.
+    /// The rank group in which the request is counted; `None` for a server without one.
     pub fn group(&self) -> Option<&Arc<GroupLoad>> {
         self.in_group.as_ref().map(GroupInFlight::group)
     }
 
-    /// The server.
+    /// The server to which the request was sent.
     pub fn server(&self) -> &Arc<Server> {
         &self.server
     }
--- a/crates/gateway/src/silence.rs
+++ b/crates/gateway/src/silence.rs
@@ -1,8 +1,8 @@
-//! Detects a backend server that has stalled while its rank group goes on.
+//! Detects a backend server that has stalled while its rank group continues to run passes.
 //!
 //! The VM beside an engine may stall: its connections stay open but deliver nothing, while the
-//! group's passes go on. Callers give up after two seconds, although another server could serve
-//! them in a fraction of that.
+//! group continues to run passes. Callers give up after two seconds, although another server could
+//! serve them in a fraction of that.
 
 use crate::group::GroupLoad;
 use crate::server::Server;
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// Time between checks.
+/// Time between checks whether a wait is overdue.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Time without an event of a stream in progress after which its server is checked: several passes.
@@ -38,14 +38,13 @@
         Self { views, server, group }
     }
 
-    /// Resolves once the head of the answer is overdue and the group goes on without the server.
+    /// Resolves once the head of the answer is overdue while the group continues to run passes.
     pub async fn head_overdue(&self, sent_at: Instant) {
         sleep_until(sent_at + REPORTED_HEAD_LIMIT).await;
         self.poll_until(|now| self.is_head_overdue(now - sent_at, now)).await;
     }
 
-    /// Resolves once the next event of a stream is overdue and the group goes on without the
-    /// server.
+    /// Resolves once the next event of a stream is overdue while the group continues to run passes.
     pub async fn event_overdue(&self, last_at: Instant) {
         sleep_until(last_at + EVENT_LIMIT).await;
         self.poll_until(|now| self.is_group_active(now)).await;
--- a/crates/gateway/src/view.rs
+++ b/crates/gateway/src/view.rs
@@ -21,8 +21,8 @@
     pub peers: Option<SocketAddr>,
 }
 
-/// The deployment as last learnt. It is replaced as a whole, so that a request sees one consistent
-/// state.
+/// The deployment as of the newest data from the store. It is replaced as a whole, so that a
+/// request sees one consistent state.
 #[derive(Clone, Debug, Default)]
 pub struct View {
     /// The configuration in force; `None` until the first one is known.
--- a/crates/gateway/tests/feed.rs
+++ b/crates/gateway/tests/feed.rs
@@ -122,7 +122,7 @@
 }
 
 /// More keys were deleted than deletions are kept. An entry that lacks one of the oldest must get
-/// all keys, or that key would stay for good.
+/// all keys, or that key would never be removed.
 #[test]
 fn delta_after_pruned_deletions() {
     let (from, to, now) = (Mirror::default(), Mirror::default(), Instant::now());
@@ -141,7 +141,8 @@
 }
 
 /// The store is unreachable, and a follower has reported it. Keys that vanish now may belong to
-/// live processes, so an entry that never asked the store must know of the outage.
+/// live processes, so an entry that never called the store must learn the time of the outage from
+/// the delta.
 #[tokio::test(start_paused = true)]
 async fn apply_delta_reports_outage() {
     let (from, to) = (Mirror::default(), Mirror::default());
@@ -171,8 +172,8 @@
     (0..entries).map(start).collect()
 }
 
-/// All followers have died. If every entry followed the store at once, 149 would read everything
-/// and watch, on a store that may itself be in trouble.
+/// All followers have failed. If every entry followed the store at once, 149 would read all keys
+/// and open a watch, while the store may itself be overloaded.
 #[test]
 fn next_all_isolated_few_starts_per_second() {
     let starts = isolated_starts(149);
@@ -182,9 +183,10 @@
     }
 }
 
-/// In a small fleet no other source may be left, so isolated entries must follow soon.
+/// In a small fleet no other source may be left, so isolated entries must start to follow within
+/// 1.4 s.
 #[test]
-fn next_all_isolated_small_fleet_soon() {
+fn next_all_isolated_small_fleet_starts_within_limit() {
     assert!(isolated_starts(6).into_iter().all(|start| start <= Duration::from_millis(1_400)));
 }
 
--- a/crates/gateway/tests/member.rs
+++ b/crates/gateway/tests/member.rs
@@ -10,8 +10,8 @@
 use tokio::time::sleep;
 use tokio_util::sync::CancellationToken;
 
-/// Longest time for which the directory may list an entry that is off; callers may cache an answer
-/// for as long.
+/// Longest time for which the directory may list an entry that has ended; callers may cache an
+/// answer for as long.
 const MAX_LISTED_AFTER_END: Duration = Duration::from_secs(5);
 
 fn announcement(store: &FakeKeyValue) -> Announcement<FakeKeyValue> {
@@ -28,8 +28,8 @@
     !store.range(ENTRIES_PREFIX).await.unwrap().entries.is_empty()
 }
 
-/// An entry's VM loses power for good. With a long lease, renewed rarely to save calls, callers
-/// would be sent to it for seven seconds.
+/// An entry's VM loses power and does not restart. With a long lease, renewed rarely to save calls,
+/// callers would be sent to it for seven seconds.
 #[tokio::test(start_paused = true)]
 async fn run_entry_dead() {
     let store = FakeKeyValue::default();
--- a/crates/gateway/tests/parts.rs
+++ b/crates/gateway/tests/parts.rs
@@ -134,8 +134,8 @@
     assert_eq!(server.listed.id, "s-9001");
 }
 
-/// Every group's streams have long pauses, so a further request would make them miss their goal.
-/// Its caller must be told at once that the request did not run and when to retry.
+/// Every group's streams have long pauses, so a further request would make them miss their goal. It
+/// must be refused at once with a status that means "not run" and a time for the retry.
 #[test]
 fn choose_all_groups_over_limit() {
     let (view, groups) = two_groups();
--- a/crates/gateway/tests/silence.rs
+++ b/crates/gateway/tests/silence.rs
@@ -1,4 +1,4 @@
-//! Detection of servers whose VM has stalled while their group goes on.
+//! Detection of servers whose VM has stalled while their group continues to run passes.
 
 use flamingowheel_fleet::BackendServer;
 use flamingowheel_gateway::connection::Connection;
@@ -82,8 +82,8 @@
     events.abort();
 }
 
-/// A request is queued at a full rank that is alive. Sent to another rank as well, it would add to
-/// the group's load.
+/// A request is queued at a full rank that is alive. If it were also sent to another rank, it would
+/// add to the group's load.
 #[tokio::test(start_paused = true)]
 async fn head_overdue_reported_alive() {
     let Setup { group, silent, other, detector } = setup();
@@ -103,17 +103,17 @@
     reports.abort();
 }
 
-/// A VM stalls in the middle of a stream, and the group's passes go on.
+/// A VM stalls in the middle of a stream, and the group continues to run passes.
 #[tokio::test(start_paused = true)]
-async fn event_overdue_group_goes_on() {
+async fn event_overdue_group_active() {
     let Setup { group, other, detector, .. } = setup();
     let events = tokio::spawn(record_events(group, other));
     assert!(timeout(CALLER_TIMEOUT / 2, detector.event_overdue(Instant::now())).await.is_ok());
     events.abort();
 }
 
-/// A group forms again, and all its streams pause. Resumed elsewhere all at once, they would
-/// overload the remaining groups.
+/// A group forms again, and all its streams pause. If all were resumed elsewhere at once, they
+/// would overload the remaining groups.
 #[tokio::test(start_paused = true)]
 async fn event_overdue_group_stalled() {
     let Setup { group, other, detector, .. } = setup();
--- a/crates/group/src/align.rs
+++ b/crates/group/src/align.rs
@@ -28,19 +28,19 @@
         ranks: Vec<(usize, RankError)>,
         /// Whether the group is stopped until they can be verified.
         held: bool,
-        /// Ranks that answer but don't serve what the record says.
+        /// Ranks that answer but don't serve the record's model version and adapters.
         behind: Vec<usize>,
     },
 }
 
 /// Reads every rank and brings all of them to step with the map in force. A change that was not
 /// committed is rolled back. Returns the latest record along with the result.
-pub async fn align<Members>(
-    session: &Session<'_, Members>,
+pub async fn align<Transport>(
+    session: &Session<'_, Transport>,
     stored: StoredRecord,
 ) -> (StoredRecord, Result<Alignment, GroupError>)
 where
-    Members: Ranks,
+    Transport: Ranks,
 {
     let stored = match roll_back(session, stored).await {
         Ok(stored) => stored,
@@ -94,8 +94,8 @@
 /// Rolls back a change that was not committed. If the record can't be written because the key-value
 /// service is unreachable, the change counts as rolled back: to commit it, another coordinator
 /// would also need the service, and would first raise the fencing number.
-async fn roll_back<Members>(
-    session: &Session<'_, Members>,
+async fn roll_back<Transport>(
+    session: &Session<'_, Transport>,
     stored: StoredRecord,
 ) -> Result<StoredRecord, Box<Failure>> {
     if !matches!(stored.record.phase, Phase::Pending { .. }) {
@@ -104,24 +104,24 @@
     settle(session, &stored).await.map_err(|error| failure(error, &stored))
 }
 
-async fn restore<Members>(
-    session: &Session<'_, Members>,
+async fn restore<Transport>(
+    session: &Session<'_, Transport>,
     stored: StoredRecord,
 ) -> Result<StoredRecord, Box<Failure>>
 where
-    Members: Ranks,
+    Transport: Ranks,
 {
     let held = Switch::recover(session, stored).await?;
     held.switch().await?.read_back().await?.resume().await
 }
 
-async fn hold_unaligned<Members>(
-    session: &Session<'_, Members>,
+async fn hold_unaligned<Transport>(
+    session: &Session<'_, Transport>,
     stored: &StoredRecord,
     states: &[(usize, RankState)],
 ) -> Result<(), GroupError>
 where
-    Members: Ranks,
+    Transport: Ranks,
 {
     let version = stored.record.in_force.version;
     let unaligned = states.iter().filter(|(_, state)| !state.uses(version) && !state.is_stopped());
--- a/crates/group/src/budget/mod.rs
+++ b/crates/group/src/budget/mod.rs
@@ -19,7 +19,8 @@
 /// Time to live of a share, counted from the start of the read that confirmed it.
 pub const SHARE_TTL: Duration = Duration::from_secs(60);
 
-/// Fraction of the rate that is reserved for the minimum of all processes.
+/// Fraction of the rate that is reserved so that every process, listed or not, may use the minimum
+/// rate at any time.
 const RESERVED_FRACTION: f64 = 0.1;
 
 /// The record that allocates the weight store's rate.
@@ -57,10 +58,10 @@
 
     /// Whether a process that first saw this allocation at `first_seen` may replace it.
     ///
-    /// If two changes followed each other quickly, a member could miss the first and go on using a
-    /// share that others consider expired, which would exceed the store's rate. After twice the
-    /// time to live of a share, every member has either read this allocation or lost its earlier
-    /// share.
+    /// If two changes followed each other quickly, a member could miss the first and continue to
+    /// use a share that others consider expired, which would exceed the store's rate. After twice
+    /// the time to live of a share, every member has either read this allocation or lost its
+    /// earlier share.
     pub fn may_be_replaced(first_seen: Instant, now: Instant) -> bool {
         now.duration_since(first_seen) >= SHARE_TTL * 2
     }
--- a/crates/group/src/coordinator.rs
+++ b/crates/group/src/coordinator.rs
@@ -22,18 +22,18 @@
 
 /// Coordinates one group while this process holds the group's lease. Several processes may run one
 /// for the same group; the lease decides which of them acts.
-pub struct Coordinator<Members> {
+pub struct Coordinator<Transport> {
     leases: Leases,
     group: String,
     records: RecordStore,
-    ranks: Members,
+    ranks: Transport,
     timing: Timing,
     desired: watch::Receiver<Option<ExpertMap>>,
     status: watch::Sender<GroupStatus>,
     record: watch::Sender<Option<StoredRecord>>,
     load_limiter: Option<LoadLimiter>,
     unverified_since: BTreeMap<usize, Instant>,
-    /// Ranks that did not serve what the record says at the last poll.
+    /// Ranks that did not serve the record's model version and adapters at the last poll.
     behind: Vec<usize>,
     switch_retries: SwitchRetries,
     /// Backoff of loads of a version that an engine could not load.
@@ -41,15 +41,15 @@
     rollout: Option<Rollout>,
 }
 
-impl<Members> Coordinator<Members>
+impl<Transport> Coordinator<Transport>
 where
-    Members: Ranks,
+    Transport: Ranks,
 {
     /// A coordinator that switches the group to the map in `desired` whenever that changes.
     pub fn new(
         kv: Arc<dyn KeyValue>,
         group: &str,
-        ranks: Members,
+        ranks: Transport,
         timing: Timing,
         desired: watch::Receiver<Option<ExpertMap>>,
     ) -> Self {
@@ -324,13 +324,13 @@
     }
 }
 
-async fn switch_map<Members>(
-    session: &Session<'_, Members>,
+async fn switch_map<Transport>(
+    session: &Session<'_, Transport>,
     stored: StoredRecord,
     map: ExpertMap,
 ) -> Result<StoredRecord, Box<Failure>>
 where
-    Members: Ranks,
+    Transport: Ranks,
 {
     let begun = Switch::begin(session, stored, map).await?;
     let held = begun.stage().await?.hold().await?;
--- a/crates/group/src/gate.rs
+++ b/crates/group/src/gate.rs
@@ -22,7 +22,7 @@
 /// How long a request waits for an earlier one before it fails.
 const QUEUE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Whether an engine checks fencing numbers, as the operator's settings say.
+/// Whether an engine checks fencing numbers; set by the operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EngineKind {
     /// Refuses orders with a number below the highest it has seen.
@@ -213,9 +213,9 @@
     ///
     /// If its answer is lost, the order may wait in the engine's queue and take effect a minute
     /// later, when the group uses another map. An engine that checks fencing numbers then refuses
-    /// it. For one that does not, the order is remembered, and no different order is sent until its
-    /// effect is seen or the engine process is replaced. It is remembered before it is sent, so
-    /// that this also holds if this call is cancelled. Loads are stored in the key-value service as
+    /// it. For one that does not, the order is recorded, and no different order is sent until its
+    /// effect is seen or the engine process is replaced. It is recorded before it is sent, so that
+    /// this also holds if this call is cancelled. Loads are stored in the key-value service as
     /// well, for the next agent if this one dies.
     async fn send(
         &self,
@@ -226,7 +226,7 @@
     ) -> Result<(), RankError> {
         if self.is_stored(target) {
             let load = PendingLoad { target: target.clone(), process_id };
-            self.pending_loads.put(&load).await.map_err(|_| RankError::NotNoted)?;
+            self.pending_loads.put(&load).await.map_err(|_| RankError::NotStored)?;
             // A newer coordinator may have sent a higher number meanwhile.
             if let Err(stale) = self.check_fence(fence) {
                 self.remove_pending_load(target, process_id).await;
@@ -264,8 +264,8 @@
     }
 
     /// Removes the stored copy of an order that can't take effect any more. Left in place, it would
-    /// keep the next agent from sending orders, and entries of ended engine processes would pile
-    /// up.
+    /// keep the next agent from sending orders, and entries of ended engine processes would
+    /// accumulate.
     async fn remove_pending_load(&self, target: &OrderTarget, process_id: u64) {
         if !self.is_stored(target) {
             return;
--- a/crates/group/src/lease.rs
+++ b/crates/group/src/lease.rs
@@ -43,8 +43,8 @@
     ttl: Duration,
     state: Mutex<State>,
     /// Serialises granting the lease and writing and deleting keys. If a deletion overtook a new
-    /// acquisition of the same group, two coordinators would both believe that they hold it, and
-    /// would keep taking it from each other.
+    /// acquisition of the same group, two coordinators would both treat the group as theirs, and
+    /// would supersede each other again and again.
     key_writes: tokio::sync::Mutex<()>,
     /// Held by the group that renews the lease for all groups.
     renewal: tokio::sync::Mutex<()>,
--- a/crates/group/src/message.rs
+++ b/crates/group/src/message.rs
@@ -83,7 +83,7 @@
     /// The request is for another agent process, usually an earlier one.
     #[error("meant for another agent process than {incarnation}")]
     WrongIncarnation {
-        /// The process that answers.
+        /// Identifies the process that answers.
         incarnation: u64,
     },
     /// An earlier order may still take effect, so a different one would not be safe.
@@ -92,7 +92,8 @@
     /// The order was not sent, because it could not be stored in the key-value service for the
     /// agent's successor.
     #[error("the order could not be noted in the key-value service")]
-    NotNoted,
+    #[serde(rename = "not_noted")]
+    NotStored,
     /// The engine can't carry out the order in its present state.
     #[error("engine: {reason}")]
     NotPossible {
--- a/crates/group/src/rollout.rs
+++ b/crates/group/src/rollout.rs
@@ -36,19 +36,19 @@
 
     /// Replaces the target of a rollout in progress if the desired version has changed. An operator
     /// who reverts a bad version would otherwise have to wait until it is loaded.
-    pub(crate) async fn retarget<Members>(
+    pub(crate) async fn retarget<Transport>(
         &mut self,
-        session: &Session<'_, Members>,
+        session: &Session<'_, Transport>,
         stored: StoredRecord,
     ) -> Result<StoredRecord, GroupError>
     where
-        Members: Ranks,
+        Transport: Ranks,
     {
         if stored.record.phase != Phase::Rolling {
             return Ok(stored);
         }
-        // Takes over the lock of this group's earlier coordinator. The rollout goes on even if that
-        // fails.
+        // Takes over the lock of this group's earlier coordinator. The rollout continues even if
+        // that fails.
         self.lock.acquire().await;
         match self.next_target(session, &stored).await {
             Some(next) => Ok(write_target(session, &stored, next).await?.unwrap_or(stored)),
@@ -57,13 +57,13 @@
     }
 
     /// Begins a rollout if one is due. Changes of the model version need the rollout lock.
-    pub(crate) async fn begin<Members>(
+    pub(crate) async fn begin<Transport>(
         &mut self,
-        session: &Session<'_, Members>,
+        session: &Session<'_, Transport>,
         stored: &StoredRecord,
     ) -> Result<Option<StoredRecord>, GroupError>
     where
-        Members: Ranks,
+        Transport: Ranks,
     {
         self.waiting = None;
         let Some(next) = self.next_target(session, stored).await else {
@@ -81,13 +81,13 @@
         write_target(session, stored, next).await
     }
 
-    async fn next_target<Members>(
+    async fn next_target<Transport>(
         &self,
-        session: &Session<'_, Members>,
+        session: &Session<'_, Transport>,
         stored: &StoredRecord,
     ) -> Option<Serving>
     where
-        Members: Ranks,
+        Transport: Ranks,
     {
         let desired = self.desired.borrow().clone()?;
         let record = &stored.record;
@@ -101,13 +101,13 @@
 }
 
 /// Writes the next target into the record; `None` if that is not possible now.
-async fn write_target<Members>(
-    session: &Session<'_, Members>,
+async fn write_target<Transport>(
+    session: &Session<'_, Transport>,
     stored: &StoredRecord,
     next: Serving,
 ) -> Result<Option<StoredRecord>, GroupError>
 where
-    Members: Ranks,
+    Transport: Ranks,
 {
     if !session.lease.may_change() {
         return Ok(None);
--- a/crates/group/src/serve.rs
+++ b/crates/group/src/serve.rs
@@ -19,8 +19,8 @@
     pub adapters: BTreeSet<String>,
 }
 
-/// What the group's record should say next; `None` if it needs no change. `reported_version` is the
-/// one that all ranks report; it is used until operators have named one.
+/// The model version and adapters to write into the group's record; `None` if it needs no change.
+/// `reported_version` is the one that all ranks report; it is used until operators have named one.
 ///
 /// An adapter that is no longer listed stays loaded until the next version: unloading it would
 /// require waiting for the requests that use it.
@@ -88,33 +88,34 @@
     }
 }
 
-/// Progress of the ranks towards what the record says.
+/// Progress of the ranks towards the model version and adapters in the group's record.
 pub(crate) enum Progress {
-    /// All ranks serve it; holds their states.
+    /// All ranks serve them; holds the ranks' states.
     Served(Vec<(usize, RankState)>),
     /// Ranks that have to change their version still have requests in progress.
     Draining(Vec<(usize, IntakeState)>),
 }
 
-/// Ranks that don't serve what the record says.
+/// Ranks that don't serve the model version and adapters in the group's record.
 pub(crate) fn behind(states: &[(usize, RankState)], record: &GroupRecord) -> Vec<usize> {
     let Some(serving) = &record.serving else { return Vec::new() };
     let is_behind = |(_, state): &&(usize, RankState)| !serves(&state.engine, serving);
     states.iter().filter(is_behind).map(|(rank, _)| *rank).collect()
 }
 
-/// Takes the next step to make the ranks serve what the record says.
+/// Takes the next step to make the ranks serve the model version and adapters in the group's
+/// record.
 ///
-/// Ranks that have to change their version first stop admitting requests, and the group steps on
-/// until their requests have ended. Then all ranks are held, so that no step runs with two
+/// Ranks that have to change their version first stop admitting requests, and the group continues
+/// to step until their requests have ended. Then all ranks are held, so that no step runs with two
 /// versions, and stay held until all have been read back.
-pub(crate) async fn advance<Members>(
-    session: &Session<'_, Members>,
+pub(crate) async fn advance<Transport>(
+    session: &Session<'_, Transport>,
     stored: &StoredRecord,
     states: Vec<(usize, RankState)>,
 ) -> Result<Progress, GroupError>
 where
-    Members: Ranks,
+    Transport: Ranks,
 {
     let ranks = behind(&states, &stored.record);
     let Some(serving) = stored.record.serving.as_ref().filter(|_| !ranks.is_empty()) else {
@@ -142,7 +143,7 @@
         .filter(|(rank, _)| ranks.contains(rank))
         .map(|(rank, state)| load(session, stored, *rank, &state.engine, serving));
     join_all(loads).await.into_iter().collect::<Result<Vec<()>, GroupError>>()?;
-    // An order's answer proves nothing: the engine may have crashed since.
+    // The answer to an order does not prove the engine's present state: it may have crashed since.
     let states = session.read_all_or_fail(stored.fence()).await?;
     let states: Vec<(usize, RankState)> = states.into_iter().enumerate().collect();
     match behind(&states, &stored.record).first() {
@@ -157,13 +158,13 @@
 /// Closes the ranks' intakes and returns the ranks that still have requests. Ranks that were
 /// started held and have no map don't count: they have run no step, and their requests can't end
 /// before the group is resumed.
-async fn drain<Members>(
-    session: &Session<'_, Members>,
+async fn drain<Transport>(
+    session: &Session<'_, Transport>,
     stored: &StoredRecord,
     changing: &[&(usize, RankState)],
 ) -> Vec<(usize, IntakeState)>
 where
-    Members: Ranks,
+    Transport: Ranks,
 {
     let open = changing.iter().filter(|(_, state)| state.work.is_open);
     let open: Vec<usize> = open.map(|(rank, _)| *rank).collect();
@@ -174,15 +175,15 @@
 }
 
 /// Makes a rank load what it lacks, once the weight store's rate allows it.
-async fn load<Members>(
-    session: &Session<'_, Members>,
+async fn load<Transport>(
+    session: &Session<'_, Transport>,
     stored: &StoredRecord,
     rank: usize,
     engine: &EngineState,
     serving: &Serving,
 ) -> Result<(), GroupError>
 where
-    Members: Ranks,
+    Transport: Ranks,
 {
     let changes_version = !has_version(engine, serving);
     let is_missing = |adapter: &&String| changes_version || !engine.adapters.contains(adapter);
@@ -195,12 +196,12 @@
 }
 
 /// Reopens the intakes of ranks that were closed for a change.
-pub(crate) async fn reopen<Members>(
-    session: &Session<'_, Members>,
+pub(crate) async fn reopen<Transport>(
+    session: &Session<'_, Transport>,
     stored: &StoredRecord,
     states: &[(usize, RankState)],
 ) where
-    Members: Ranks,
+    Transport: Ranks,
 {
     let closed = states.iter().filter(|(_, state)| !state.work.is_open);
     let closed: Vec<usize> = closed.map(|(rank, _)| *rank).collect();
--- a/crates/group/src/session.rs
+++ b/crates/group/src/session.rs
@@ -65,9 +65,9 @@
 }
 
 /// Context of one coordinator's operations on its group.
-pub struct Session<'a, Members> {
+pub struct Session<'a, Transport> {
     /// Transport to the group's ranks.
-    pub ranks: &'a Members,
+    pub ranks: &'a Transport,
     /// Store of the group's record.
     pub records: &'a RecordStore,
     /// The lease under which this process coordinates the group.
@@ -127,9 +127,9 @@
     count as u64
 }
 
-impl<Members> Session<'_, Members>
+impl<Transport> Session<'_, Transport>
 where
-    Members: Ranks,
+    Transport: Ranks,
 {
     /// Reads every rank. Agents that are reached refuse lower fencing numbers from then on.
     pub async fn read_all(&self, fence: Fence) -> Result<Vec<RankResult>, GroupError> {
--- a/crates/group/src/status.rs
+++ b/crates/group/src/status.rs
@@ -13,7 +13,7 @@
     Following,
     /// All ranks step with the map in force.
     Running,
-    /// Ranks load the weights of a new map while the group goes on stepping.
+    /// Ranks load the weights of a new map while the group continues to step.
     Staging,
     /// Another model version is in force, and requests that began with the old one are finishing.
     Draining,
--- a/crates/group/src/switch/commit.rs
+++ b/crates/group/src/switch/commit.rs
@@ -4,13 +4,13 @@
 use crate::ranks::Ranks;
 use crate::session::GroupError;
 
-impl<'a, Members> Switch<'a, Members, Held>
+impl<'a, Transport> Switch<'a, Transport, Held>
 where
-    Members: Ranks,
+    Transport: Ranks,
 {
     /// Writes into the record that the next map is in force. From then on every coordinator
     /// completes the switch instead of rolling it back.
-    pub async fn commit(self) -> Transition<'a, Members, Committed> {
+    pub async fn commit(self) -> Transition<'a, Transport, Committed> {
         if !self.session.lease.may_change() {
             return self.then(Err(GroupError::LeaseExpired), |_| Committed);
         }
--- a/crates/group/src/switch/hold.rs
+++ b/crates/group/src/switch/hold.rs
@@ -22,12 +22,12 @@
 /// Consecutive reads without a step after which a group counts as stalled.
 const STALLED_POLLS: u32 = 10;
 
-impl<'a, Members> Switch<'a, Members, Staged>
+impl<'a, Transport> Switch<'a, Transport, Staged>
 where
-    Members: Ranks,
+    Transport: Ranks,
 {
     /// Holds all ranks after the same step.
-    pub async fn hold(self) -> Transition<'a, Members, Held> {
+    pub async fn hold(self) -> Transition<'a, Transport, Held> {
         let result = hold_all(self.session, self.stored.fence()).await.map(drop);
         self.then(result, |state| Held { next: state.next })
     }
@@ -38,12 +38,12 @@
 /// Ranks step together, so once one rank has accepted a boundary, none can pass it. If a rank is
 /// already stopped (it has restarted, or an earlier switch was interrupted), the others can't reach
 /// a later boundary and are held at their present step.
-pub async fn hold_all<Members>(
-    session: &Session<'_, Members>,
+pub async fn hold_all<Transport>(
+    session: &Session<'_, Transport>,
     fence: Fence,
 ) -> Result<Vec<RankState>, GroupError>
 where
-    Members: Ranks,
+    Transport: Ranks,
 {
     let deadline = Instant::now() + session.timing.rank_timeout;
     let mut moving: Option<Vec<bool>> = None;
@@ -75,13 +75,13 @@
     }
 }
 
-async fn send_hold_orders<Members>(
-    session: &Session<'_, Members>,
+async fn send_hold_orders<Transport>(
+    session: &Session<'_, Transport>,
     fence: Fence,
     orders: Vec<RankOrder>,
 ) -> Result<(), GroupError>
 where
-    Members: Ranks,
+    Transport: Ranks,
 {
     // The boundary is ordered from the first rank alone, and from the others once that one has
     // accepted it: ranks given different boundaries at the same time could stop at different steps.
--- a/crates/group/src/switch/mod.rs
+++ b/crates/group/src/switch/mod.rs
@@ -17,8 +17,8 @@
 use flamingowheel_backing::orders::ExpertMap;
 
 /// A map switch in the state `State`.
-pub struct Switch<'a, Members, State> {
-    session: &'a Session<'a, Members>,
+pub struct Switch<'a, Transport, State> {
+    session: &'a Session<'a, Transport>,
     stored: StoredRecord,
     state: State,
 }
@@ -58,18 +58,18 @@
 }
 
 /// The switch in its next state, or the failure that ended it.
-pub type Transition<'a, Members, State> = Result<Switch<'a, Members, State>, Box<Failure>>;
+pub type Transition<'a, Transport, State> = Result<Switch<'a, Transport, State>, Box<Failure>>;
 
-impl<'a, Members> Switch<'a, Members, Begun>
+impl<'a, Transport> Switch<'a, Transport, Begun>
 where
-    Members: Ranks,
+    Transport: Ranks,
 {
     /// Writes `map` into the record as pending.
     pub async fn begin(
-        session: &'a Session<'a, Members>,
+        session: &'a Session<'a, Transport>,
         stored: StoredRecord,
         map: ExpertMap,
-    ) -> Transition<'a, Members, Begun> {
+    ) -> Transition<'a, Transport, Begun> {
         let states = match session.read_all_or_fail(stored.fence()).await {
             Ok(states) => states,
             Err(error) => return Err(Box::new(Failure { error, stored })),
@@ -88,13 +88,13 @@
     }
 }
 
-impl<'a, Members, State> Switch<'a, Members, State> {
+impl<'a, Transport, State> Switch<'a, Transport, State> {
     /// Enters the next state if `result` is `Ok`.
     fn then<Next, Enter>(
         self,
         result: Result<(), GroupError>,
         enter: Enter,
-    ) -> Transition<'a, Members, Next>
+    ) -> Transition<'a, Transport, Next>
     where
         Enter: FnOnce(State) -> Next,
     {
--- a/crates/group/src/switch/resume.rs
+++ b/crates/group/src/switch/resume.rs
@@ -6,12 +6,12 @@
 use crate::session::{GroupError, RankOrder, Session};
 use flamingowheel_backing::orders::OrderTarget;
 
-impl<'a, Members> Switch<'a, Members, Verified>
+impl<'a, Transport> Switch<'a, Transport, Verified>
 where
-    Members: Ranks,
+    Transport: Ranks,
 {
     /// For a group all of whose ranks were just read back and use the map in force.
-    pub(crate) fn verified(session: &'a Session<'a, Members>, stored: StoredRecord) -> Self {
+    pub(crate) fn verified(session: &'a Session<'a, Transport>, stored: StoredRecord) -> Self {
         Self { session, stored, state: Verified }
     }
 
@@ -36,8 +36,8 @@
 }
 
 /// Writes into the record that no change is in progress; a pending change is rolled back.
-pub(crate) async fn settle<Members>(
-    session: &Session<'_, Members>,
+pub(crate) async fn settle<Transport>(
+    session: &Session<'_, Transport>,
     stored: &StoredRecord,
 ) -> Result<StoredRecord, GroupError> {
     if stored.record.phase == Phase::Settled {
--- a/crates/group/src/switch/stage.rs
+++ b/crates/group/src/switch/stage.rs
@@ -1,4 +1,4 @@
-//! Loads the weights of the next map while the group goes on stepping.
+//! Loads the weights of the next map while the group continues to step.
 
 use super::{Begun, Staged, Switch, Transition};
 use crate::ranks::Ranks;
@@ -7,12 +7,12 @@
 use flamingowheel_backing::orders::OrderTarget;
 use futures_util::future::join_all;
 
-impl<'a, Members> Switch<'a, Members, Begun>
+impl<'a, Transport> Switch<'a, Transport, Begun>
 where
-    Members: Ranks,
+    Transport: Ranks,
 {
     /// Makes every rank load the weights that the next map needs.
-    pub async fn stage(self) -> Transition<'a, Members, Staged> {
+    pub async fn stage(self) -> Transition<'a, Transport, Staged> {
         let ranks = (0..self.session.ranks.count()).collect();
         let result = stage(self.session, &self.stored, ranks, &self.state.next).await;
         self.then(result, |state| Staged { next: state.next })
@@ -21,14 +21,14 @@
 
 /// Makes these ranks load the weights that `map` needs, each once the weight store's rate allows
 /// it.
-pub(crate) async fn stage<Members>(
-    session: &Session<'_, Members>,
+pub(crate) async fn stage<Transport>(
+    session: &Session<'_, Transport>,
     stored: &StoredRecord,
     ranks: Vec<usize>,
     map: &VersionedMap,
 ) -> Result<(), GroupError>
 where
-    Members: Ranks,
+    Transport: Ranks,
 {
     // Ranks hold the weights of the map in force, unless that is the map they lost and load again.
     let in_force = &stored.record.in_force;
--- a/crates/group/src/switch/verify.rs
+++ b/crates/group/src/switch/verify.rs
@@ -8,22 +8,22 @@
 use crate::session::{GroupError, RankOrder, Session};
 use flamingowheel_backing::orders::OrderTarget;
 
-impl<'a, Members> Switch<'a, Members, Committed>
+impl<'a, Transport> Switch<'a, Transport, Committed>
 where
-    Members: Ranks,
+    Transport: Ranks,
 {
     /// Continues a committed switch of an earlier coordinator, or restores ranks that lost their
     /// map: holds all ranks, and makes those that don't use the map in force load it.
     pub async fn recover(
-        session: &'a Session<'a, Members>,
+        session: &'a Session<'a, Transport>,
         stored: StoredRecord,
-    ) -> Transition<'a, Members, Committed> {
+    ) -> Transition<'a, Transport, Committed> {
         let result = prepare(session, &stored).await;
         Switch { session, stored, state: Committed }.then(result, |state| state)
     }
 
     /// Orders every rank to use the map in force from its next step on.
-    pub async fn switch(self) -> Transition<'a, Members, Switched> {
+    pub async fn switch(self) -> Transition<'a, Transport, Switched> {
         let in_force = &self.stored.record.in_force;
         let target =
             OrderTarget::SwitchMap { map_version: in_force.version, map: in_force.map.clone() };
@@ -36,12 +36,12 @@
     }
 }
 
-async fn prepare<Members>(
-    session: &Session<'_, Members>,
+async fn prepare<Transport>(
+    session: &Session<'_, Transport>,
     stored: &StoredRecord,
 ) -> Result<(), GroupError>
 where
-    Members: Ranks,
+    Transport: Ranks,
 {
     let states = hold_all(session, stored.fence()).await?;
     let version = stored.record.in_force.version;
@@ -50,12 +50,13 @@
     stage(session, stored, behind, &stored.record.in_force).await
 }
 
-impl<'a, Members> Switch<'a, Members, Switched>
+impl<'a, Transport> Switch<'a, Transport, Switched>
 where
-    Members: Ranks,
+    Transport: Ranks,
 {
-    /// Reads every rank back. An order's answer proves nothing: the engine may have crashed since.
-    pub async fn read_back(self) -> Transition<'a, Members, Verified> {
+    /// Reads every rank back. The answer to an order does not prove that a rank uses the map: its
+    /// engine may have crashed since.
+    pub async fn read_back(self) -> Transition<'a, Transport, Verified> {
         let result = match self.session.read_all_or_fail(self.stored.fence()).await {
             Ok(states) => check(&states, self.stored.record.in_force.version),
             Err(error) => Err(error),
--- a/crates/group/tests/gate.rs
+++ b/crates/group/tests/gate.rs
@@ -197,11 +197,11 @@
     let kind = EngineKind::IgnoresFence;
     let (engine, kv) = (engine(kind), FakeKeyValue::new());
     engine.inject_order_fault(OrderFault::Delayed(Duration::from_secs(20)));
-    let dying = open(&engine, kind, &kv).await;
+    let predecessor = open(&engine, kind, &kv).await;
     let request = order(5, serve("1"));
     let limit = Duration::from_millis(100);
-    assert!(tokio::time::timeout(limit, dying.handle(&request)).await.is_err());
-    drop(dying);
+    assert!(tokio::time::timeout(limit, predecessor.handle(&request)).await.is_err());
+    drop(predecessor);
     let successor = open(&engine, kind, &kv).await;
     assert_eq!(successor.handle(&order(6, serve("2"))).await, Err(RankError::Unresolved));
     sleep(Duration::from_secs(30)).await;
@@ -216,7 +216,7 @@
     let (engine, kv) = (engine(kind), FakeKeyValue::new());
     let gate = open(&engine, kind, &kv).await;
     kv.set_down(true);
-    assert_eq!(gate.handle(&order(5, serve("1"))).await, Err(RankError::NotNoted));
+    assert_eq!(gate.handle(&order(5, serve("1"))).await, Err(RankError::NotStored));
     kv.set_down(false);
     assert_eq!(version(gate.handle(&order(5, serve("1"))).await), Ok("1".to_owned()));
 }
--- a/crates/group/tests/support/mod.rs
+++ b/crates/group/tests/support/mod.rs
@@ -78,7 +78,7 @@
 }
 
 struct Process {
-    running: AbortHandle,
+    abort_handle: AbortHandle,
     paused: watch::Sender<bool>,
     status: watch::Receiver<GroupStatus>,
 }
@@ -220,8 +220,8 @@
         let leases = Leases::new(Arc::new(self.kv.clone()), Timing::default().lease_ttl);
         let run = coordinator.with_leases(leases.clone()).run(CancellationToken::new());
         let run = async { tokio::join!(run, hold_other_group(leases)).0 };
-        let running = tokio::spawn(pausable(run, paused.subscribe())).abort_handle();
-        self.processes.lock().unwrap().push(Process { running, paused, status });
+        let abort_handle = tokio::spawn(pausable(run, paused.subscribe())).abort_handle();
+        self.processes.lock().unwrap().push(Process { abort_handle, paused, status });
     }
 
     /// Starts an agent; it answers once it has read the group's record.
@@ -282,7 +282,7 @@
     /// Stops all tasks of this world, so that they don't slow down the next one.
     pub fn shutdown(&self) {
         self.stop.cancel();
-        self.processes.lock().unwrap().drain(..).for_each(|process| process.running.abort());
+        self.processes.lock().unwrap().drain(..).for_each(|process| process.abort_handle.abort());
     }
 
     pub fn engine(&self, rank: usize) -> &FakeEngine {
@@ -294,7 +294,7 @@
         let processes = self.processes.lock().unwrap();
         let running = processes
             .iter()
-            .filter(|process| !*process.paused.borrow() && !process.running.is_finished());
+            .filter(|process| !*process.paused.borrow() && !process.abort_handle.is_finished());
         let mut statuses = running.map(|process| process.status.borrow().clone());
         statuses.find(|status| status.activity != Activity::Following).unwrap_or_default()
     }
@@ -346,7 +346,7 @@
             Fault::KillCoordinator => {
                 let all = self.processes.lock().unwrap();
                 if let Some(process) = all.iter().find(|process| is_acting(process)) {
-                    process.running.abort();
+                    process.abort_handle.abort();
                 }
             }
             Fault::ExpireLease => (1..100).for_each(|id| self.kv.expire_lease(LeaseId(id))),
--- a/crates/group/tests/support/traffic.rs
+++ b/crates/group/tests/support/traffic.rs
@@ -132,7 +132,7 @@
     pub fn end_standby(&self) {
         let processes = self.processes.lock().unwrap();
         let standby = processes.iter().filter(|process| !is_acting(process));
-        standby.for_each(|process| process.running.abort());
+        standby.for_each(|process| process.abort_handle.abort());
     }
 
     /// Number of messages from coordinators to agents so far.
--- a/crates/group/tests/verify.rs
+++ b/crates/group/tests/verify.rs
@@ -55,12 +55,12 @@
     }
 }
 
-fn session<'a, Members>(
-    ranks: &'a Members,
+fn session<'a, Transport>(
+    ranks: &'a Transport,
     records: &'a RecordStore,
     lease: &'a Lease,
     timing: &'a Timing,
-) -> Session<'a, Members> {
+) -> Session<'a, Transport> {
     Session { ranks, records, lease, timing, load_limiter: None, may_load: true }
 }
 
@@ -165,8 +165,8 @@
     opened.lock().unwrap().clone()
 }
 
-/// An agent is lost for good right after its group has changed its version. The group steps on, so
-/// the other agents must admit requests again; during the change they must not.
+/// An agent is permanently lost right after its group has changed its version. The group continues
+/// to step, so the other agents must admit requests again; during the change they must not.
 #[tokio::test(start_paused = true)]
 async fn align_reopens_others_after_change() {
     assert_eq!(reopened_ranks(Phase::Settled).await, [1]);
