--- a/crates/config/src/change.rs
+++ b/crates/config/src/change.rs
@@ -244,7 +244,7 @@
     flat
 }
 
-/// Objects become one item per field. Lists are kept whole: comparing them by position would
+/// Objects become one item per field. A list stays one item: comparing lists by position would
 /// report every shifted element as changed.
 fn flatten_into(path: String, value: Value, flat: &mut FlatFields) {
     match value {
--- a/crates/config/src/effective.rs
+++ b/crates/config/src/effective.rs
@@ -160,8 +160,9 @@
 }
 
 impl EffectiveConfig {
-    /// Resolves all workspaces. A workspace without its template is left out: validation accepts
-    /// none, and requests for it are refused rather than served without limits.
+    /// Resolves all workspaces. A workspace whose template does not exist is left out, so that
+    /// requests for it are refused rather than served without limits. Validation refuses such a
+    /// workspace.
     ///
     /// ```
     /// use flamingowheel_config::effective::{Documents, EffectiveConfig};
@@ -235,7 +236,7 @@
     }
 
     /// The workspace that this token belongs to. The map is keyed by hash, so the timing of a
-    /// lookup reveals only something about hashes, which a caller can't choose.
+    /// lookup can reveal only parts of stored hashes, and callers can't choose a token's hash.
     pub fn workspace_by_token(&self, token: &[u8]) -> Option<&Arc<EffectiveWorkspace>> {
         let workspace = self.by_token.get(&TokenHash::of(token))?;
         workspace.accepts_token(token).then_some(workspace)
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -209,10 +209,10 @@
     Error,
     /// Failures and unusual conditions.
     Warn,
-    /// The above, and decisions.
+    /// As `Warn`, and normal changes of state.
     #[default]
     Info,
-    /// The above, and single steps.
+    /// As `Info`, and details such as single connection attempts.
     Debug,
 }
 
--- a/crates/config/src/validate.rs
+++ b/crates/config/src/validate.rs
@@ -70,7 +70,7 @@
     if problems.is_empty() { Ok(()) } else { Err(problems) }
 }
 
-/// The documents before and after the change, with lookup tables for checks between documents.
+/// The documents before and after the change, with lookup tables for checks across documents.
 struct Context<'a> {
     base: &'a Documents,
     after: &'a Documents,
--- a/crates/control/benches/config.rs
+++ b/crates/control/benches/config.rs
@@ -159,15 +159,15 @@
     kv.set_delay(Duration::ZERO);
 }
 
-/// Bytes of one replica with its resolved workspaces: the mean growth over several replicas, after
-/// some that reuse memory which the bench itself had freed.
+/// Bytes of one replica with its resolved workspaces: the mean growth over several replicas. The
+/// first ones are not counted, since they may reuse memory that the bench has freed.
 async fn memory_of_one(store: &Store) -> f64 {
-    const WARM: usize = 6;
+    const UNCOUNTED: usize = 6;
     const MEASURED: usize = 6;
     let mut kept = Vec::new();
     let mut resident = 0;
-    for number in 0..WARM + MEASURED {
-        if number == WARM {
+    for number in 0..UNCOUNTED + MEASURED {
+        if number == UNCOUNTED {
             resident = resident_bytes();
         }
         let replica = store.load().await.expect("no fault is set");
--- a/crates/control/src/fetch.rs
+++ b/crates/control/src/fetch.rs
@@ -79,8 +79,8 @@
     }
 
     async fn ask(&self, peer: SocketAddr, request: PeerRequest) -> Result<PeerAnswer, PeerError> {
-        let asked = timeout(self.answer_timeout, self.peers.ask(peer, request));
-        asked.await.map_err(|_| PeerError::Timeout)?
+        let answer = timeout(self.answer_timeout, self.peers.ask(peer, request));
+        answer.await.map_err(|_| PeerError::Timeout)?
     }
 }
 
--- a/crates/control/src/membership.rs
+++ b/crates/control/src/membership.rs
@@ -21,7 +21,7 @@
 /// The member table of one process.
 #[derive(Clone, Debug)]
 pub struct Table {
-    own: String,
+    own_name: String,
     version: u64,
     members: BTreeMap<String, Member>,
     leaving_vms: BTreeMap<String, u64>,
@@ -60,7 +60,7 @@
         let name = own.name.clone();
         let member = Member { record: own, last_seen_at: now, changed_in_version: 1 };
         Self {
-            own: name.clone(),
+            own_name: name.clone(),
             version: 1,
             members: BTreeMap::from([(name, member)]),
             leaving_vms: BTreeMap::new(),
@@ -70,7 +70,7 @@
 
     /// The record that this process publishes of itself.
     pub fn own_record(&self) -> &MemberRecord {
-        &self.members[&self.own].record
+        &self.members[&self.own_name].record
     }
 
     /// Version of this table, raised by every change. Local to the process.
@@ -132,8 +132,8 @@
 
     /// Records that an agent is leaving or gone. Never moves it back to an earlier state.
     pub fn downgrade_agent(&mut self, name: &str, state: MemberState, now: Instant) {
-        if let Some(known) = self.directory.get(name) {
-            let record = AgentRecord { state: state.max(known.state), ..known.clone() };
+        if let Some(stored) = self.directory.get(name) {
+            let record = AgentRecord { state: state.max(stored.state), ..stored.clone() };
             self.merge_agent(record, now);
         }
     }
@@ -170,11 +170,11 @@
     }
 
     fn merge_record(&mut self, record: MemberRecord, now: Instant) -> Option<Observation> {
-        if record.name == self.own {
+        if record.name == self.own_name {
             return self.merge_own(&record);
         }
-        if let Some(known) = self.members.get(&record.name)
-            && precedence(&known.record) >= precedence(&record)
+        if let Some(stored) = self.members.get(&record.name)
+            && precedence(&stored.record) >= precedence(&record)
         {
             return None;
         }
@@ -211,7 +211,7 @@
     fn set_own(&mut self, version: u64, state: MemberState) {
         self.version += 1;
         let changed_in_version = self.version;
-        if let Some(own) = self.members.get_mut(&self.own) {
+        if let Some(own) = self.members.get_mut(&self.own_name) {
             own.record.version = version;
             own.record.state = state;
             own.changed_in_version = changed_in_version;
@@ -235,7 +235,7 @@
 
     /// Marks a process as silent, unless it already is silent or gone or is this process.
     pub fn mark_silent(&mut self, name: &str) -> Option<Observation> {
-        if name == self.own {
+        if name == self.own_name {
             return None;
         }
         self.raise_state(name, MemberState::Silent)
--- a/crates/control/src/node/suspicion.rs
+++ b/crates/control/src/node/suspicion.rs
@@ -13,15 +13,16 @@
     /// for a while. So a member is marked only if most of the others were seen at least `margin`
     /// after it, or if the key-value service answers this process. `margin` must exceed the time
     /// between two messages of a healthy peer. When a partitioned process receives from most
-    /// members again, the others get the full timeout, since members come back one by one.
+    /// members again, the others get the full timeout, since messages of different members
+    /// resume at different times.
     pub fn detect_silent_members(&self, watched: &[String], timeout: Duration, margin: Duration) {
         self.update(|state| state.detect_silent_members(watched, timeout, margin));
     }
 }
 
 impl State {
-    /// Gives newly watched members the full timeout. The time they were last seen means nothing:
-    /// they had no reason to poll this process, and learn only with some delay that they should.
+    /// Gives newly watched members the full timeout. Their last-seen time can't be used: until
+    /// their own tables show that they should poll this process, they don't poll it.
     fn start_watching(&mut self, watched: &[String]) {
         let now = Instant::now();
         for name in watched.iter().filter(|name| !self.watched.contains(name)) {
--- a/crates/control/src/revision_poll.rs
+++ b/crates/control/src/revision_poll.rs
@@ -62,14 +62,14 @@
 
     /// Returns name and revision of each process that answers.
     async fn poll_all(self, members: Vec<MemberView>) -> Vec<(String, ConfigRevision)> {
-        let asked = members.into_iter().map(|member| self.poll(member));
-        let answers = stream::iter(asked).buffer_unordered(MAX_CONCURRENT_REQUESTS);
+        let polls = members.into_iter().map(|member| self.poll(member));
+        let answers = stream::iter(polls).buffer_unordered(MAX_CONCURRENT_REQUESTS);
         answers.filter_map(|answer| async { answer }).collect().await
     }
 
     async fn poll(self, member: MemberView) -> Option<(String, ConfigRevision)> {
-        let asked = self.peers.ask(member.record.inner, PeerRequest::Status);
-        let answer = timeout(ANSWER_TIMEOUT, asked).await.ok()?.ok()?;
+        let answer = self.peers.ask(member.record.inner, PeerRequest::Status);
+        let answer = timeout(ANSWER_TIMEOUT, answer).await.ok()?.ok()?;
         let PeerAnswer::Status { record, revision, .. } = answer else { return None };
         // The address may belong to another process by now.
         if record.name != member.record.name {
@@ -94,10 +94,10 @@
         .filter(|(name, _)| !done.contains(name))
         .map(|(name, revision)| LaggingProcess { process: name.clone(), revision: *revision })
         .collect();
-    let is_known =
+    let has_responded =
         |name: &str| done.contains(name) || answered.iter().any(|(other, _)| other == name);
     let names = members.iter().map(|member| member.record.name.clone());
-    let silent: Vec<String> = names.filter(|name| !is_known(name)).collect();
+    let silent: Vec<String> = names.filter(|name| !has_responded(name)).collect();
     let waited_ms = waited.as_millis() as u64;
     let processes = done.iter().cloned().collect();
     InForce { everywhere: behind.is_empty(), waited_ms, processes, behind, silent }
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -52,10 +52,10 @@
     if let Err(error) = &caught_up {
         report_error(synchronizer, error);
     }
-    let entry = caught_up?;
+    let head = caught_up?;
     synchronizer.node.replace_if_newer(replica, source);
     synchronizer.node.confirm_by_service();
-    Ok(entry)
+    Ok(head)
 }
 
 fn report_error(synchronizer: &Synchronizer, error: &StoreError) {
@@ -75,10 +75,10 @@
 /// Opens a watch and applies its events until it ends or stalls, or this process is no longer a
 /// watcher.
 async fn watch_until_end(synchronizer: &Synchronizer) {
-    let Ok(entry) = catch_up(synchronizer, ConfigSource::PeriodicRead).await else {
+    let Ok(head) = catch_up(synchronizer, ConfigSource::PeriodicRead).await else {
         return sleep(synchronizer.node.jitter(RETRY_INTERVAL)).await;
     };
-    let after = entry.mod_revision.unwrap_or(Revision(0));
+    let after = head.mod_revision.unwrap_or(Revision(0));
     let Ok(mut watch) = synchronizer.store.watch_log(after).await else {
         return sleep(synchronizer.node.jitter(RETRY_INTERVAL)).await;
     };
--- a/crates/control/src/synchronizer.rs
+++ b/crates/control/src/synchronizer.rs
@@ -85,9 +85,9 @@
 /// random members. Longer than the time between two messages of a healthy peer.
 const ISOLATED_AFTER: Duration = Duration::from_secs(4);
 /// Time between two rounds of probes of an isolated process.
-const ISOLATED_PROBE: Duration = Duration::from_secs(1);
+const ISOLATED_PROBE_INTERVAL: Duration = Duration::from_secs(1);
 /// Members that an isolated process probes in one round.
-const ISOLATED_PROBES: usize = 4;
+const ISOLATED_PROBE_COUNT: usize = 4;
 /// A watcher probes the seeds again after this many probes of random members.
 const PROBES_PER_SEED_ROUND: u64 = 12;
 /// How often the VM list is read to remove stale registrations while all entries read the list in
@@ -370,13 +370,13 @@
     /// promised, and `status` would show this process behind. Some of the probed members answer.
     async fn probe_while_isolated(&self) {
         loop {
-            sleep(self.node.jitter(ISOLATED_PROBE)).await;
+            sleep(self.node.jitter(ISOLATED_PROBE_INTERVAL)).await;
             if self.node.since_confirmed().is_none_or(|time| time < ISOLATED_AFTER) {
                 continue;
             }
             let mut results = ProbeResults::default();
             results
-                .probe(self, self.node.choose_some(&self.other_addresses(), ISOLATED_PROBES))
+                .probe(self, self.node.choose_some(&self.other_addresses(), ISOLATED_PROBE_COUNT))
                 .await;
             self.fetch_highest(results).await;
         }
--- a/crates/control/src/websocket.rs
+++ b/crates/control/src/websocket.rs
@@ -17,7 +17,7 @@
 use tokio_util::sync::CancellationToken;
 
 /// A connection without a request for this long is closed. Random members are probed all the time;
-/// the heartbeats of those connections, kept open, would cost more than all requests.
+/// if the connections to them stayed open, their heartbeats would cost more than all requests.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(8);
 /// Upper bound on the concurrent requests of one connection.
 const MAX_CONCURRENT_REQUESTS: usize = 32;
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -90,8 +90,8 @@
         });
     }
 
-    /// Sets the delay of messages between data centres with odd and with even numbers, which stand
-    /// for two regions.
+    /// Sets the delay of messages between data centres with odd and with even numbers, which are
+    /// treated as two regions.
     pub fn set_far_delay(&self, delay: Duration) {
         self.state.lock().unwrap().far_delay = delay;
     }
@@ -259,7 +259,7 @@
         let store = Store::new(Arc::new(self.kv.clone()));
         let peers: Arc<dyn PeerTransport> =
             Arc::new(EntryTransport { network: self.network.clone(), own: address });
-        let spread = Synchronizer {
+        let synchronizer = Synchronizer {
             node: node.clone(),
             store: store.clone(),
             peers: Arc::clone(&peers),
@@ -269,7 +269,7 @@
         };
         let stop = CancellationToken::new();
         self.network.state.lock().unwrap().nodes.insert(address, node.clone());
-        tokio::spawn(pausable(self.network.clone(), address, spread.run(stop.clone())));
+        tokio::spawn(pausable(self.network.clone(), address, synchronizer.run(stop.clone())));
         self.entries.entry(name).or_insert(Entry { node, store, address, peers, stop })
     }
 
--- a/crates/control/tests/membership.rs
+++ b/crates/control/tests/membership.rs
@@ -79,15 +79,15 @@
 }
 
 async fn partition_and_reconnect(fleet: &Fleet, number: usize) {
-    let cut = fleet.entry(number);
+    let isolated = fleet.entry(number);
     let name = format!("entry-{number}");
-    fleet.network.cut(cut.address);
+    fleet.network.cut(isolated.address);
     tokio::time::sleep(Duration::from_secs(60)).await;
-    for entry in fleet.entries.values().filter(|entry| entry.address != cut.address) {
+    for entry in fleet.entries.values().filter(|entry| entry.address != isolated.address) {
         assert_eq!(entry.state_of(&name), Some(MemberState::Silent));
     }
-    assert!(cut.node.members().iter().all(|member| member.state == MemberState::Live));
-    fleet.network.reconnect(cut.address);
+    assert!(isolated.node.members().iter().all(|member| member.state == MemberState::Live));
+    fleet.network.reconnect(isolated.address);
     for _ in 0..40 {
         tokio::time::sleep(Duration::from_millis(500)).await;
         for entry in fleet.entries.values() {
--- a/crates/control/tests/synchronizer.rs
+++ b/crates/control/tests/synchronizer.rs
@@ -94,7 +94,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn adopt_older_replica_changes_nothing() {
+async fn replace_if_newer_older_replica_changes_nothing() {
     // At a start, a peer with an older revision may answer last. Using its replica would revert the
     // revision already in force.
     let fleet = Fleet::start(4, 1).await;
--- a/crates/entry/src/addresses.rs
+++ b/crates/entry/src/addresses.rs
@@ -138,8 +138,8 @@
         }
         let entry = EntryKey::from_name(entry);
         let mut cells: Vec<&Cell> = self.cells.cells_of(entry).collect();
-        // An entry that sees no other entries serves all cells, more than it can link to. The seed
-        // makes such entries take different ones.
+        // An entry whose member table has no other entries serves all cells, more than it can link
+        // to. The seed makes such entries take different ones.
         cells.sort_by_key(|cell| xxh3_64_with_seed(&cell.id.to_le_bytes(), entry.0));
         let servers = cells.iter().flat_map(|cell| cell.servers.iter().copied());
         Some(servers.take(MAX_LINKS).collect())
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -197,7 +197,7 @@
                     let head = Head { status, content_type };
                     return Ok((head, Attempt { identity: self.identity, stage }));
                 }
-                // `Accepted` adds nothing: since the send the attempt may be running anyway.
+                // `Accepted` changes nothing: the attempt may be running since it was sent.
                 Ok(_) => {}
             }
         }
--- a/crates/entry/src/claims.rs
+++ b/crates/entry/src/claims.rs
@@ -25,14 +25,14 @@
 /// Prefix of the records in the key-value service.
 pub const PREFIX: &str = "flamingowheel/idempotency-keys/";
 
-/// Claims per transaction. Each takes one comparison and one operation, of 128 allowed.
+/// Most claims per transaction. Each takes one comparison and one operation, of 128 allowed.
 const MAX_BATCH: usize = 60;
 
 /// Shortest time between two batches. Eight writers make at most 160 writes per second together,
 /// and a claim waits at most this much longer.
 const CALL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Pending claims; further ones fail at once with [`ClaimError::Busy`].
+/// Most pending claims; further ones fail at once with [`ClaimError::Busy`].
 const QUEUE_CAPACITY: usize = 1024;
 
 /// The stored record of a caller's key: the ticket that it is bound to.
@@ -87,7 +87,7 @@
     Busy,
 }
 
-/// A claim that the writer has yet to bind.
+/// A claim queued for the writer.
 struct PendingClaim {
     key: String,
     claim: Claim,
--- a/crates/entry/src/claims/forwarding.rs
+++ b/crates/entry/src/claims/forwarding.rs
@@ -19,8 +19,8 @@
 /// crashed or is unreachable must not use up the caller's deadline.
 const FORWARD_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long nothing is forwarded to a writer that failed to bind a claim. By then the membership has
-/// had time to notice a failed entry.
+/// How long nothing is forwarded to a writer that failed to bind a claim. That is about the time
+/// after which a crashed entry is marked as silent.
 const AVOID_TIME: Duration = Duration::from_secs(5);
 
 /// A claim forwarded to its writer.
@@ -135,7 +135,7 @@
         let give_up_at = deadline.min(sent_at + FORWARD_TIMEOUT);
         let reply = timeout_at(give_up_at, self.peers.forward(&writer, forwarded)).await;
         let result = reply.ok().flatten().and_then(BindReply::into_result);
-        // A timeout shortened by the caller's deadline is no evidence against the writer.
+        // A timeout shortened by the caller's deadline doesn't show that the writer failed.
         let writer_failed = give_up_at == sent_at + FORWARD_TIMEOUT || Instant::now() < give_up_at;
         if result.is_none() && writer_failed {
             let until = Instant::now() + AVOID_TIME;
--- a/crates/entry/src/http/services.rs
+++ b/crates/entry/src/http/services.rs
@@ -41,16 +41,16 @@
         Err(not_run) => return refuse_request(&state, &headers, not_run),
     };
     let admission = Admission { in_progress, permit };
-    match permission(&state, &headers, &request) {
-        Ok(Permission::Ticket(ticket)) => run_ticket(&state, request, ticket, admission).await,
-        Ok(Permission::Key(key)) => keys::run(&state, request, key, &headers, admission).await,
-        Ok(Permission::None) => run(&state, request, admission).await,
+    match ticket_source(&state, &headers, &request) {
+        Ok(TicketSource::Ticket(ticket)) => run_ticket(&state, request, ticket, admission).await,
+        Ok(TicketSource::Key(key)) => keys::run(&state, request, key, &headers, admission).await,
+        Ok(TicketSource::None) => run(&state, request, admission).await,
         Err(not_run) => refuse_request(&state, &headers, not_run),
     }
 }
 
 /// Under which ticket a call runs.
-enum Permission {
+enum TicketSource {
     /// Neither ticket nor key: each attempt of a non-idempotent call gets a ticket of its own.
     None,
     /// A ticket sent by the caller.
@@ -151,24 +151,24 @@
     Err(MalformedRequest::Path.into())
 }
 
-/// Under which ticket a call runs: a non-idempotent one may carry a ticket or an idempotency key.
-fn permission(
+/// Reads the ticket or idempotency key that a non-idempotent call may carry.
+fn ticket_source(
     state: &EntryState,
     headers: &HeaderMap,
     request: &Request,
-) -> Result<Permission, NotRun> {
+) -> Result<TicketSource, NotRun> {
     let text = intake::text_header(headers, TICKET_HEADER)?;
     if request.idempotent {
         return match text {
             Some(_) => Err(TicketRefusal::NotNeeded.into()),
-            None => Ok(Permission::None),
+            None => Ok(TicketSource::None),
         };
     }
     if let Some(text) = text {
-        return parse_ticket(state, request, text).map(Permission::Ticket);
+        return parse_ticket(state, request, text).map(TicketSource::Ticket);
     }
     let key = intake::text_header(headers, IDEMPOTENCY_KEY_HEADER)?;
-    Ok(key.map_or(Permission::None, |key| Permission::Key(key.to_owned())))
+    Ok(key.map_or(TicketSource::None, |key| TicketSource::Key(key.to_owned())))
 }
 
 fn parse_ticket(state: &EntryState, request: &Request, text: &str) -> Result<Ticket, NotRun> {
--- a/crates/entry/src/links.rs
+++ b/crates/entry/src/links.rs
@@ -35,7 +35,7 @@
 }
 
 struct Shared {
-    traffic: Handle,
+    runtime: Handle,
     connector: Arc<dyn Connector>,
     router: Arc<Router>,
     recorder: Recorder,
@@ -59,7 +59,7 @@
         let shared = Arc::new_cyclic(|own: &Weak<Shared>| {
             router.set_directory(Weak::clone(own) as Weak<dyn AgentDirectory>);
             Shared {
-                traffic: Handle::current(),
+                runtime: Handle::current(),
                 connector,
                 router,
                 recorder,
@@ -75,7 +75,7 @@
     /// Keeps links to the agents of exactly these VMs from now on, besides links in use.
     pub fn set_vms(&self, vms: &[AgentVm]) {
         let mut links = self.shared.links();
-        let wanted: HashSet<SocketAddr> = vms.iter().map(|vm| vm.address).collect();
+        let cell_addresses: HashSet<SocketAddr> = vms.iter().map(|vm| vm.address).collect();
         for vm in vms {
             let (agent, _) =
                 links.entry(vm.address).or_insert_with(|| self.shared.start(vm.address));
@@ -88,11 +88,13 @@
             }
         }
         let served = served_by_cells(&links);
-        for (agent, _) in links.values().filter(|(agent, _)| !wanted.contains(&agent.address())) {
+        for (agent, _) in
+            links.values().filter(|(agent, _)| !cell_addresses.contains(&agent.address()))
+        {
             self.shared.demote(agent, &served);
         }
         links.retain(|address, (agent, stop)| {
-            let keep = wanted.contains(address)
+            let keep = cell_addresses.contains(address)
                 || agent.purpose() == LinkPurpose::OnDemand
                 || agent.idle_for() < IDLE_LIMIT;
             if !keep {
@@ -167,7 +169,7 @@
             recorder: self.recorder.clone(),
             stop: stop.clone(),
         };
-        self.traffic.spawn(supervisor.run());
+        self.runtime.spawn(supervisor.run());
         (agent, stop)
     }
 
@@ -254,7 +256,8 @@
     }
 }
 
-/// What the entry's cells serve. Empty without on-demand links, which alone need it.
+/// What the entry's cells serve; empty if there are no on-demand links, since it is needed only for
+/// those.
 fn served_by_cells(
     links: &HashMap<SocketAddr, (Arc<Agent>, CancellationToken)>,
 ) -> HashSet<Target> {
--- a/crates/entry/src/router.rs
+++ b/crates/entry/src/router.rs
@@ -340,12 +340,12 @@
     }
 }
 
-/// Whether one of these agents connects before the timeout.
-async fn any_connects(agents: Vec<Arc<Agent>>, wait: Duration) -> bool {
+/// Whether one of these agents connects within `limit`.
+async fn any_connects(agents: Vec<Arc<Agent>>, limit: Duration) -> bool {
     let connecting = agents.iter().map(|agent| Box::pin(agent.connected_after(0)));
     let connecting: Vec<_> = connecting.collect();
     if connecting.is_empty() {
         return false;
     }
-    timeout(wait, select_all(connecting)).await.is_ok()
+    timeout(limit, select_all(connecting)).await.is_ok()
 }
--- a/crates/entry/src/supervisor.rs
+++ b/crates/entry/src/supervisor.rs
@@ -57,7 +57,7 @@
 
     async fn serve_connection(&self, mut link: AgentLink, epoch: u64) {
         let Role::Agent(profile) = &link.peer.role else {
-            // Another entry. The address doesn't become an agent's before its VM is replaced.
+            // Another entry. An agent can get this address only once the VM is replaced.
             let retry = tokio::time::sleep(NOT_AN_AGENT_DELAY);
             tokio::select! {
                 () = retry => {}
