--- a/crates/backing/src/client/backend.rs
+++ b/crates/backing/src/client/backend.rs
@@ -74,7 +74,7 @@
     }
 
     async fn start(&self, call: BackendCall) -> Result<BackendAnswer, BackendError> {
-        let request = self.call_request(call)?;
+        let request = self.build_request(call)?;
         let response = self.http.send(request, Reuse::Never).await.map_err(backend_error)?;
         let status = response.status().as_u16();
         let content_type = content_type(&response).to_owned();
@@ -86,7 +86,7 @@
         Ok(BackendAnswer { status, content_type, body: receiver })
     }
 
-    fn call_request(&self, call: BackendCall) -> Result<Request<Full<Bytes>>, BackendError> {
+    fn build_request(&self, call: BackendCall) -> Result<Request<Full<Bytes>>, BackendError> {
         let mut request = self.http.request(call.method, &call.path);
         if let Some(content_type) = &call.content_type {
             request = request.header(http::header::CONTENT_TYPE, content_type);
--- a/crates/backing/src/client/wire.rs
+++ b/crates/backing/src/client/wire.rs
@@ -285,7 +285,7 @@
     pub response_range: Option<RangeResponse>,
 }
 
-/// Answer to a transaction.
+/// Answer to `POST /v3/kv/txn`.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct TxnResponse {
--- a/crates/backing/tests/fake_engine.rs
+++ b/crates/backing/tests/fake_engine.rs
@@ -73,11 +73,11 @@
     let engine = FakeEngine::new(1, settings);
     engine.crash_on("poison");
     let before = engine.load().await.unwrap();
-    let bystander = engine.call(call("a", "innocent")).await.unwrap();
+    let other_request = engine.call(call("a", "innocent")).await.unwrap();
     tokio::time::sleep(Duration::from_millis(15)).await;
     let poison = engine.call(call("b", "some poison")).await.unwrap();
     assert_eq!(read(poison).await.1, Some(Err(BackendError::Lost)));
-    assert_eq!(read(bystander).await.1, Some(Err(BackendError::Lost)));
+    assert_eq!(read(other_request).await.1, Some(Err(BackendError::Lost)));
     assert_eq!(engine.load().await, Err(BackendError::Refused));
     tokio::time::sleep(Duration::from_secs(3)).await;
     let after = engine.load().await.unwrap();
--- a/crates/flamingowheel/src/commands/get.rs
+++ b/crates/flamingowheel/src/commands/get.rs
@@ -11,7 +11,7 @@
 
 use super::{render, row, table};
 use crate::client::Client;
-use crate::config::Kind;
+use crate::config::DocumentKind;
 use crate::error::{Error, RenderError};
 use crate::{Output, routes};
 
@@ -19,13 +19,13 @@
 const PAGE_SIZE: usize = 1_000;
 
 /// Lists all documents of a kind.
-pub async fn all(client: &Client, kind: Kind, json: bool) -> Result<Output, Error> {
+pub async fn all(client: &Client, kind: DocumentKind, json: bool) -> Result<Output, Error> {
     let text = match kind {
-        Kind::Templates => {
+        DocumentKind::Templates => {
             let answer: TemplatesAnswer = client.get(routes::TEMPLATES).await?;
             render(&answer, json, templates_text)?
         }
-        Kind::Workspaces => {
+        DocumentKind::Workspaces => {
             render(&fetch_workspaces(client).await?, json, |all| workspaces_text(all))?
         }
     };
@@ -33,9 +33,14 @@
 }
 
 /// Shows one document.
-pub async fn one(client: &Client, kind: Kind, name: &str, json: bool) -> Result<Output, Error> {
+pub async fn one(
+    client: &Client,
+    kind: DocumentKind,
+    name: &str,
+    json: bool,
+) -> Result<Output, Error> {
     let text = match kind {
-        Kind::Templates => {
+        DocumentKind::Templates => {
             let path = format!("{}/{name}", routes::TEMPLATES);
             let answer: TemplateAnswer = client.get(&path).await?;
             let comment = format!(
@@ -46,7 +51,7 @@
             let document = yaml("template", &*answer.template.document)?;
             render(&answer, json, |_| comment + &document)?
         }
-        Kind::Workspaces => {
+        DocumentKind::Workspaces => {
             let path = format!("{}/{name}", routes::WORKSPACES);
             let answer: WorkspaceAnswer = client.get(&path).await?;
             let text = workspace_text(&answer)?;
--- a/crates/flamingowheel/src/commands/status.rs
+++ b/crates/flamingowheel/src/commands/status.rs
@@ -194,7 +194,7 @@
             role(process.role),
             state(process.state),
             &revision(process),
-            &heard(process, &answer.process),
+            &last_contact(process, &answer.process),
             &process.data_centre,
             &process.vm,
         ])
@@ -210,7 +210,7 @@
     }
 }
 
-fn heard(process: &ProcessStatus, answering: &str) -> String {
+fn last_contact(process: &ProcessStatus, answering: &str) -> String {
     match process.name == answering {
         true => "itself".to_owned(),
         false => format!("{} ms ago", process.heard_ms_ago),
--- a/crates/flamingowheel/src/config.rs
+++ b/crates/flamingowheel/src/config.rs
@@ -192,9 +192,9 @@
     /// Change documents.
     Apply(Apply),
     /// Show all documents of a kind.
-    GetAll(Kind),
+    GetAll(DocumentKind),
     /// Show one document.
-    GetOne(Kind, String),
+    GetOne(DocumentKind, String),
     /// Show what documents would change.
     Diff {
         /// The documents, as read from the file.
@@ -217,7 +217,7 @@
 
 /// Kind of documents to show.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum DocumentKind {
     /// Templates.
     Templates,
     /// Workspaces.
@@ -345,8 +345,8 @@
 
 fn get(kind: &str, name: Option<String>) -> Result<Command, ConfigError> {
     let kind = match kind {
-        "templates" | "template" => Kind::Templates,
-        "workspaces" | "workspace" => Kind::Workspaces,
+        "templates" | "template" => DocumentKind::Templates,
+        "workspaces" | "workspace" => DocumentKind::Workspaces,
         _ => return Err(ConfigError::Kind(kind.to_owned())),
     };
     Ok(match name {
--- a/crates/flamingowheel/tests/fleet.rs
+++ b/crates/flamingowheel/tests/fleet.rs
@@ -60,7 +60,7 @@
 // only the request's id, the timeline must show which backend server had the order, what happened to
 // it, and why the order was not sent to another one.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn timeline_service_crashed_tells_what_became_of_the_order() {
+async fn timeline_service_crashed_shows_outcome_of_order() {
     let fleet = Fleet::start().await.expect("a fleet");
     let services = &fleet.standins.services;
     services.iter().for_each(|service| service.crash_after_effect(1));
@@ -189,7 +189,7 @@
 // unknown. With only the request's id, the timeline must show which backend server had the payout,
 // that its agent and the agent's records are gone, and why the payout was not sent to another one.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn timeline_agent_killed_tells_what_became_of_the_payout() {
+async fn timeline_agent_killed_shows_outcome_of_payout() {
     let fleet = Fleet::start().await.expect("a fleet");
     let entry = &fleet.entries[0];
     let connected_before = entry.agents().connected().len();
--- a/crates/flamingowheeld/src/demo/caller.rs
+++ b/crates/flamingowheeld/src/demo/caller.rs
@@ -62,7 +62,7 @@
         Self { client: builder.build_http(), token: token.to_owned() }
     }
 
-    /// Sends a request and reads the whole answer.
+    /// Sends a request and reads the answer to its end.
     pub async fn call(
         &self,
         method: Method,
--- a/crates/flamingowheeld/src/discovery.rs
+++ b/crates/flamingowheeld/src/discovery.rs
@@ -59,7 +59,7 @@
         let mut tick = tokio::time::interval(self.read_interval);
         tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         let started = Instant::now();
-        let mut wanted = WantedLinks::default();
+        let mut targets = LinkTargets::default();
         loop {
             tick.tick().await;
             self.record_connected();
@@ -68,15 +68,15 @@
             self.node.set_vm_list_rotation(!is_small);
             let read = if is_small || self.is_own_turn() { self.read_list().await } else { None };
             if let (Some(vms), true) = (&read, is_small) {
-                wanted.listed = self.agent_vms(vms);
-                wanted.computed_from = None;
+                targets.listed = self.agent_vms(vms);
+                targets.computed_from = None;
             }
-            self.update_links(&mut wanted, &book, is_small);
+            self.update_links(&mut targets, &book, is_small);
             // A new entry of a large fleet does not know the other entries yet and would link to
             // every agent.
-            let is_new = started.elapsed() < STARTUP_GRACE && wanted.vms.len() > MAX_LINKS;
-            if !wanted.vms.is_empty() && !is_new {
-                self.agents.set_vms(&wanted.vms);
+            let is_new = started.elapsed() < STARTUP_GRACE && targets.vms.len() > MAX_LINKS;
+            if !targets.vms.is_empty() && !is_new {
+                self.agents.set_vms(&targets.vms);
             }
             if let Some(vms) = read {
                 if !is_small {
@@ -98,8 +98,8 @@
         None
     }
 
-    /// Computes the wanted links again if the inputs have changed.
-    fn update_links(&self, wanted: &mut WantedLinks, book: &Arc<AddressBook>, is_small: bool) {
+    /// Recomputes the targets if the inputs have changed.
+    fn update_links(&self, targets: &mut LinkTargets, book: &Arc<AddressBook>, is_small: bool) {
         let pinned = self.agents.pinned_groups();
         let version = self.node.table_version();
         let is_same = |(computed_version, computed_book, groups): &(
@@ -109,7 +109,7 @@
         )| {
             *computed_version == version && Arc::ptr_eq(computed_book, book) && *groups == pinned
         };
-        if wanted.computed_from.as_ref().is_some_and(is_same) {
+        if targets.computed_from.as_ref().is_some_and(is_same) {
             return;
         }
         let directory = self.node.agents();
@@ -118,11 +118,11 @@
             // A leaving entry belongs to no cell but still serves callers: it keeps its links.
             Some(servers) if servers.is_empty() => {}
             Some(servers) if !is_small => {
-                wanted.vms = agents_of_cells(&directory, &servers, &pinned)
+                targets.vms = agents_of_cells(&directory, &servers, &pinned)
             }
-            _ => wanted.vms = self.all_agents(&directory, &wanted.listed),
+            _ => targets.vms = self.all_agents(&directory, &targets.listed),
         }
-        wanted.computed_from = Some((version, Arc::clone(book), pinned));
+        targets.computed_from = Some((version, Arc::clone(book), pinned));
     }
 
     /// Records the hello of every connected agent in the directory. This detects restarts and
@@ -225,9 +225,10 @@
     }
 }
 
-/// The wanted links and the inputs that they were computed from.
+/// The VMs to connect to and the inputs that the set was computed from.
 #[derive(Default)]
-struct WantedLinks {
+struct LinkTargets {
+    /// The VMs of the last list read; used in a small fleet only.
     listed: Vec<AgentVm>,
     vms: Vec<AgentVm>,
     /// Version of the table, the address book and the groups.
--- a/crates/flamingowheeld/src/groups.rs
+++ b/crates/flamingowheeld/src/groups.rs
@@ -286,10 +286,10 @@
         found.map(|(agent, _)| agent)
     }
 
-    fn is_rank(&self, connected: &Connected, wanted: usize) -> bool {
+    fn is_rank(&self, connected: &Connected, rank: usize) -> bool {
         match &connected.profile.serves {
-            Serves::Model { group, rank, .. } => {
-                *group == self.group.name && usize::from(*rank) == wanted
+            Serves::Model { group, rank: served, .. } => {
+                *group == self.group.name && usize::from(*served) == rank
             }
             Serves::Service { .. } => false,
         }
--- a/crates/flamingowheeld/tests/soak.rs
+++ b/crates/flamingowheeld/tests/soak.rs
@@ -7,7 +7,7 @@
 /// connections go silent. Reported outcomes must be true: no work order runs twice, no refused one
 /// has run, and no partial answer counts as complete.
 #[tokio::test(flavor = "multi_thread")]
-async fn seed_short_run() {
+async fn run_seed_short() {
     let options = Options {
         program: env!("CARGO_BIN_EXE_flamingowheeld").into(),
         seed: 1,
--- a/crates/flamingowheeld/tests/stop.rs
+++ b/crates/flamingowheeld/tests/stop.rs
@@ -39,8 +39,8 @@
     tokio::spawn(store::serve(listener, kv.clone()));
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let server_address = listener.local_addr().unwrap();
-    let ledger = RunCounter::default();
-    tokio::spawn(PlatformServer::new("s-1", ledger.clone(), WORK_DURATION, 4).serve(listener));
+    let run_counter = RunCounter::default();
+    tokio::spawn(PlatformServer::new("s-1", run_counter.clone(), WORK_DURATION, 4).serve(listener));
     write(&kv, &server_key("s-1"), server_record(server_address, 4, false)).await;
     write(&kv, CONFIGURATION_KEY, configuration(1, API_KEY, WORK_LIMIT_MS)).await;
 
@@ -67,7 +67,7 @@
             }
         }
     });
-    while ledger.runs("a") == 0 {
+    while run_counter.runs("a") == 0 {
         tokio::task::yield_now().await;
     }
     daemon.signal(Signal::TERM);
--- a/crates/observe/src/event.rs
+++ b/crates/observe/src/event.rs
@@ -124,7 +124,7 @@
     TombstoneWritten { attempt: u32 },
     /// A stream was resumed from a chunk over a new connection.
     Resumed { backend_server: Name, attempt: u32, from_chunk: u64 },
-    /// The whole answer was delivered.
+    /// The complete answer was delivered.
     Completed { class: Class, attempts: u32, chunks: u64, duration_ms: u64 },
     /// The request provably did not run.
     NotRun { class: Class, attempts: u32, reason: NotRunReason },
--- a/crates/observe/src/reason.rs
+++ b/crates/observe/src/reason.rs
@@ -44,7 +44,7 @@
 named_enum! {
     /// Outcome of a request as reported to the caller.
     Outcome {
-        /// The whole answer was delivered.
+        /// The complete answer was delivered.
         Complete = "complete",
         /// The request provably did not run.
         NotRun = "not_run",
--- a/crates/observe/tests/reference.rs
+++ b/crates/observe/tests/reference.rs
@@ -9,7 +9,7 @@
 const TIMELINE: &str = include_str!("../../../docs/operations/timeline.md");
 const ALARMS: &str = include_str!("../../../docs/operations/alarms.md");
 const TIMELINE_SNAPSHOT: &str =
-    include_str!("snapshots/timeline__to_text_agent_killed_tells_the_story.snap");
+    include_str!("snapshots/timeline__to_text_agent_killed_shows_all_related_events.snap");
 
 /// A label per workspace or request would exceed this immediately.
 const MAX_SERIES: usize = 150;
--- a/crates/observe/tests/timeline.rs
+++ b/crates/observe/tests/timeline.rs
@@ -70,7 +70,7 @@
 // The time line alone must show which backend server ran it, that the agent's events are missing
 // and why no further attempt followed.
 #[test]
-fn to_text_agent_killed_tells_the_story() {
+fn to_text_agent_killed_shows_all_related_events() {
     let entry = process("entry-1", START_MS);
     let runner = process("runner-2", START_MS - 700);
     let subject = Subject::request(request_id()).workspace("roadside").group("runners-a");
@@ -227,7 +227,8 @@
     assert!(text.contains("routed to runner-1"), "{text}");
 }
 
-// The property test below found that control characters in a process's name were printed as is.
+// Control characters in another process's name, printed as is, would move the terminal's cursor or
+// forge lines of the time line.
 #[test]
 fn to_text_control_characters_in_name_replaced() {
     let forged = process("agent\x1b[2A", START_MS);
