--- a/crates/policy/benches/model/baseline.rs
+++ b/crates/policy/benches/model/baseline.rs
@@ -20,12 +20,12 @@
 
 /// The last report of each server and the number of requests sent since.
 #[derive(Clone)]
-pub struct BaselineBook {
+pub struct BaselineLoads {
     reported: Vec<u16>,
     sent_since: Vec<u16>,
 }
 
-impl BaselineBook {
+impl BaselineLoads {
     pub fn new(servers: usize) -> Self {
         Self { reported: vec![0; servers], sent_since: vec![0; servers] }
     }
@@ -64,7 +64,7 @@
         }
     }
 
-    /// The least_loaded loaded server; ties are broken at random.
+    /// The least loaded server; ties are broken at random.
     fn least_loaded<I>(&self, servers: I, own_sends: bool, rng: &mut ChaCha8Rng) -> usize
     where
         I: Iterator<Item = usize>,
--- a/crates/policy/benches/model/limits.rs
+++ b/crates/policy/benches/model/limits.rs
@@ -18,7 +18,7 @@
     /// Load offered to all entries together, relative to the limit.
     pub load: f64,
     /// Number of entries that get the whole load at a time; they change every 20 s.
-    pub busy: u64,
+    pub busy_members: u64,
     /// Share of messages that are lost.
     pub message_loss: f64,
     /// Longest delay of a message; each is delayed by a random part of it.
@@ -54,12 +54,12 @@
     let mut messages: VecDeque<Sent> = VecDeque::new();
     let (mut now, end) = (Duration::ZERO, Duration::from_secs(200));
     let (mut admitted, mut sent, mut excess, mut worst) = (0.0, 0.0, 0.0f64, 0.0f64);
-    let rate_per_s = LIMITS.requests_per_s * config.load / config.busy as f64;
+    let rate_per_s = LIMITS.requests_per_s * config.load / config.busy_members as f64;
     while now < end {
         now += STEP;
         excess = (excess - LIMITS.requests_per_s * STEP.as_secs_f64()).max(0.0);
-        let first_busy = now.as_secs() / 20 * config.busy;
-        for n in 0..config.busy {
+        let first_busy = now.as_secs() / 20 * config.busy_members;
+        for n in 0..config.busy_members {
             let member = &mut members[((first_busy + n) % config.members) as usize];
             let offered = (rate_per_s * STEP.as_secs_f64() + rng.random::<f64>()) as u32;
             for _ in 0..offered {
--- a/crates/policy/benches/model/mod.rs
+++ b/crates/policy/benches/model/mod.rs
@@ -24,7 +24,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use baseline::BaselineBook;
+use baseline::BaselineLoads;
 use config::ClassFigures;
 pub use config::{Chooser, Class, Figures, ModelConfig};
 use prompts::Prompts;
@@ -58,6 +58,7 @@
     tried: Vec<ServerKey>,
     server: Option<usize>,
     started: Duration,
+    /// Whether it arrived after the warm-up and is included in the figures.
     counted: bool,
     same_body: bool,
     prompt: Vec<BlockHash>,
@@ -66,7 +67,7 @@
 struct Entry {
     prefixes: PrefixIndex,
     loads: LoadTracker,
-    baseline: BaselineBook,
+    baseline: BaselineLoads,
     budget: RetryBudget,
 }
 
@@ -97,7 +98,7 @@
         let entry = || Entry {
             prefixes: PrefixIndex::new(PrefixConfig { max_pending: 0, ..PrefixConfig::default() }),
             loads: loads.clone(),
-            baseline: BaselineBook::new(config.servers),
+            baseline: BaselineLoads::new(config.servers),
             budget: RetryBudget::new(RetryConfig::default()),
         };
         let figures = Figures {
--- a/crates/policy/benches/overload.rs
+++ b/crates/policy/benches/overload.rs
@@ -106,8 +106,9 @@
         ("two_entries_twice", 2.0, 2, 0.0, ms(2)),
         ("two_entries_twice_lossy_late", 2.0, 2, 0.2, ms(3_000)),
     ];
-    for (name, load, busy, message_loss, message_delay) in cases {
-        let config = LimitsConfig { seed, members: 8, load, busy, message_loss, message_delay };
+    for (name, load, busy_members, message_loss, message_delay) in cases {
+        let config =
+            LimitsConfig { seed, members: 8, load, busy_members, message_loss, message_delay };
         let figures = model::limits::run(&config);
         println!("limits_{name}_used={:.4}", figures.used);
         println!("limits_{name}_overshoot_s={:.4}", figures.overshoot_s);
--- a/crates/policy/src/batch.rs
+++ b/crates/policy/src/batch.rs
@@ -23,7 +23,8 @@
 const SLOT_LENGTH: Duration = Duration::from_millis(250);
 
 /// Time after a group has formed in which passes are ignored. The group starts with the first map
-/// and with all requests that waited; none of those can be in time, and that load does not recur.
+/// and with all requests that waited; none of those can meet the goal, and that load does not
+/// recur.
 const FORMATION_PERIOD: Duration = Duration::from_secs(4);
 
 /// Share of the pause goal that the longest mean pass may take. Single passes are longer than the
--- a/crates/policy/src/demand.rs
+++ b/crates/policy/src/demand.rs
@@ -39,7 +39,7 @@
     /// Usual distance of a window from the mean while demand doesn't shift.
     noise: f64,
     /// Windows in the mean since the last shift.
-    windows: u32,
+    windows_since_shift: u32,
 }
 
 impl Demand {
@@ -47,7 +47,7 @@
     pub fn new(shape: Shape) -> Self {
         let mean = vec![0.0; shape.sets * shape.experts];
         let is_known = vec![false; shape.sets];
-        Self { shape, mean, is_known, noise: INITIAL_NOISE, windows: 0 }
+        Self { shape, mean, is_known, noise: INITIAL_NOISE, windows_since_shift: 0 }
     }
 
     /// Records how often each expert was chosen in a window, by set and expert, flattened.
@@ -77,12 +77,12 @@
         let has_shifted =
             is_new || (distance > MIN_SHIFT_DISTANCE && distance > SHIFT_RATIO * self.noise);
         if has_shifted {
-            self.windows = 0;
+            self.windows_since_shift = 0;
         } else {
             self.noise += NOISE_WEIGHT * (distance - self.noise);
         }
-        self.windows += 1;
-        let weight = (1.0 / f64::from(self.windows)).max(NEWEST_WEIGHT);
+        self.windows_since_shift += 1;
+        let weight = (1.0 / f64::from(self.windows_since_shift)).max(NEWEST_WEIGHT);
         for (set, shares) in windows {
             let weight = if self.is_known[set] { weight } else { 1.0 };
             let start = set * self.shape.experts;
--- a/crates/policy/src/experts.rs
+++ b/crates/policy/src/experts.rs
@@ -73,9 +73,9 @@
 impl StepLimits {
     /// Limits for a group whose pass time is the share `pressure` of the pause goal.
     ///
-    /// A copy is charged for and lengthens passes by 15 % while it lasts. While passes are short,
-    /// only a gain that halves the load of a shifted set justifies that; close to the goal every
-    /// gain does.
+    /// A copy is billed and lengthens passes by 15 % while it lasts. While passes are short, only a
+    /// gain that halves the load of a shifted set justifies that; close to the goal every gain
+    /// does.
     ///
     /// ```
     /// use flamingowheel_policy::experts::{ChangeTimes, StepLimits};
@@ -213,9 +213,9 @@
             let Some((set, change)) = chosen else {
                 return;
             };
-            if change.copies().all(|rank| self.copies_by_rank[rank] < copies_per_rank) {
+            if change.copying_ranks().all(|rank| self.copies_by_rank[rank] < copies_per_rank) {
                 self.placements[set].apply(&change);
-                change.copies().for_each(|rank| self.copies_by_rank[rank] += 1);
+                change.copying_ranks().for_each(|rank| self.copies_by_rank[rank] += 1);
             }
             best[set] = self.best(set, copies_per_rank, limits);
         }
@@ -246,25 +246,25 @@
     copies: Vec<usize>,
 }
 
-/// Load changes of the few ranks that a change touches.
+/// Load changes of the few ranks that a change affects.
 #[derive(Debug, Default)]
 struct Deltas {
     by_rank: Vec<f64>,
-    touched: Vec<usize>,
+    affected: Vec<usize>,
 }
 
 impl Deltas {
     fn new(ranks: usize) -> Self {
-        Self { by_rank: vec![0.0; ranks], touched: Vec::new() }
+        Self { by_rank: vec![0.0; ranks], affected: Vec::new() }
     }
 
     fn add(&mut self, rank: usize, load: f64) {
-        self.touched.push(rank);
+        self.affected.push(rank);
         self.by_rank[rank] += load;
     }
 
     fn clear(&mut self) {
-        for rank in self.touched.drain(..) {
+        for rank in self.affected.drain(..) {
             self.by_rank[rank] = 0.0;
         }
     }
@@ -300,7 +300,7 @@
     }
 
     /// The ranks that copy an expert.
-    fn copies(&self) -> impl Iterator<Item = usize> {
+    fn copying_ranks(&self) -> impl Iterator<Item = usize> {
         let (to, back) = match self.kind {
             ChangeKind::Add { to, .. } => (Some(to), None),
             ChangeKind::Exchange { to, .. } => (Some(to), Some(self.from)),
@@ -369,11 +369,11 @@
         best
     }
 
-    /// The sum of `powers` after a change, updated for the touched ranks only.
+    /// The sum of `powers` after a change, recomputed for the affected ranks only.
     fn power_sum_after(&self, before: f64, deltas: &Deltas) -> f64 {
         let mut sum = before;
-        for (index, &rank) in deltas.touched.iter().enumerate() {
-            if !deltas.touched[..index].contains(&rank) {
+        for (index, &rank) in deltas.affected.iter().enumerate() {
+            if !deltas.affected[..index].contains(&rank) {
                 sum += power(self.loads[rank] + deltas.by_rank[rank]) - self.powers[rank];
             }
         }
@@ -481,7 +481,7 @@
                 self.hold(expert, to);
             }
         }
-        for rank in change.copies() {
+        for rank in change.copying_ranks() {
             self.copies[rank] += 1;
         }
         self.sum_loads();
--- a/crates/policy/src/limits.rs
+++ b/crates/policy/src/limits.rs
@@ -190,7 +190,7 @@
     base_share: f64,
     peers: Vec<EntryKey>,
     next_peer: usize,
-    number: u64,
+    last_request_number: u64,
     pending: HashMap<EntryKey, PendingRequest>,
     last_request_at: Option<Duration>,
     request_interval: Duration,
@@ -217,7 +217,7 @@
             base_share: 0.0,
             peers: Vec::new(),
             next_peer: 0,
-            number: 0,
+            last_request_number: 0,
             pending: HashMap::new(),
             last_request_at: None,
             request_interval: config.loan_request_interval,
@@ -312,12 +312,13 @@
         }
         let missing = missing.max(self.min_requested_share());
         let lender = renewed.map_or_else(|| self.pick_peer(), |held| held.lender);
-        self.number += 1;
+        self.last_request_number += 1;
         self.back_off();
         self.last_request_at = Some(now);
-        self.pending.insert(lender, PendingRequest { number: self.number, sent_at: now });
+        self.pending
+            .insert(lender, PendingRequest { number: self.last_request_number, sent_at: now });
         let returns = renewed.map(|held| held.number);
-        Some((lender, LoanRequest { number: self.number, share: missing, returns }))
+        Some((lender, LoanRequest { number: self.last_request_number, share: missing, returns }))
     }
 
     /// Grants a loan from the part of the base share that this entry's demand leaves. A duplicate
@@ -331,7 +332,7 @@
         if let Some(returned) = request.returns {
             self.granted.remove(&(borrower, returned));
         }
-        // Borrowed shares are not lent again: the third entry would not know when they expire.
+        // Borrowed shares are not lent again: a second borrower could not tell when they expire.
         let held: f64 = self.held.iter().map(|held| held.share).sum();
         let reserved = (self.demand_share() - held).max(self.base_share * MIN_KEPT_PART);
         let spare = self.base_share - self.granted_share(now) - reserved;
@@ -382,8 +383,8 @@
         let requests = self.demand_requests_per_s / self.limits.requests_per_s;
         let tokens = self.demand_tokens_per_s / self.limits.tokens_per_s;
         let in_flight = f64::from(self.in_flight) / f64::from(self.limits.in_flight);
-        let wanted = requests.max(tokens).max(in_flight) * HEADROOM;
-        if wanted.is_finite() { wanted.min(1.0) } else { 0.0 }
+        let share = requests.max(tokens).max(in_flight) * HEADROOM;
+        if share.is_finite() { share.min(1.0) } else { 0.0 }
     }
 
     fn min_requested_share(&self) -> f64 {
--- a/crates/policy/src/load.rs
+++ b/crates/policy/src/load.rs
@@ -294,7 +294,8 @@
         self.mean_share += (share - self.mean_share) * weight;
     }
 
-    /// Records the current load, as carried by an acceptance, a refusal or a chunk.
+    /// Records the current load, as carried by a message of the agent such as an acceptance or a
+    /// refusal.
     pub fn on_current_load(&mut self, server: ServerKey, load: Load, now: Duration) {
         self.on_report(server, load, now);
     }
@@ -345,5 +346,5 @@
     }
 }
 
-/// Variance of the occupancy of a busy engine, per place, from the routing bench.
+/// Variance of the occupancy of a busy engine, per place.
 const STATIONARY_VARIANCE_PER_PLACE: f64 = 0.3;
--- a/crates/policy/src/passes.rs
+++ b/crates/policy/src/passes.rs
@@ -26,8 +26,8 @@
 /// among twenty makes a stream late.
 const ADMITTED_SHARE: f64 = 0.75;
 
-/// The same for a request that was refused before and was sent again after the given delay. A
-/// second refusal costs it more than a first one costs a new request.
+/// Like [`ADMITTED_SHARE`], for a request that was refused before and was sent again after the
+/// given delay. A second refusal costs it more than a first one costs a new request.
 const RETRIED_SHARE: f64 = 0.8;
 
 /// Random variation of the limit between requests, to either side. All entries see the same passes;
@@ -37,8 +37,8 @@
 /// Passes in which a batch shrinks by two thirds while nothing is admitted.
 const PASSES_PER_REQUEST: f64 = 20.0;
 
-/// Shortest and longest retry delay, in milliseconds. Before the shortest nothing has changed; the
-/// longest outlasts the peak of most bursts and leaves the caller most of its deadline.
+/// Shortest and longest retry delay, in milliseconds. Within the shortest the batch hardly changes;
+/// the longest outlasts the peak of most bursts and leaves the caller most of its deadline.
 const RETRY_AFTER_MS: (f64, f64) = (250.0, 2_000.0);
 
 /// Decayed mean of a group's pass times, as observed from the pauses of its streams.
--- a/crates/policy/src/prefix.rs
+++ b/crates/policy/src/prefix.rs
@@ -2,8 +2,8 @@
 //!
 //! Engines publish numbered cache events late and with gaps. Events that arrive out of order wait
 //! for the missing ones. When those don't arrive, the gap is skipped and the index of that server
-//! loses weight with time, until a snapshot completes it. A wrong entry costs prefill time but
-//! never correctness, so memory is bounded by evicting the least recently used blocks.
+//! loses weight with time, until a snapshot completes it. A wrong block in the index costs prefill
+//! time but never correctness, so memory is bounded by evicting the least recently used blocks.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::Duration;
--- a/crates/policy/src/rebalance/load.rs
+++ b/crates/policy/src/rebalance/load.rs
@@ -102,10 +102,10 @@
     fn signal_part(&self) -> f64 {
         let share = difference_variance(self.fast_share, self.slow_share);
         let pairs = self.fast.iter().zip(&self.slow).zip(&self.errors);
-        let by_noise = |((fast, slow), error): ((&f64, &f64), &f64)| {
+        let noise_ratio = |((fast, slow), error): ((&f64, &f64), &f64)| {
             (fast - slow).powi(2) / (share * error).max(f64::MIN_POSITIVE)
         };
-        let mean = pairs.map(by_noise).sum::<f64>() / self.fast.len().max(1) as f64;
+        let mean = pairs.map(noise_ratio).sum::<f64>() / self.fast.len().max(1) as f64;
         if mean > NOISE_MARGIN { 1.0 - NOISE_MARGIN / mean } else { 0.0 }
     }
 }
--- a/crates/policy/src/rebalance/placement.rs
+++ b/crates/policy/src/rebalance/placement.rs
@@ -98,8 +98,9 @@
     /// ```
     pub fn after(&self, moves: &[Move]) -> Self {
         let mut after = self.clone();
-        for step in moves {
-            after.ranks[usize::from(step.rank)][usize::from(step.slot)] = step.load;
+        for replacement in moves {
+            after.ranks[usize::from(replacement.rank)][usize::from(replacement.slot)] =
+                replacement.load;
         }
         after
     }
--- a/crates/policy/src/rebalance/score.rs
+++ b/crates/policy/src/rebalance/score.rs
@@ -30,7 +30,7 @@
 /// One value per forecast.
 pub(super) type Values = [f64; FORECASTS];
 
-fn each<F>(value: F) -> Values
+fn per_forecast<F>(value: F) -> Values
 where
     F: FnMut(usize) -> f64,
 {
@@ -80,11 +80,11 @@
     pub(super) fn new(placement: &Placement, loads: [&[f64]; FORECASTS], speeds: &[f64]) -> Self {
         let experts = loads[0].len();
         let total_speed: f64 = speeds.iter().sum();
-        let scale = each(|index| {
+        let scale = per_forecast(|index| {
             let total: f64 = loads[index].iter().sum();
             if total > 0.0 { total_speed / total } else { 0.0 }
         });
-        let load = |expert: usize| each(|index| loads[index][expert] * scale[index]);
+        let load = |expert: usize| per_forecast(|index| loads[index][expert] * scale[index]);
         let mut score = Self {
             slots: placement.ranks.iter().flatten().copied().collect(),
             first_slot: Vec::with_capacity(placement.ranks.len() + 1),
@@ -118,7 +118,7 @@
     }
 
     /// Recomputes the ranks of each expert's replicas.
-    fn list_hosts(&mut self) {
+    fn update_hosts(&mut self) {
         self.first_host.fill(0);
         for &expert in &self.slots {
             self.first_host[usize::from(expert) + 1] += 1;
@@ -137,7 +137,7 @@
 
     /// Recomputes all shares, times and powers.
     fn refresh(&mut self) {
-        self.list_hosts();
+        self.update_hosts();
         self.shares.clear();
         self.times.fill([0.0; FORECASTS]);
         for expert in 0..self.expert_count() {
@@ -156,7 +156,7 @@
         for (target, times) in self.powers.iter_mut().zip(&self.times) {
             *target = powers(times);
         }
-        self.total = each(|index| self.powers.iter().map(|powers| powers[index]).sum());
+        self.total = per_forecast(|index| self.powers.iter().map(|powers| powers[index]).sum());
     }
 
     /// The current placement.
@@ -308,8 +308,8 @@
 
     /// First part of adding a replica of an expert: the totals after its current hosts share their
     /// load with one more replica.
-    pub(super) fn half_add(&self, expert: Expert) -> Values {
-        let less = self.less_each(expert);
+    pub(super) fn partial_add(&self, expert: Expert) -> Values {
+        let less = self.load_change_per_host(expert);
         let mut total = self.total;
         for &host in self.hosts_of(expert) {
             self.shift(host, &less, &mut total);
@@ -318,26 +318,26 @@
     }
 
     /// Predicted step time if the replica in `slot` is replaced by one of `expert`, which the rank
-    /// does not hold yet, given the totals `half` from [`Score::half_add`]; `None` if it is
+    /// does not hold yet, given the totals `partial` from [`Score::partial_add`]; `None` if it is
     /// provably not below `limit`.
     pub(super) fn after_add(
         &self,
-        half: &Values,
+        partial: &Values,
         (slot, expert): Write,
         limit: f64,
     ) -> Option<f64> {
         let rank = self.rank_of(slot);
         let dropped = self.expert_in(slot);
         let (given, taken) = (self.share(dropped), self.share_with(expert, 1));
-        let mut total = *half;
-        self.shift(rank, &each(|index| taken[index] - given[index]), &mut total);
+        let mut total = *partial;
+        self.shift(rank, &per_forecast(|index| taken[index] - given[index]), &mut total);
         // The load of the other hosts of the dropped expert can only increase.
         if is_at_least(&total, limit) {
             return None;
         }
         let dropped_after = self.share_with_less(dropped);
-        let more = each(|index| dropped_after[index] - given[index]);
-        let less = self.less_each(expert);
+        let more = per_forecast(|index| dropped_after[index] - given[index]);
+        let less = self.load_change_per_host(expert);
         for &host in self.hosts_of(dropped).iter().filter(|host| **host != rank) {
             if self.is_placed_on(expert, host) {
                 self.shift_twice(host, &less, &more, &mut total);
@@ -348,10 +348,10 @@
         (!is_at_least(&total, limit)).then(|| step_time(&total))
     }
 
-    /// Load change of each host of an expert if it had one more replica.
-    fn less_each(&self, expert: Expert) -> Values {
+    /// Load change of each host of an expert if the expert had one more replica.
+    fn load_change_per_host(&self, expert: Expert) -> Values {
         let (before, after) = (self.share(expert), self.share_with(expert, 1));
-        each(|index| after[index] - before[index])
+        per_forecast(|index| after[index] - before[index])
     }
 
     /// Adds the effect of the load change `second` to the total, given that it already includes
@@ -359,37 +359,41 @@
     fn shift_twice(&self, rank: u16, first: &Values, second: &Values, total: &mut Values) {
         let mut undone = [0.0; FORECASTS];
         self.shift(rank, first, &mut undone);
-        self.shift(rank, &each(|index| first[index] + second[index]), total);
+        self.shift(rank, &per_forecast(|index| first[index] + second[index]), total);
         for (total, undone) in total.iter_mut().zip(undone) {
             *total -= undone;
         }
     }
 
     /// First part of a swap: the totals after the expert in `slot` is replaced by `resident`.
-    pub(super) fn half_swap(&self, slot: Slot, resident: Expert) -> Values {
+    pub(super) fn partial_swap(&self, slot: Slot, resident: Expert) -> Values {
         let (given, taken) = (self.share(self.expert_in(slot)), self.share(resident));
         let mut total = self.total;
-        self.shift(self.rank_of(slot), &each(|index| taken[index] - given[index]), &mut total);
+        self.shift(
+            self.rank_of(slot),
+            &per_forecast(|index| taken[index] - given[index]),
+            &mut total,
+        );
         total
     }
 
     /// Predicted step time if the expert in slot `other` is replaced by `expert`, given the totals
-    /// `half` from [`Score::half_swap`]; `None` if it is provably not below `limit`.
+    /// `partial` from [`Score::partial_swap`]; `None` if it is provably not below `limit`.
     pub(super) fn after_swap(
         &self,
-        half: &Values,
+        partial: &Values,
         (other, expert): Write,
         limit: f64,
     ) -> Option<f64> {
         let rank = self.rank_of(other);
         let rank_powers = &self.powers[usize::from(rank)];
         // Lower bound: the other rank without any load.
-        if is_at_least(&each(|index| half[index] - rank_powers[index]), limit) {
+        if is_at_least(&per_forecast(|index| partial[index] - rank_powers[index]), limit) {
             return None;
         }
         let (given, taken) = (self.share(self.expert_in(other)), self.share(expert));
-        let mut total = *half;
-        self.shift(rank, &each(|index| taken[index] - given[index]), &mut total);
+        let mut total = *partial;
+        self.shift(rank, &per_forecast(|index| taken[index] - given[index]), &mut total);
         (!is_at_least(&total, limit)).then(|| step_time(&total))
     }
 
@@ -399,16 +403,16 @@
         let (dropped_share, share) = (self.share(dropped), self.share(expert));
         let dropped_after = self.share_with_less(dropped);
         let after = self.share_with(expert, 1);
-        let more = each(|index| dropped_after[index] - dropped_share[index]);
-        let less = each(|index| after[index] - share[index]);
-        let load_change = each(|index| after[index] - dropped_share[index]);
+        let more = per_forecast(|index| dropped_after[index] - dropped_share[index]);
+        let less = per_forecast(|index| after[index] - share[index]);
+        let load_change = per_forecast(|index| after[index] - dropped_share[index]);
         self.shift(rank, &load_change, total);
         for &host in self.hosts_of(dropped) {
             if host == rank {
                 continue;
             }
             if self.is_placed_on(expert, host) {
-                self.shift(host, &each(|index| more[index] + less[index]), total);
+                self.shift(host, &per_forecast(|index| more[index] + less[index]), total);
             } else {
                 self.shift(host, &more, total);
             }
@@ -424,7 +428,7 @@
     fn shift(&self, rank: u16, load: &Values, total: &mut Values) {
         let rank = usize::from(rank);
         let inverse_speed = self.inverse_speeds[rank];
-        let times = each(|index| self.times[rank][index] + load[index] * inverse_speed);
+        let times = per_forecast(|index| self.times[rank][index] + load[index] * inverse_speed);
         let after = powers(&times);
         for (index, total) in total.iter_mut().enumerate() {
             *total += after[index] - self.powers[rank][index];
--- a/crates/policy/src/rebalance/search.rs
+++ b/crates/policy/src/rebalance/search.rs
@@ -238,29 +238,30 @@
     fn swap_or_add(&self, from: usize, state: &State, slot: Slot, cheapest: &mut Cheapest) {
         let expert = state.score.expert_in(slot);
         let rank = state.score.rank_of(slot);
-        let mut halves: Vec<Option<Values>> = vec![None; usize::from(state.score.expert_count())];
+        let mut partial_swaps: Vec<Option<Values>> =
+            vec![None; usize::from(state.score.expert_count())];
         let score = &state.score;
-        let half_add = score.half_add(expert);
+        let partial_add = score.partial_add(expert);
         for other in 0..score.slot_count() {
             let resident = score.expert_in(other);
             let host = score.rank_of(other);
             if host == rank || score.is_placed_on(expert, host) {
                 continue;
             }
-            let swaps = !score.is_placed_on(resident, rank)
+            let can_swap = !score.is_placed_on(resident, rank)
                 && score.relieves(slot, resident, 0)
                 && score.fits(other, expert, 0, rank);
-            let adds = score.replicas(resident) > 1 && score.fits(other, expert, 1, rank);
-            if swaps {
-                let half = halves[usize::from(resident)]
-                    .get_or_insert_with(|| score.half_swap(slot, resident));
+            let can_add = score.replicas(resident) > 1 && score.fits(other, expert, 1, rank);
+            if can_swap {
+                let partial = partial_swaps[usize::from(resident)]
+                    .get_or_insert_with(|| score.partial_swap(slot, resident));
                 let change = Change::Swap((slot, resident), (other, expert));
-                let evaluate = |limit| score.after_swap(half, (other, expert), limit);
+                let evaluate = |limit| score.after_swap(partial, (other, expert), limit);
                 self.evaluate(from, state, change, evaluate, cheapest);
             }
-            if adds {
+            if can_add {
                 let write = (other, expert);
-                let evaluate = |limit| score.after_add(&half_add, write, limit);
+                let evaluate = |limit| score.after_add(&partial_add, write, limit);
                 self.evaluate(from, state, Change::Replace(write), evaluate, cheapest);
             }
         }
--- a/crates/policy/src/subset.rs
+++ b/crates/policy/src/subset.rs
@@ -231,8 +231,8 @@
         data_centre: DataCentreKey,
     ) -> Vec<EntryKey> {
         let mut entries = self.subset(workspace, scopes, rate_per_s);
-        let at = self.entries.values().find(|entry| entry.data_centre == data_centre);
-        let region = at.map(|entry| entry.region);
+        let local = self.entries.values().find(|entry| entry.data_centre == data_centre);
+        let region = local.map(|entry| entry.region);
         entries.sort_by_key(|entry| {
             let entry = &self.entries[entry];
             (entry.data_centre != data_centre, Some(entry.region) != region)
@@ -327,7 +327,7 @@
         let mut chosen: Vec<EntryKey> = Vec::with_capacity(target_count);
         for slot in 0..target_count as u64 {
             let seed = mix(cell.id, slot);
-            let is_open = |entry: &EntryInfo| {
+            let is_eligible = |entry: &EntryInfo| {
                 is_near(entry)
                     && !chosen.contains(&entry.key)
                     && quota[&entry.data_centre] > 0
@@ -336,7 +336,7 @@
             // If a small data centre can't fill its share, others do. Redundancy takes precedence
             // over the entries' capacity, and over staying within the region.
             let is_unchosen = |entry: &EntryInfo| !chosen.contains(&entry.key);
-            let best = self.best(seed, is_open);
+            let best = self.best(seed, is_eligible);
             let best =
                 best.or_else(|| self.best(seed, |entry| is_near(entry) && is_unchosen(entry)));
             let Some(best) = best.or_else(|| self.best(seed, is_unchosen)) else { break };
@@ -347,12 +347,12 @@
         chosen
     }
 
-    fn best<F>(&self, seed: u64, is_open: F) -> Option<&EntryInfo>
+    fn best<F>(&self, seed: u64, is_eligible: F) -> Option<&EntryInfo>
     where
         F: Fn(&EntryInfo) -> bool,
     {
-        let open = self.entries.values().filter(|entry| is_open(entry));
-        open.max_by(|a, b| {
+        let eligible = self.entries.values().filter(|entry| is_eligible(entry));
+        eligible.max_by(|a, b| {
             score(seed, a.key.0, a.weight).total_cmp(&score(seed, b.key.0, b.weight))
         })
     }
@@ -371,7 +371,7 @@
     }
 }
 
-/// The score of weighted rendezvous hashing.
+/// The score of weighted rendezvous hashing: the key with the highest score is chosen.
 fn score(seed: u64, key: u64, weight: f64) -> f64 {
     -weight / unit(mix(seed, key)).ln()
 }
--- a/crates/policy/src/topology.rs
+++ b/crates/policy/src/topology.rs
@@ -14,8 +14,8 @@
 /// Children of each entry as a first parent, and again as a second parent.
 pub const FANOUT: usize = 4;
 
-/// Entries that watch the key-value service for the whole fleet, where each call to it is charged:
-/// one may be partitioned and another one stopped.
+/// Entries that watch the key-value service for the whole fleet, where each call to it is billed.
+/// Two of them may fail, for example one partitioned and one stopped.
 pub const FOLLOWERS: usize = 3;
 
 /// Name and data centre of one entry.
@@ -90,7 +90,7 @@
         others.filter_map(move |(_, order)| order.get(position).or(order.first()).copied())
     }
 
-    /// The entries that poll this one. It monitors all of them in turn.
+    /// The entries that poll this one, which monitors them in return.
     pub fn pollers(&self, data_centre: &str, name: &str) -> Vec<&'a str> {
         let order = self.order(data_centre);
         let Some(position) = order.iter().position(|other| *other == name) else {
@@ -174,10 +174,11 @@
     fn poll_targets_bounded_and_connected() {
         let names: Vec<String> = (0..380).map(|number| format!("entry-{number}")).collect();
         let centres: Vec<String> = (0..5).map(|number| format!("dc-{number}")).collect();
-        let entry = |at: usize| EntryRef { data_centre: &centres[at % 5], name: &names[at] };
+        let entry =
+            |index: usize| EntryRef { data_centre: &centres[index % 5], name: &names[index] };
         let topology = Topology::new((0..380).map(entry));
-        for at in 0..380 {
-            let EntryRef { data_centre, name } = entry(at);
+        for index in 0..380 {
+            let EntryRef { data_centre, name } = entry(index);
             let links = topology.poll_targets(data_centre, name).len()
                 + topology.pollers(data_centre, name).len();
             assert!(links <= 2 + 2 * FANOUT + 2 * 4, "{links}");
@@ -198,15 +199,16 @@
     fn followers_in_several_data_centres() {
         let names: Vec<String> = (0..149).map(|number| format!("entry-{number}")).collect();
         let centres: Vec<String> = (0..5).map(|number| format!("dc-{number}")).collect();
-        let entry = |at: usize| EntryRef { data_centre: &centres[at % 5], name: &names[at] };
+        let entry =
+            |index: usize| EntryRef { data_centre: &centres[index % 5], name: &names[index] };
         let topology = Topology::new((0..149).map(entry));
         let followers = topology.followers();
         let data_centre = |name: &&str| names.iter().position(|n| n == name).unwrap() % 5;
         let distinct: std::collections::HashSet<usize> =
             followers.iter().map(data_centre).collect();
         assert_eq!((followers.len(), distinct.len()), (FOLLOWERS, FOLLOWERS));
-        for at in 0..149 {
-            let EntryRef { data_centre, name } = entry(at);
+        for index in 0..149 {
+            let EntryRef { data_centre, name } = entry(index);
             let sources = topology.sources(data_centre, name);
             assert!(sources.len() >= 2 && !sources.contains(&name));
         }
--- a/crates/policy/tests/batch.rs
+++ b/crates/policy/tests/batch.rs
@@ -9,7 +9,7 @@
 const ENTRIES: usize = 7;
 const RANKS: f64 = 12.0;
 const PAUSE_GOAL_MS: f64 = 120.0;
-const STEPS: f64 = 4.0;
+const STEPS_PER_PASS: f64 = 4.0;
 const STEP_MS: f64 = 4.55;
 const PER_SEQUENCE_MS: f64 = 0.905;
 /// Share of the pass time that is proportional to the skew.
@@ -18,9 +18,9 @@
 const EVENTS: u32 = 24;
 const ARRIVALS_PER_S: f64 = 52.0;
 const SECONDS: f64 = 40.0;
-const SHIFT_EVERY_MS: f64 = 2_700.0;
+const SHIFT_INTERVAL_MS: f64 = 2_700.0;
 /// Time from a shift until the expert map is balanced again.
-const IMBALANCED_MS: f64 = 1_000.0;
+const IMBALANCE_MS: f64 = 1_000.0;
 const BALANCED_SKEW: f64 = 1.25;
 const SHIFTED_SKEW: f64 = 2.9;
 
@@ -131,8 +131,8 @@
 
 fn model() -> PassModel {
     PassModel {
-        fixed_ms: STEPS * STEP_MS,
-        per_request_ms: STEPS * PER_SEQUENCE_MS * ENTRIES as f64 / RANKS,
+        fixed_ms: STEPS_PER_PASS * STEP_MS,
+        per_request_ms: STEPS_PER_PASS * PER_SEQUENCE_MS * ENTRIES as f64 / RANKS,
         expert_share: EXPERT_SHARE,
     }
 }
@@ -144,11 +144,11 @@
 {
     let step_ms = STEP_MS + PER_SEQUENCE_MS * batch as f64 / RANKS;
     let ratio = 1.0 - EXPERT_SHARE + EXPERT_SHARE * skew;
-    STEPS * step_ms * ratio * rng.random_range(0.95..1.2)
+    STEPS_PER_PASS * step_ms * ratio * rng.random_range(0.95..1.2)
 }
 
 fn skew_at(scenario: Scenario, now_ms: f64) -> f64 {
-    let is_imbalanced = scenario.has_shifts && now_ms % SHIFT_EVERY_MS < IMBALANCED_MS;
+    let is_imbalanced = scenario.has_shifts && now_ms % SHIFT_INTERVAL_MS < IMBALANCE_MS;
     if is_imbalanced { SHIFTED_SKEW } else { BALANCED_SKEW }
 }
 
--- a/crates/policy/tests/experts.rs
+++ b/crates/policy/tests/experts.rs
@@ -133,8 +133,8 @@
     assert!(after < before * 0.6, "{before} became {after}");
 }
 
-/// Copies are charged for and lengthen passes while they last: while passes are short, there must
-/// be no copies for a gain that no caller would notice.
+/// Copies are billed and lengthen passes while they last. While passes are short, there must be no
+/// copies for a gain that no caller would notice.
 #[test]
 fn step_low_pressure_copies_less() {
     let demand = demand(0);
--- a/crates/policy/tests/passes.rs
+++ b/crates/policy/tests/passes.rs
@@ -72,8 +72,7 @@
 
 /// For half a minute a fifth more requests arrive than the group can serve in time. If all are
 /// admitted, they slow each other down until every stream has a pause over the goal, although the
-/// engines run at full speed. Each of the many entries sees only a few streams and doesn't know of
-/// the others'.
+/// engines run at full speed. Each of the many entries observes only its own few streams.
 #[test]
 fn limit_ms_overload_most_served_in_time() {
     let unlimited = simulate(false, ARRIVALS_PER_S);
--- a/crates/protocol/src/archive.rs
+++ b/crates/protocol/src/archive.rs
@@ -1,7 +1,8 @@
 //! Answers of finished tickets, stored in the key-value service by an agent that shuts down.
 //!
-//! They serve callers that resend a request after the agent has gone. A missing answer proves
-//! nothing, unless the agent sealed its archive: then a ticket that is not in it never ran.
+//! They serve callers that resend a request after the agent has gone. Without an answer it is
+//! unknown whether the ticket ran, unless the agent sealed its archive: then a ticket that is not
+//! in it never ran.
 
 use crate::id::{Fingerprint, Incarnation, Window};
 use bytes::Bytes;
@@ -18,19 +19,19 @@
 /// The complete answer of a finished ticket.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ArchivedAnswer {
-    /// The ticket's number.
+    /// Number of the ticket that the answer belongs to.
     #[serde(rename = "n")]
     pub number: Uuid,
     /// Hash of workspace, route and body.
     #[serde(rename = "f")]
     pub fingerprint: Fingerprint,
-    /// The HTTP status.
+    /// HTTP status of the answer.
     #[serde(rename = "s")]
     pub status: u16,
-    /// Media type of the body.
+    /// Media type of `body`.
     #[serde(rename = "t")]
     pub content_type: String,
-    /// The body.
+    /// Body of the answer, stored as a byte string.
     #[serde(rename = "b", with = "crate::message::serde_body")]
     pub body: Bytes,
 }
@@ -105,8 +106,8 @@
     bytes.into()
 }
 
-/// Looks a ticket up in its bucket and its agent's seal, both read at the same revision. A value
-/// that can't be decoded proves nothing.
+/// Looks a ticket up in its bucket and its agent's seal, both read at the same revision. If the
+/// bucket can't be decoded, the result is unknown; a seal that can't be decoded counts as missing.
 ///
 /// ```
 /// use flamingowheel_protocol::archive::{ArchiveLookup, Seal, encode, lookup};
--- a/crates/protocol/src/auth.rs
+++ b/crates/protocol/src/auth.rs
@@ -66,7 +66,8 @@
 /// First handshake message, from the side that opened the connection.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Opening {
-    /// Protocol version.
+    /// [`VERSION`] of the side that opened the connection; the other side refuses any other
+    /// version.
     pub version: u16,
     /// Identity of the side that opened the connection.
     pub hello: Hello,
@@ -83,7 +84,7 @@
     /// Random challenge to the opener.
     #[serde(with = "serde_bytes")]
     pub challenge: [u8; 32],
-    /// Tag over both hellos and challenges.
+    /// The acceptor's tag over the opening message and the acceptor's hello and challenge.
     #[serde(with = "serde_bytes")]
     pub tag: [u8; 32],
 }
@@ -91,7 +92,7 @@
 /// Third handshake message, from the opener.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Proof {
-    /// Tag over both hellos and challenges.
+    /// The opener's tag over the same data as the acceptor's.
     #[serde(with = "serde_bytes")]
     pub tag: [u8; 32],
 }
@@ -111,7 +112,7 @@
 /// The handshake data that both sides' tags cover.
 #[derive(Debug)]
 pub struct Transcript<'a> {
-    /// The opener's message.
+    /// The first handshake message.
     pub opening: &'a Opening,
     /// The acceptor's hello.
     pub acceptor: &'a Hello,
--- a/crates/protocol/src/codec.rs
+++ b/crates/protocol/src/codec.rs
@@ -18,7 +18,7 @@
         /// Encoded size, in bytes.
         bytes: usize,
     },
-    /// The bytes are no batch of the expected messages, or a message can't be encoded.
+    /// The bytes are not a batch of the expected messages, or a message can't be encoded.
     #[error("malformed batch")]
     Malformed,
     /// Bytes follow the batch.
--- a/crates/protocol/src/id.rs
+++ b/crates/protocol/src/id.rs
@@ -24,7 +24,7 @@
 /// discarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AttemptId {
-    /// The request.
+    /// The request that this is an attempt to run.
     #[serde(rename = "r")]
     pub request: RequestId,
     /// Number of the attempt within the request, from 1.
--- a/crates/protocol/src/link.rs
+++ b/crates/protocol/src/link.rs
@@ -105,7 +105,7 @@
         limit_ms: u64,
     },
     /// The other side accepted nothing within the stuck limit.
-    #[error("connection took no data for {limit_ms} ms")]
+    #[error("connection accepted no data for {limit_ms} ms")]
     Stuck {
         /// The limit, in milliseconds.
         limit_ms: u64,
@@ -198,8 +198,9 @@
 {
     let timing = options.timing;
     loop {
-        // A device between the two ends may have lost track of the connection: it stays open but
-        // delivers nothing. Since the peer sends heartbeats, silence shows it.
+        // A NAT device or firewall may have dropped its state of the connection, which then stays
+        // open but delivers nothing. Since the peer sends heartbeats, silence means that the
+        // connection is broken.
         let bytes = match timeout(timing.silence_limit, stream.next()).await {
             Ok(Some(bytes)) => bytes,
             Ok(None) => return Err(LinkError::Closed),
--- a/crates/protocol/src/lists.rs
+++ b/crates/protocol/src/lists.rs
@@ -6,7 +6,7 @@
 
 /// The experts that one rank holds in one set of layers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct Held {
+struct ExpertList {
     set: u16,
     rank: u16,
     experts: Vec<u16>,
@@ -32,7 +32,7 @@
         let changed = old.iter().zip(new).enumerate().filter(|(_, (old, new))| old != new);
         for (rank, (_, experts)) in changed {
             let (set, rank) = (u16::try_from(set).ok()?, u16::try_from(rank).ok()?);
-            changes.push(Held { set, rank, experts: experts.clone() });
+            changes.push(ExpertList { set, rank, experts: experts.clone() });
         }
     }
     Packed::pack(&changes)
@@ -40,9 +40,9 @@
 
 /// Applies packed changes to `old`; `None` if they can't be decoded or don't fit its shape.
 pub fn apply_changes(old: &Map, changes: &Packed) -> Option<Map> {
-    let changes: Vec<Held> = changes.unpack()?;
+    let changes: Vec<ExpertList> = changes.unpack()?;
     let mut map = old.clone();
-    for Held { set, rank, experts } in changes {
+    for ExpertList { set, rank, experts } in changes {
         *map.get_mut(usize::from(set))?.get_mut(usize::from(rank))? = experts;
     }
     Some(map)
--- a/crates/protocol/src/message.rs
+++ b/crates/protocol/src/message.rs
@@ -101,9 +101,9 @@
     pub incarnation: Incarnation,
     /// The newest record window of the agent that the sender knows.
     pub window: Window,
-    /// The workspace.
+    /// Name of the workspace that sent the request.
     pub workspace: String,
-    /// The HTTP method.
+    /// HTTP method of the request to the backend server.
     pub method: String,
     /// Path and query at the backend server.
     pub path: String,
@@ -138,7 +138,7 @@
     /// Continue an attempt on this connection. If the agent never received it, it records a
     /// tombstone and refuses with [`Refusal::NeverArrived`].
     Attach {
-        /// The attempt.
+        /// The attempt to continue.
         attempt: AttemptId,
         /// Key of the execution in the agent's records.
         key: ExecutionKey,
@@ -151,7 +151,7 @@
     },
     /// Don't run the attempt, or stop it. Non-idempotent work that has started is left to finish.
     Cancel {
-        /// The attempt.
+        /// The attempt to cancel.
         attempt: AttemptId,
         /// Key of the execution in the agent's records.
         key: ExecutionKey,
@@ -164,7 +164,7 @@
     },
     /// Acknowledges the chunks that have arrived.
     Acknowledge {
-        /// The attempt.
+        /// The attempt whose chunks are acknowledged.
         attempt: AttemptId,
         /// Key of the execution in the agent's records.
         key: ExecutionKey,
@@ -173,7 +173,7 @@
     },
     /// The sender no longer needs the attempt; the agent may drop its answer.
     Release {
-        /// The attempt.
+        /// The attempt whose answer is no longer needed.
         attempt: AttemptId,
         /// Key of the execution in the agent's records.
         key: ExecutionKey,
@@ -186,7 +186,7 @@
     Order {
         /// Number chosen by the sender; the answer carries it.
         number: u64,
-        /// The request.
+        /// The request, encoded by the coordinator's crate.
         #[serde(with = "serde_body")]
         body: Bytes,
     },
@@ -257,11 +257,11 @@
 /// Messages from an agent to an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AgentMessage {
-    /// The attempt is queued or running. From here on a lost connection proves nothing about its
-    /// outcome.
+    /// The attempt is queued or running. If the connection is lost from here on, its outcome is
+    /// unknown.
     #[serde(rename = "a")]
     Accepted {
-        /// The attempt.
+        /// The accepted attempt.
         #[serde(rename = "i")]
         attempt: AttemptId,
         /// The agent's current load.
@@ -271,10 +271,10 @@
     /// The attempt did not and will not run.
     #[serde(rename = "r")]
     Refused {
-        /// The attempt.
+        /// The refused attempt.
         #[serde(rename = "i")]
         attempt: AttemptId,
-        /// Why.
+        /// Why it did not run.
         #[serde(rename = "w")]
         refusal: Refusal,
         /// The agent's current load.
@@ -284,10 +284,10 @@
     /// The answer begins.
     #[serde(rename = "h")]
     Head {
-        /// The attempt.
+        /// The attempt that is answered.
         #[serde(rename = "i")]
         attempt: AttemptId,
-        /// The HTTP status.
+        /// HTTP status of the answer.
         #[serde(rename = "s")]
         status: u16,
         /// Media type of the body.
@@ -300,7 +300,7 @@
     /// A piece of the body.
     #[serde(rename = "c")]
     Chunk {
-        /// The attempt.
+        /// The attempt whose answer the chunk is part of.
         #[serde(rename = "i")]
         attempt: AttemptId,
         /// Number of the chunk within the answer, from 0.
@@ -316,7 +316,7 @@
     /// The answer is complete.
     #[serde(rename = "e")]
     End {
-        /// The attempt.
+        /// The attempt whose answer is complete.
         #[serde(rename = "i")]
         attempt: AttemptId,
         /// Number of chunks in the complete answer.
@@ -329,10 +329,10 @@
     /// The attempt may have run, but there is no complete answer.
     #[serde(rename = "f")]
     Failed {
-        /// The attempt.
+        /// The failed attempt.
         #[serde(rename = "i")]
         attempt: AttemptId,
-        /// Why.
+        /// Why there is no complete answer.
         #[serde(rename = "w")]
         failure: Failure,
         /// Requests running or waiting at the agent.
@@ -368,7 +368,7 @@
         /// The order's number.
         #[serde(rename = "n")]
         number: u64,
-        /// The answer.
+        /// The answer, encoded by the coordinator's crate.
         #[serde(rename = "d", with = "serde_body")]
         body: Bytes,
     },
@@ -419,7 +419,7 @@
 /// Load carried by a message, as of when the message was made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadHint {
-    /// The full load.
+    /// All fields of the load.
     Whole(Load),
     /// The compact form.
     Occupancy(Occupancy),
--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// The state of one entry, as stated by itself or, if it is silent or gone, by another entry.
+/// The state of one entry, as reported by itself or, if it is silent or gone, by another entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRecord {
     /// Name, unique in the fleet.
@@ -49,13 +49,13 @@
 /// State of an entry. Among records of the same version the state that is later in this list wins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum MemberState {
-    /// Accepts requests; stated by itself.
+    /// Accepts requests; reported by itself.
     Live,
-    /// Accepts no new requests and finishes those in progress; stated by itself.
+    /// Accepts no new requests and finishes those in progress; reported by itself.
     Leaving,
-    /// Sent no heartbeat for a while; stated by another entry. It may only be partitioned.
+    /// Sent no heartbeat for a while; reported by another entry. It may be running but partitioned.
     Silent,
-    /// Silent, and its VM is no longer listed; stated by another entry.
+    /// Silent, and its VM is no longer listed; reported by another entry.
     Gone,
 }
 
@@ -117,7 +117,7 @@
     /// Long poll: the peer may delay its answer up to this long until it has changes.
     #[serde(rename = "h")]
     pub hold_ms: u32,
-    /// Changes that the sender learnt of since the peer's last answer.
+    /// Changes that the sender has received since the peer's last answer.
     #[serde(rename = "n", default, skip_serializing_if = "MembershipUpdate::is_empty")]
     pub updates: MembershipUpdate,
     /// Digests of the parts of the sender's agent directory. If given, the answer contains the
@@ -193,7 +193,7 @@
     Status,
     /// Borrow a part of the peer's share of a workspace's limits.
     Loan {
-        /// The workspace.
+        /// Name of the workspace whose limits are borrowed.
         workspace: String,
         /// Name of the entry that asks.
         borrower: String,
@@ -246,11 +246,11 @@
 /// A message on a connection between two entries.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerFrame {
-    /// A request.
+    /// A request, numbered by its sender.
     Request {
         /// Chosen by the sender; the answer carries it.
         number: u64,
-        /// The request.
+        /// What is asked of the receiver.
         request: PeerRequest,
     },
     /// The answer to a request.
--- a/crates/protocol/src/ranks.rs
+++ b/crates/protocol/src/ranks.rs
@@ -19,19 +19,19 @@
         epoch: u64,
         /// The map's version.
         version: u64,
-        /// The map.
+        /// The experts of all ranks, by set and rank.
         map: Arc<Map>,
         /// Engine addresses by rank, for the agent that must finish the change if the coordinator
-        /// dies.
+        /// fails.
         engines: Arc<Vec<SocketAddr>>,
     },
     /// One rank's agent holds the coordinator's own engine before a pass. The coordinator does not
-    /// do so itself: whoever gives the order may die right after it, and then the agent beside the
-    /// held engine must be alive to release it.
+    /// do so itself: the issuer of the hold may fail right after it, and then the agent beside the
+    /// held engine must be running to release it.
     Held {
         /// The group's epoch.
         epoch: u64,
-        /// The pass.
+        /// The pass that must not start before the hold is released.
         pass: u64,
         /// The rank whose agent holds the engine.
         by: usize,
--- a/crates/protocol/src/targets.rs
+++ b/crates/protocol/src/targets.rs
@@ -55,7 +55,7 @@
         epoch: u64,
         /// The map's version.
         version: u64,
-        /// The map.
+        /// The map, as a whole or as changes.
         map: MapMessage,
         /// The engine addresses by rank; `None` if they equal those last sent.
         engines: Option<Packed>,
@@ -64,7 +64,7 @@
     Held {
         /// The group's epoch.
         epoch: u64,
-        /// The pass.
+        /// The pass that must not start before the hold is released.
         pass: u64,
         /// The rank whose agent holds the engine.
         by: usize,
@@ -84,8 +84,8 @@
     },
 }
 
-#[derive(Clone, Debug, Default)]
 /// The values last sent or received on a connection, which later messages refer to.
+#[derive(Clone, Debug, Default)]
 struct ConnectionState {
     map: Option<Arc<Map>>,
     engines: Arc<Vec<SocketAddr>>,
--- a/crates/protocol/src/ticket.rs
+++ b/crates/protocol/src/ticket.rs
@@ -72,13 +72,13 @@
 pub struct StreamToken {
     /// Name of the agent that keeps the answer.
     pub agent: String,
-    /// The agent process.
+    /// Incarnation of that agent's process.
     pub incarnation: Incarnation,
     /// The agent's record window when the request was sent.
     pub window: Window,
     /// Key of the execution in the agent's records.
     pub key: ExecutionKey,
-    /// The request.
+    /// The request whose answer is read.
     pub request: RequestId,
     /// The workspace whose callers may read it.
     pub workspace: String,
--- a/crates/protocol/src/websocket.rs
+++ b/crates/protocol/src/websocket.rs
@@ -32,8 +32,8 @@
 const READ_BUFFER_BYTES: usize = 8 * 1024;
 
 /// Most concurrent connections of one listener. Few processes connect to any one; without a bound,
-/// a stranger that opens connections and sends nothing would exhaust this process's file
-/// descriptors.
+/// an unauthenticated client that opens connections and sends nothing would exhaust this process's
+/// file descriptors.
 const MAX_ACCEPTED: usize = 256;
 
 /// Pause after a failed accept, which most likely means that file descriptors have run out.
--- a/crates/protocol/tests/link.rs
+++ b/crates/protocol/tests/link.rs
@@ -44,8 +44,8 @@
     (link, peer_reads, peer_writes)
 }
 
-// A device between the two ends loses track of the connection: nothing arrives, but nobody closes
-// it. Requests on it would wait for ever.
+// A NAT device or firewall drops its state of the connection: nothing arrives, but neither end
+// closes it. Requests on it would wait forever.
 #[tokio::test(start_paused = true)]
 async fn link_silent_is_closed() {
     let (mut link, peer_reads, peer_writes) = start();
@@ -82,7 +82,7 @@
     assert_eq!(a.receiver.recv().await.as_deref(), Some("still here"));
 }
 
-// A peer of another build, or a stranger, sends bytes that are no batch.
+// A peer of another build, or an unknown client, sends bytes that are not a batch.
 #[tokio::test(start_paused = true)]
 async fn link_malformed_is_closed() {
     let (mut link, peer_reads, mut peer_writes) = start();
@@ -116,8 +116,8 @@
         let (stream, _) = listener.accept().await.unwrap();
         accept::<String, String>(stream, &identity("server", 1)).await.err()
     };
-    let stranger = identity("client", 2);
-    let (server, client) = tokio::join!(accepting, connect::<String, String>(address, &stranger));
+    let other_key = identity("client", 2);
+    let (server, client) = tokio::join!(accepting, connect::<String, String>(address, &other_key));
     assert!(matches!(client.err(), Some(HandshakeError::NotAuthentic)));
     assert!(server.is_some());
 }
--- a/crates/ranks/src/agent.rs
+++ b/crates/ranks/src/agent.rs
@@ -56,8 +56,8 @@
                 },
                 update = updates.recv() => match update {
                     Ok(update) => {
-                        let is_wanted = is_wanted(&update, subscription);
-                        if is_wanted && link.sender.send(update).await.is_err() {
+                        let is_subscribed = is_subscribed(&update, subscription);
+                        if is_subscribed && link.sender.send(update).await.is_err() {
                             break;
                         }
                     }
@@ -82,7 +82,7 @@
     }
 }
 
-fn is_wanted(update: &RankUpdate, subscription: Subscription) -> bool {
+fn is_subscribed(update: &RankUpdate, subscription: Subscription) -> bool {
     match update {
         RankUpdate::Choices(_) => subscription == Subscription::Choices,
         RankUpdate::Sum(_) => subscription == Subscription::Sums,
--- a/crates/ranks/src/coordinator.rs
+++ b/crates/ranks/src/coordinator.rs
@@ -25,7 +25,7 @@
 /// Interval at which a map switch in progress is advanced: a fraction of a pass.
 const TICK: Duration = Duration::from_millis(10);
 
-/// Length of the windows over which demand is learnt.
+/// Length of the windows over which demand is estimated.
 const WINDOW: Duration = Duration::from_millis(100);
 
 /// Interval between status updates on the group to entries.
@@ -38,12 +38,13 @@
 /// Time after which the coordinator arms ranks itself that are not reported as armed.
 const DIRECT_ARM_DELAY: Duration = Duration::from_millis(300);
 
-/// How long after a hold was observed its issuer must still report. A VM that stops right after it
-/// sent the order can't be armed, and the group would wait until it is back, which can take 4 s.
-const ISSUER_PROOF_DELAY: Duration = Duration::from_millis(15);
+/// Minimum time between observing a hold and the report that shows that its issuer is still
+/// running. A VM that stops right after it sent the order can't be armed, and the group would wait
+/// until it is back, which can take 4 s.
+const ISSUER_LIVENESS_DELAY: Duration = Duration::from_millis(15);
 
 /// Time for that report of the issuer to arrive: several network round trips and polls.
-const ISSUER_PROOF_TIMEOUT: Duration = Duration::from_millis(80);
+const ISSUER_LIVENESS_TIMEOUT: Duration = Duration::from_millis(80);
 
 /// Time for a requested hold to take effect. Engines leave some orders unanswered.
 const HOLD_TIMEOUT: Duration = Duration::from_millis(600);
@@ -79,7 +80,7 @@
     pub assignment: watch::Sender<Arc<Assignment>>,
     /// Bandwidth of the VM's link, in bytes per second.
     pub link_bytes_per_s: u64,
-    /// Pollers for ranks without a living agent.
+    /// Pollers for ranks without a live agent.
     pub remote_pollers: RemotePollers,
     /// Updates from the other ranks' agents and from the remote pollers.
     pub peer_updates: mpsc::Receiver<PeerUpdate>,
@@ -422,7 +423,8 @@
         if report.held_pass == Some(pass) {
             let held_at = *request.held_at.get_or_insert(now);
             let is_alive = group.ranks.get(&request.issuer).is_some_and(|rank| {
-                rank.state.gave_hold == Some(pass) && rank.seen_at >= held_at + ISSUER_PROOF_DELAY
+                rank.state.gave_hold == Some(pass)
+                    && rank.seen_at >= held_at + ISSUER_LIVENESS_DELAY
             });
             if is_alive {
                 self.requested_holds.remove(&(switch.epoch, pass));
@@ -434,7 +436,7 @@
                     ArmingTimes { requested_at, arm_directly_at: now + DIRECT_ARM_DELAY },
                 );
             }
-            if now - held_at > ISSUER_PROOF_TIMEOUT {
+            if now - held_at > ISSUER_LIVENESS_TIMEOUT {
                 tracing::warn!(
                     pass,
                     by = request.issuer,
@@ -470,7 +472,7 @@
         }
     }
 
-    /// Arms the ranks that are not armed yet: their agents may have died while the whole group
+    /// Arms the ranks that are not armed yet: their agents may have failed, and the whole group
     /// waits.
     async fn arm_directly(&self, switch: &Switch<Arming>, group: &Group) {
         let RankTarget::Armed { epoch, version, pass, .. } = switch.target() else {
--- a/crates/ranks/src/group.rs
+++ b/crates/ranks/src/group.rs
@@ -19,8 +19,8 @@
 /// Weight of the newest switch in the moving average of the arming time.
 const ARMING_WEIGHT: f64 = 0.3;
 
-/// Skew by which a map under preparation must be worse than one planned now to be replaced by it: a
-/// third of a pass, since replacing it costs a fifth of a second.
+/// A map under preparation is replaced if its skew exceeds that of a newly planned map by more than
+/// this: a third of a pass, since replacing it costs a fifth of a second.
 const OUTDATED_SKEW: f64 = 0.35;
 
 /// Time of a switch besides copies and passes, in milliseconds: the hold and its confirmation, the
@@ -169,11 +169,11 @@
             return;
         };
         if self.window.len() == choices.len() {
-            for (sum, choices) in self.window.iter_mut().zip(&choices) {
-                *sum += u64::from(*choices);
+            for (sum, count) in self.window.iter_mut().zip(&choices) {
+                *sum += u64::from(*count);
             }
         } else if !choices.is_empty() {
-            self.window = choices.iter().map(|choices| u64::from(*choices)).collect();
+            self.window = choices.iter().map(|count| u64::from(*count)).collect();
         }
     }
 
--- a/crates/ranks/src/process.rs
+++ b/crates/ranks/src/process.rs
@@ -51,8 +51,8 @@
     Io(#[from] std::io::Error),
 }
 
-/// Runs an agent until `asked_to_stop` resolves.
-pub async fn run<F>(settings: &ProcessSettings, asked_to_stop: F) -> Result<(), StartError>
+/// Runs an agent until `stop_signal` resolves.
+pub async fn run<F>(settings: &ProcessSettings, stop_signal: F) -> Result<(), StartError>
 where
     F: Future<Output = ()>,
 {
@@ -116,7 +116,7 @@
         requested_holds: HashSet::new(),
     };
     tokio::spawn(coordinator.run());
-    asked_to_stop.await;
+    stop_signal.await;
     stop.cancel();
     Ok(())
 }
--- a/crates/ranks/src/remote.rs
+++ b/crates/ranks/src/remote.rs
@@ -1,4 +1,4 @@
-//! Polls the engines of ranks without a living agent from the coordinator's VM.
+//! Polls the engines of ranks without a live agent from the coordinator's VM.
 //!
 //! Calls between VMs are billed and use the coordinator's link, so only a few ranks are polled
 //! this way. The map of a group that lacks more agents is left unchanged.
@@ -36,11 +36,11 @@
     /// Starts polling the engines at these addresses and stops polling all others.
     pub fn poll(&mut self, engines: &[SocketAddr]) {
         self.pollers.retain(|engine, stop| {
-            let is_wanted = engines.contains(engine);
-            if !is_wanted {
+            let is_listed = engines.contains(engine);
+            if !is_listed {
                 stop.cancel();
             }
-            is_wanted
+            is_listed
         });
         for &engine in engines {
             if self.pollers.contains_key(&engine) {
--- a/crates/ranks/src/rescue.rs
+++ b/crates/ranks/src/rescue.rs
@@ -1,4 +1,4 @@
-//! Finishes a map switch whose coordinator died or froze while it held the group.
+//! Finishes a map switch whose coordinator failed or froze while the group was held.
 //!
 //! A held group starts no pass until it is released, and its callers' streams stall. Any agent can
 //! finish the switch: it arms the ranks that are not armed, reads all ranks back and only then
--- a/crates/ranks/src/switch.rs
+++ b/crates/ranks/src/switch.rs
@@ -4,7 +4,7 @@
 //! Two mechanisms replace the fencing number:
 //!
 //! - A hold at rank 0 keeps the whole group from starting the pass at which maps change until every
-//!   rank was read back as armed for it. A coordinator that dies in between leaves a group that
+//!   rank was read back as armed for it. A coordinator that fails in between leaves a group that
 //!   waits, never one with two maps. Another rank's agent issues the hold: if it stops right after,
 //!   the agent beside the held engine notices and releases the group before anything is armed.
 //! - Every order names the group's epoch and a pass. The engine itself refuses an order that it
--- a/crates/ranks/tests/switch.rs
+++ b/crates/ranks/tests/switch.rs
@@ -100,7 +100,7 @@
     assert_eq!((named.len(), version), (2, VERSION));
 }
 
-/// A coordinator dies after some ranks were armed. Arm orders of the others may still take effect,
+/// A coordinator fails after some ranks were armed. Arm orders of the others may still take effect,
 /// so the only safe action is to arm them all.
 #[test]
 fn find_unfinished_some_armed() {
@@ -111,7 +111,7 @@
     assert_eq!(find_unfinished(&ranks), Some(expected));
 }
 
-/// A coordinator dies right after its hold. All ranks are prepared, so it may have sent arm orders.
+/// A coordinator fails right after its hold. All ranks are prepared, so it may have sent arm orders.
 #[test]
 fn find_unfinished_held_and_prepared() {
     let mut ranks = ranks(2);
