--- a/crates/gateway/src/feed/follower.rs
+++ b/crates/gateway/src/feed/follower.rs
@@ -63,7 +63,7 @@
                     if stopped.is_err() {
                         return;
                     }
-                    tracing::info!("no longer following the key-value store");
+                    tracing::info!("the key-value store is followed by others");
                 }
             }
         }
@@ -134,7 +134,7 @@
         let now = Instant::now();
         let is_new = self.mirror.last_outage().is_none_or(|outage_at| now - outage_at > OUTAGE_END);
         if is_new {
-            tracing::warn!(%error, "key-value store unreachable");
+            tracing::warn!(%error, "key-value store lost");
         }
         self.mirror.record_outage(now);
         let backoff = (INITIAL_BACKOFF * 2_u32.pow(self.failures.min(8))).min(MAX_BACKOFF);
--- a/crates/gateway/src/publish.rs
+++ b/crates/gateway/src/publish.rs
@@ -248,12 +248,12 @@
         if let Some(id) = key.strip_prefix(SERVERS_PREFIX)
             && self.servers.remove(id).is_some()
         {
-            tracing::info!(server = id, "backend server removed");
+            tracing::info!(server = id, "backend server gone");
         }
         if let Some(vm) = key.strip_prefix(ENTRIES_PREFIX)
             && self.entries.remove(vm).is_some()
         {
-            tracing::info!(vm, "entry removed");
+            tracing::info!(vm, "entry gone");
         }
     }
 
--- a/crates/ranks/src/coordinator.rs
+++ b/crates/ranks/src/coordinator.rs
@@ -286,7 +286,7 @@
     fn plan(&mut self, group: &Group) -> Phase {
         let now = Instant::now();
         if let Some(stray) = self.stray_hold(group) {
-            tracing::info!(group = group.name, pass = stray, "releasing a stray hold");
+            tracing::info!(group = group.name, pass = stray, "late hold lifted");
             return Phase::Releasing(Switch::abandoned(group.epoch, stray));
         }
         let Some(states) = group.fresh_states(now) else {
@@ -440,7 +440,7 @@
                 tracing::warn!(
                     pass,
                     by = request.issuer,
-                    "releasing the hold: its issuer is silent"
+                    "hold lifted: nothing heard from its giver"
                 );
                 self.targets.send_replace(RankTarget::Idle);
                 return self.release(switch.abandon()).await;
