--- a/crates/config/src/desired.rs
+++ b/crates/config/src/desired.rs
@@ -17,7 +17,7 @@
 /// The desired state of a model; `None` if no workspace may use it.
 ///
 /// Validation accepts only one version per model. Documents stored before that check existed may
-/// name two; then the first one wins, ordered by template name and then by workspace name.
+/// name two; then the first one is used, ordered by template name and then by workspace name.
 ///
 /// ```
 /// use flamingowheel_config::{desired::desired_model, effective::EffectiveConfig};
--- a/crates/config/src/problem.rs
+++ b/crates/config/src/problem.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// What is wrong with one field.
+/// Why the value of a field is refused.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, thiserror::Error)]
 #[serde(tag = "reason", rename_all = "snake_case")]
 pub enum Reason {
--- a/crates/control/src/membership.rs
+++ b/crates/control/src/membership.rs
@@ -42,7 +42,7 @@
 /// A result of an update of the table that is recorded as an event or logged.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Observation {
-    /// A process is known for the first time or changed its state.
+    /// A process was added to the table or changed its state.
     Changed {
         /// Name of the process.
         name: String,
@@ -189,7 +189,7 @@
     /// Merges a peer's record of this process.
     ///
     /// A false suspicion removes this process from address answers although it works. It is refuted
-    /// by raising the own record's version above the suspicion's. In the same way a restarted
+    /// by raising the version of the own record above the suspicion's. In the same way a restarted
     /// process overrides the record of its previous start.
     fn merge_own(&mut self, record: &MemberRecord) -> Option<Observation> {
         let own = self.own_record();
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -267,7 +267,8 @@
     }
 
     /// To be called after a pause of this process: marks the configuration as unconfirmed, since
-    /// it may have been replaced, and gives every member the full time before it counts as silent.
+    /// it may have been replaced, and gives every member the full timeout before it counts as
+    /// silent.
     pub fn invalidate_after_pause(&self) {
         let now = Instant::now();
         self.update(|state| {
--- a/crates/entry/src/dispatch.rs
+++ b/crates/entry/src/dispatch.rs
@@ -95,7 +95,7 @@
 }
 
 impl Dispatcher {
-    /// A dispatcher over the agents that `router` knows.
+    /// A dispatcher that sends requests to the agents of `router`.
     pub fn new(config: Arc<EntryConfig>, router: Arc<Router>, recorder: Recorder) -> Self {
         Self { config, router, recorder, budgets: Mutex::default() }
     }
--- a/crates/entry/src/dispatch/keys.rs
+++ b/crates/entry/src/dispatch/keys.rs
@@ -141,8 +141,8 @@
                 else {
                     return TicketStatus::Final;
                 };
-                // This refusal doesn't cover other calls under the same key that may still be in
-                // flight. Voiding leaves a tombstone at the agent, which does.
+                // This refusal doesn't apply to other calls under the same key that may still be in
+                // flight. Voiding the ticket does: it leaves a tombstone at the agent.
                 match self.void_ticket(request, ticket, self.void_timeout(request)).await {
                     Verdict::NotRun(_) => TicketStatus::Replaceable(minted),
                     Verdict::Unknown(_) => TicketStatus::Final,
--- a/crates/entry/src/http/answer.rs
+++ b/crates/entry/src/http/answer.rs
@@ -41,7 +41,7 @@
 /// `Retry-After` if no better estimate is known.
 const DEFAULT_RETRY_AFTER_MS: u64 = 1_000;
 
-/// What a response carries beside the answer.
+/// Ids and options of a response, in addition to the answer.
 #[derive(Clone, Debug)]
 pub struct ResponseMeta {
     /// Id of the request.
@@ -212,7 +212,8 @@
     sender: &mpsc::Sender<Result<Bytes, Verdict>>,
     heartbeat: Duration,
 ) -> Option<Result<Piece, Verdict>> {
-    // One future for the whole wait: dropping it midway would lose the event of a lost connection.
+    // One future is polled for the whole wait: dropping it while it reconnects would lose the event
+    // that the connection was lost.
     let next = answer.next();
     tokio::pin!(next);
     loop {
--- a/crates/entry/src/http/services.rs
+++ b/crates/entry/src/http/services.rs
@@ -1,4 +1,4 @@
-//! Calls to plain services. The workspace's template says which routes are idempotent.
+//! Calls to plain services. The workspace's template defines which routes are idempotent.
 
 use crate::agents::Target;
 use crate::events;
@@ -174,9 +174,9 @@
 fn parse_ticket(state: &EntryState, request: &Request, text: &str) -> Result<Ticket, NotRun> {
     let ticket =
         Ticket::from_text(text, &state.config.fleet_key).map_err(TicketRefusal::Invalid)?;
-    let same =
+    let is_for_request =
         ticket.workspace == *request.workspace.name && ticket.service == request.service_name();
-    if !same {
+    if !is_for_request {
         return Err(TicketRefusal::OtherSubject.into());
     }
     Ok(ticket)
--- a/crates/entry/src/links.rs
+++ b/crates/entry/src/links.rs
@@ -193,7 +193,7 @@
             return;
         }
         if agent.purpose() != LinkPurpose::Direct {
-            // A request that was routed to it just now still has the full idle time to be sent.
+            // Keeps the link open long enough to send a request that has just been routed to it.
             agent.touch();
             agent.set_purpose(LinkPurpose::Direct);
         }
--- a/crates/entry/src/router.rs
+++ b/crates/entry/src/router.rs
@@ -80,7 +80,7 @@
 
 impl Default for State {
     fn default() -> Self {
-        // Agents send events in order and skip a number where events were lost for good, so there
+        // Agents send events in order and skip a number where events were lost permanently, so there
         // are no missing events to wait for.
         let config = PrefixConfig { max_pending: 0, ..PrefixConfig::default() };
         Self {
