--- a/crates/policy/src/experts.rs
+++ b/crates/policy/src/experts.rs
@@ -11,7 +11,8 @@
 /// single move would seem to help when two ranks are equally loaded.
 const NORM_EXPONENT: i32 = 12;
 
-/// Cost, in copies, of a change that copies nothing, when changes are compared by gain per copy.
+/// Cost of a change without copies, as a number of copies, when changes are compared by gain per
+/// copy.
 const DROP_COST_COPIES: f64 = 0.25;
 
 /// Fewest ranks considered as receivers of load.
--- a/crates/policy/src/passes.rs
+++ b/crates/policy/src/passes.rs
@@ -30,8 +30,8 @@
 /// given delay. A second refusal costs it more than a first one costs a new request.
 const RETRIED_SHARE: f64 = 0.8;
 
-/// Random variation of the limit between requests, to either side. All entries see the same passes;
-/// without it they would admit and refuse in lockstep.
+/// Random variation of the limit between requests, to either side. All entries observe the same
+/// passes; without it they would admit and refuse in lockstep.
 const LIMIT_SPREAD: f64 = 0.06;
 
 /// Passes in which a batch shrinks by two thirds while nothing is admitted.
--- a/crates/policy/src/routing.rs
+++ b/crates/policy/src/routing.rs
@@ -51,7 +51,7 @@
     }
 }
 
-/// A request as seen by [`choose`].
+/// The properties of a request that [`choose`] uses.
 #[derive(Clone, Copy, Debug)]
 pub struct RouteRequest<'a> {
     /// Seeds the ranking of candidates.
--- a/crates/protocol/src/message.rs
+++ b/crates/protocol/src/message.rs
@@ -99,7 +99,7 @@
     pub key: ExecutionKey,
     /// The agent process addressed; any other refuses the request.
     pub incarnation: Incarnation,
-    /// The newest record window of the agent that the sender knows.
+    /// The agent's newest record window that is known to the sender.
     pub window: Window,
     /// Name of the workspace that sent the request.
     pub workspace: String,
@@ -306,7 +306,7 @@
         /// Number of the chunk within the answer, from 0.
         #[serde(rename = "n")]
         number: u64,
-        /// The bytes.
+        /// The part of the body that the chunk carries.
         #[serde(rename = "d", with = "serde_body")]
         data: Bytes,
         /// Requests running or waiting at the agent.
--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -94,10 +94,10 @@
 /// heartbeats stay small.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sender {
-    /// Its name.
+    /// Name of the sending entry.
     #[serde(rename = "n")]
     pub name: String,
-    /// The sender's process start.
+    /// Incarnation of its process.
     #[serde(rename = "i")]
     pub incarnation: Incarnation,
 }
@@ -105,7 +105,7 @@
 /// Asks a peer for membership changes and carries the sender's own.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The sender.
+    /// The entry that sends the heartbeat.
     #[serde(rename = "f")]
     pub from: Sender,
     /// Configuration revision in force at the sender.
@@ -219,7 +219,7 @@
     Bucket {
         /// The revision of the bucket.
         revision: u64,
-        /// The bucket.
+        /// Documents of the bucket, in their stored form.
         value: StoredValue,
     },
     /// Answers [`PeerRequest::Status`].
@@ -248,7 +248,7 @@
 pub enum PeerFrame {
     /// A request, numbered by its sender.
     Request {
-        /// Chosen by the sender; the answer carries it.
+        /// Number chosen by the sender; the answer carries it.
         number: u64,
         /// What is asked of the receiver.
         request: PeerRequest,
@@ -257,7 +257,7 @@
     Answer {
         /// Number of the request.
         number: u64,
-        /// The answer.
+        /// What the request asked for, or that it is no longer kept.
         answer: PeerAnswer,
     },
 }
--- a/crates/protocol/src/ranks.rs
+++ b/crates/protocol/src/ranks.rs
@@ -9,7 +9,7 @@
 
 pub use flamingowheel_policy::experts::Map;
 
-/// The state that the coordinator wants a rank to reach. It is absolute rather than a step, so that
+/// The target state of a rank, set by the coordinator. It is absolute rather than a step, so that
 /// it can be sent repeatedly.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RankTarget {
@@ -56,11 +56,11 @@
 /// The state of a rank.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RankState {
-    /// The rank group.
+    /// Name of the rank group.
     pub group: String,
     /// Increases each time the group forms again.
     pub epoch: u64,
-    /// The rank.
+    /// Number of the rank in the group, from 0.
     pub rank: usize,
     /// Ranks in the group.
     pub size: usize,
@@ -188,7 +188,7 @@
 /// The status of a group at one moment.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct GroupStatus {
-    /// The group.
+    /// Name of the group.
     pub group: String,
     /// Increases each time the group forms again.
     pub epoch: u64,
--- a/crates/protocol/src/websocket.rs
+++ b/crates/protocol/src/websocket.rs
@@ -54,7 +54,7 @@
     /// The handshake exceeded its time limit.
     #[error("handshake took longer than {} ms", HANDSHAKE_LIMIT.as_millis())]
     TimedOut,
-    /// The peer speaks another protocol version.
+    /// The peer uses another protocol version.
     #[error("peer speaks protocol version {theirs}, this side {VERSION}")]
     Version {
         /// The peer's version.
--- a/crates/protocol/tests/link.rs
+++ b/crates/protocol/tests/link.rs
@@ -70,7 +70,7 @@
     assert!(began.elapsed() <= MAX_DETECTION_TIME);
 }
 
-// A connection without traffic must stay open for as long as both ends live.
+// A connection without traffic must stay open for as long as both processes run.
 #[tokio::test(start_paused = true)]
 async fn link_idle_stays_open() {
     let (to_b, from_a) = mpsc::channel(8);
--- a/crates/ranks/src/engine.rs
+++ b/crates/ranks/src/engine.rs
@@ -14,7 +14,7 @@
 /// Interval between progress updates of a rank; they also serve as its agent's heartbeat.
 pub const PROGRESS_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Interval between updates with choices: one or two passes, so that shifts of demand are seen
+/// Interval between updates with choices: one or two passes, so that shifts of demand are detected
 /// early.
 pub const COUNTS_INTERVAL: Duration = Duration::from_millis(100);
 
@@ -264,9 +264,9 @@
         false
     }
 
-    /// Holds another rank's engine. The coordinator sees at that engine whether the hold came too
-    /// late. Returns `false`, so that polling stays fast: the coordinator waits for updates sent
-    /// after the hold.
+    /// Holds another rank's engine. The coordinator reads from that engine's report whether the
+    /// hold came too late. Returns `false`, so that polling stays fast: the coordinator waits for
+    /// updates sent after the hold.
     async fn hold_engine(&mut self, epoch: u64, pass: u64, engine: SocketAddr) -> bool {
         if self.gave_hold == Some(pass) {
             return false;
--- a/crates/ranks/src/switch.rs
+++ b/crates/ranks/src/switch.rs
@@ -262,7 +262,7 @@
 
 /// Finds an unfinished switch from the states of all ranks.
 ///
-/// Arm orders are sent only after all ranks were seen prepared with the same version. So if no rank
+/// Arm orders are sent only after all ranks have reported the same prepared version. So if no rank
 /// is armed and the prepared versions differ, no arm order can be in flight.
 pub fn find_unfinished(ranks: &[RankState]) -> Option<UnfinishedSwitch> {
     let epoch = ranks.first()?.epoch;
