--- a/crates/agent/src/archive.rs
+++ b/crates/agent/src/archive.rs
@@ -1,7 +1,7 @@
 //! Archives the answers of finished tickets in the key-value service before the process ends.
 //!
 //! Records are kept in this process's memory and end with it. Without the archive, a resend after a
-//! planned stop would get the outcome "unknown" although the answer had been known. An archive
+//! planned stop would get the outcome "unknown" although the answer was complete. An archive
 //! without a seal proves nothing about absent tickets. A process that admits no requests and has
 //! none left seals its archive: absent tickets then never ran, and their callers may run them
 //! elsewhere.
--- a/crates/agent/src/cache.rs
+++ b/crates/agent/src/cache.rs
@@ -2,7 +2,7 @@
 //!
 //! The engine's events are polled and forwarded in batches under the agent's own numbers, which
 //! skip one where the engine lost events. Blocks stored before a loss may have been evicted
-//! unnoticed: entries trust them less with time, and after [`UNCERTAIN_BLOCK_TTL`] agent and
+//! unnoticed: entries give them less weight over time, and after [`UNCERTAIN_BLOCK_TTL`] agent and
 //! entries drop all blocks but those stored since.
 
 use flamingowheel_backing::backend;
--- a/crates/agent/src/control.rs
+++ b/crates/agent/src/control.rs
@@ -101,7 +101,7 @@
 
 impl Control {
     /// Creates a control task, to be run with [`Control::run`], preferably on a thread of its own.
-    /// Tasks that move the bytes of answers are spawned on the runtime that this is called on.
+    /// Tasks that transfer answers are spawned on the runtime that this is called on.
     pub fn new(
         config: AgentConfig,
         backend: Arc<dyn BackendServer>,
--- a/crates/agent/src/execution.rs
+++ b/crates/agent/src/execution.rs
@@ -2,7 +2,7 @@
 //!
 //! The task that reads from the backend server appends chunks; one task per attached attempt sends
 //! them. Chunks are numbered, and a bounded number of bytes is kept, so that an attempt can move to
-//! another connection and continue with the first chunk it lacks.
+//! another connection and continue with its first missing chunk.
 
 use crate::load::LoadCell;
 use crate::stored::StoredBytes;
@@ -273,7 +273,7 @@
 
     /// Appends a chunk. While the bound on kept bytes is reached, drops chunks that all listeners
     /// have acknowledged, or else waits. Answers to requests that are not idempotent must be kept
-    /// whole, so they fail at the bound instead.
+    /// completely, so they fail at the bound instead.
     pub async fn push(&self, data: Bytes) -> Result<(), Failure> {
         let mut data = Some(data);
         loop {
--- a/crates/agent/src/records.rs
+++ b/crates/agent/src/records.rs
@@ -134,9 +134,9 @@
     /// Records an execution.
     ///
     /// At the bound on attempts old windows are dropped early, which is safe. At the bound on
-    /// tickets new ones are refused, since tickets must be kept for the promised time. Bytes of
-    /// answers have separate bounds for attempts and tickets, so that streams can't keep tickets
-    /// out.
+    /// tickets new ones are refused, since tickets must be kept for the full retention time. Bytes
+    /// of answers have separate bounds for attempts and tickets, so that answers of streams can't
+    /// use up the bound for tickets.
     pub fn insert(
         &mut self,
         key: ExecutionKey,
--- a/crates/agent/src/runner.rs
+++ b/crates/agent/src/runner.rs
@@ -12,7 +12,7 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// How often the stream of one execution is resumed over a new connection.
+/// Upper bound on the times that the stream of one execution is resumed over a new connection.
 const MAX_RESUMES: usize = 2;
 
 /// Timeout for the backend server to accept a call that resumes a stream.
--- a/crates/agent/src/serve.rs
+++ b/crates/agent/src/serve.rs
@@ -10,8 +10,7 @@
 use tokio::net::TcpListener;
 use tokio_util::sync::CancellationToken;
 
-/// Number of the next connection.
-static LINKS: AtomicU64 = AtomicU64::new(1);
+static NEXT_LINK: AtomicU64 = AtomicU64::new(1);
 
 /// The identity that the agent presents to entries.
 pub fn identity(config: &AgentConfig, key: FleetKey, link_options: LinkOptions) -> Identity {
@@ -38,7 +37,7 @@
 
 /// Passes the messages of one connection to the control task until the connection ends.
 pub async fn handle_link(mut link: Link<AgentMessage, EntryMessage>, agent: AgentHandle) {
-    let number = LINKS.fetch_add(1, Ordering::Relaxed);
+    let number = NEXT_LINK.fetch_add(1, Ordering::Relaxed);
     let commands = agent.commands();
     let linked = Command::Linked { link: number, sender: link.sender.clone() };
     if commands.send(linked).await.is_err() {
--- a/crates/agent/tests/agent.rs
+++ b/crates/agent/tests/agent.rs
@@ -131,10 +131,10 @@
     assert_eq!(service.executions(b"takedown"), 0);
 }
 
-// A resend arrives after its ticket's record was dropped. The agent can't know whether it ran, so
-// it must refuse it.
+// A resend arrives after its ticket's record was dropped. The agent can't determine whether it ran,
+// so it must refuse it.
 #[tokio::test(start_paused = true)]
-async fn ticket_after_record_time_refused() {
+async fn ticket_after_retention_refused() {
     let service = FakeService::new(1);
     let mut config = config();
     config.ticket_windows = 6;
@@ -249,19 +249,19 @@
 }
 
 // The connection to an entry is lost in the middle of a stream. The entry attaches again and must
-// get the stream from the first chunk that it lacks.
+// get the stream from the first chunk that it has not received.
 #[tokio::test(start_paused = true)]
 async fn attach_resumes_from_chunk() {
     let engine = FakeEngine::new(1, EngineSettings::default());
     let mut session = Session::start(engine, config()).await;
     let request = session.request(STREAM);
     session.dispatch(&request).await;
-    let seen = loop {
+    let received = loop {
         if let AgentMessage::Chunk { number: 4, .. } = session.next(request.attempt).await {
             break 5;
         }
     };
-    session.send(attach(&request, seen)).await;
+    session.send(attach(&request, received)).await;
     let mut numbers = Vec::new();
     loop {
         match session.next(request.attempt).await {
@@ -270,9 +270,9 @@
             _ => {}
         }
     }
-    numbers.retain(|number| *number >= seen);
+    numbers.retain(|number| *number >= received);
     let count = whole_stream(STREAM.as_bytes(), 0).len() as u64;
-    assert!(numbers.into_iter().eq(seen..count));
+    assert!(numbers.into_iter().eq(received..count));
 }
 
 // A request makes the engine crash and is sent again. The agent must refuse it from then on and
@@ -332,7 +332,7 @@
 }
 
 // The entry that sent a request died. The request must be stopped after a while, or it would hold a
-// place although nobody reads the answer.
+// place although no entry reads the answer.
 #[tokio::test(start_paused = true)]
 async fn orphan_stopped() {
     let engine = FakeEngine::new(1, EngineSettings::default());
@@ -353,7 +353,7 @@
     let service = slow_service();
     let mut session = Session::start(service.clone(), config()).await;
     let (first, second) = (session.request("a"), session.request("b"));
-    // A last try may wait.
+    // Only a dispatch marked as the last try is queued while all places are taken.
     let third = Dispatch { last_try: true, ..session.request("c") };
     for dispatch in [&first, &second, &third] {
         session.dispatch(dispatch).await;
--- a/crates/agent/tests/session/mod.rs
+++ b/crates/agent/tests/session/mod.rs
@@ -17,7 +17,7 @@
 use tokio::time::timeout;
 use uuid::Uuid;
 
-/// Longer than anything these tests wait for.
+/// Timeout of each wait; longer than any message takes in these tests.
 const TIMEOUT: Duration = Duration::from_secs(60);
 
 pub struct Session {
--- a/crates/gateway/src/feed/reader.rs
+++ b/crates/gateway/src/feed/reader.rs
@@ -298,8 +298,8 @@
         }
     }
 
-    /// Fetches missing changes: from a source in the same data centre if it has them soon, else
-    /// from any.
+    /// Fetches missing changes: from a source in the same data centre, or from any if none there
+    /// has them within [`NEAREST_SOURCE_WAIT`].
     fn fetch(&mut self) {
         let now = Instant::now();
         let own_revision = self.mirror.head(now).revision;
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -17,8 +17,8 @@
 pub struct Metrics {
     registry: Registry,
     requests: IntCounterVec,
-    tries: IntCounterVec,
-    answers: HistogramVec,
+    sends: IntCounterVec,
+    answer_times: HistogramVec,
     pauses: Histogram,
     configuration_version: IntGauge,
 }
@@ -31,11 +31,11 @@
             Opts::new("flamingowheel_requests_total", "Requests by kind and how they ended"),
             &["kind", "outcome"],
         )?;
-        let tries = IntCounterVec::new(
+        let sends = IntCounterVec::new(
             Opts::new("flamingowheel_tries_total", "Sends to backend servers and how they ended"),
             &["kind", "result"],
         )?;
-        let answers = HistogramVec::new(
+        let answer_times = HistogramVec::new(
             HistogramOpts::new(
                 "flamingowheel_answer_seconds",
                 "Time to the answer, of streams to the first event",
@@ -52,11 +52,11 @@
             "Version of the configuration in force",
         )?;
         registry.register(Box::new(requests.clone()))?;
-        registry.register(Box::new(tries.clone()))?;
-        registry.register(Box::new(answers.clone()))?;
+        registry.register(Box::new(sends.clone()))?;
+        registry.register(Box::new(answer_times.clone()))?;
         registry.register(Box::new(pauses.clone()))?;
         registry.register(Box::new(configuration_version.clone()))?;
-        Ok(Self { registry, requests, tries, answers, pauses, configuration_version })
+        Ok(Self { registry, requests, sends, answer_times, pauses, configuration_version })
     }
 
     /// Counts a request that ended.
@@ -66,12 +66,12 @@
 
     /// Counts a send to a backend server that ended.
     pub fn record_send(&self, kind: &'static str, result: &'static str) {
-        self.tries.with_label_values(&[kind, result]).inc();
+        self.sends.with_label_values(&[kind, result]).inc();
     }
 
     /// Records the time to an answer, or to the first event of a stream.
     pub fn observe_answer_time(&self, kind: &'static str, after: Duration) {
-        self.answers.with_label_values(&[kind]).observe(after.as_secs_f64());
+        self.answer_times.with_label_values(&[kind]).observe(after.as_secs_f64());
     }
 
     /// Records a pause between two events of a stream.
--- a/crates/gateway/src/publish.rs
+++ b/crates/gateway/src/publish.rs
@@ -339,14 +339,14 @@
     /// Removes keys whose grace period has ended. Returns whether there were any.
     fn remove_expired(&mut self) -> bool {
         let now = Instant::now();
-        let is_over = |(_, until): &(&String, &Instant)| now >= **until;
-        let over: Vec<String> =
-            self.expired.iter().filter(is_over).map(|(key, _)| key.clone()).collect();
-        for key in &over {
+        let has_ended = |(_, until): &(&String, &Instant)| now >= **until;
+        let ended: Vec<String> =
+            self.expired.iter().filter(has_ended).map(|(key, _)| key.clone()).collect();
+        for key in &ended {
             self.expired.remove(key);
             self.remove(key);
         }
-        !over.is_empty()
+        !ended.is_empty()
     }
 
     fn publish(&mut self) {
--- a/crates/gateway/tests/feed.rs
+++ b/crates/gateway/tests/feed.rs
@@ -79,7 +79,7 @@
 }
 
 /// One transaction writes several keys at one revision, and an entry fetches after the first of
-/// them was applied. If it were told that it has the revision, it would never fetch the others.
+/// them was applied. If its copy advanced to the revision, it would never fetch the others.
 #[test]
 fn delta_within_batch() {
     let (from, to, now) = (Mirror::default(), Mirror::default(), Instant::now());
--- a/crates/gateway/tests/member.rs
+++ b/crates/gateway/tests/member.rs
@@ -1,4 +1,4 @@
-//! How long entries stay announced after they died or left.
+//! How long entries stay announced after a crash or a graceful shutdown.
 
 use flamingowheel_backing::fake::kv::FakeKeyValue;
 use flamingowheel_backing::kv::KeyValue;
--- a/crates/group/benches/lease.rs
+++ b/crates/group/benches/lease.rs
@@ -16,7 +16,7 @@
 const MEASURED_TIME: Duration = Duration::from_secs(60);
 
 /// The entry that coordinates a group, by rendezvous hashing.
-fn entry_of(group: usize) -> usize {
+fn coordinator_of(group: usize) -> usize {
     let score = |entry: &usize| {
         let mut hasher = DefaultHasher::new();
         (group, entry).hash(&mut hasher);
@@ -54,8 +54,9 @@
 
     let kv = FakeKeyValue::new();
     let entries: Vec<Leases> = (0..ENTRIES).map(|_| process(&kv)).collect();
-    let coordinating: BTreeSet<usize> = (0..GROUPS).map(entry_of).collect();
-    let shared: Vec<Leases> = (0..GROUPS).map(|group| entries[entry_of(group)].clone()).collect();
+    let coordinating: BTreeSet<usize> = (0..GROUPS).map(coordinator_of).collect();
+    let shared: Vec<Leases> =
+        (0..GROUPS).map(|group| entries[coordinator_of(group)].clone()).collect();
     println!("one_an_entry.entries={}", coordinating.len());
     println!("one_an_entry.calls_per_s={:.1}", renewals_per_s(&kv, &shared).await);
 }
--- a/crates/group/benches/switch.rs
+++ b/crates/group/benches/switch.rs
@@ -43,7 +43,7 @@
     /// From the fault's end to the last interval without a step.
     recovery: Duration,
     runs: bool,
-    splits: usize,
+    map_mismatches: usize,
 }
 
 async fn run(kind: EngineKind, fault: Option<(u64, Fault, Duration)>) -> Observed {
@@ -68,7 +68,7 @@
             observed.recovery = since_start.saturating_sub(ended_at);
         }
     }
-    observed.splits = world.group.map_mismatches().len();
+    observed.map_mismatches = world.group.map_mismatches().len();
     world.shutdown();
     // Lets the stopped tasks end before the next world begins.
     sleep(POLL_INTERVAL).await;
@@ -79,17 +79,19 @@
     let no_fault = run(kind, None).await;
     println!("{kind_name}.no_fault.still_ms={}", no_fault.stopped.as_millis());
     for (name, fault, duration) in FAULTS {
-        let (mut worst, mut never, mut splits) = (Duration::ZERO, 0, no_fault.splits);
+        let (mut worst_recovery, mut out_of_service_runs, mut map_mismatches) =
+            (Duration::ZERO, 0, no_fault.map_mismatches);
         for message in 0..MESSAGES {
             let observed = run(kind, Some((message, fault, duration))).await;
-            splits += observed.splits;
-            never += u32::from(!observed.runs);
-            worst = if observed.runs { worst.max(observed.recovery) } else { worst };
+            map_mismatches += observed.map_mismatches;
+            out_of_service_runs += u32::from(!observed.runs);
+            worst_recovery =
+                if observed.runs { worst_recovery.max(observed.recovery) } else { worst_recovery };
         }
         let name = format!("{kind_name}.{name}");
-        println!("{name}.worst_recovery_ms={}", worst.as_millis());
-        println!("{name}.out_of_service_runs={never}");
-        println!("{name}.split_steps={splits}");
+        println!("{name}.worst_recovery_ms={}", worst_recovery.as_millis());
+        println!("{name}.out_of_service_runs={out_of_service_runs}");
+        println!("{name}.split_steps={map_mismatches}");
     }
 }
 
--- a/crates/group/src/budget/keeper.rs
+++ b/crates/group/src/budget/keeper.rs
@@ -47,8 +47,8 @@
     state: Mutex<State>,
     /// Held by the one task that keeps the share confirmed.
     refreshing: AsyncMutex<()>,
-    /// Held by the load that is served next.
-    next: AsyncMutex<()>,
+    /// Held by the load that is admitted next; further loads wait for it in order.
+    load_queue: AsyncMutex<()>,
 }
 
 impl Budget {
@@ -59,8 +59,15 @@
         let share = Share::new(member, minimum_bytes_per_s);
         let pacer = Pacer::new(Instant::now());
         let state = State { share, pacer, lease: None, first_seen: None };
-        let (refreshing, next) = (AsyncMutex::default(), AsyncMutex::default());
-        Self { kv, member: member.to_owned(), limits, state: Mutex::new(state), refreshing, next }
+        let (refreshing, load_queue) = (AsyncMutex::default(), AsyncMutex::default());
+        Self {
+            kv,
+            member: member.to_owned(),
+            limits,
+            state: Mutex::new(state),
+            refreshing,
+            load_queue,
+        }
     }
 
     /// Waits until the backlog of earlier reads has drained at this member's rate, then admits a
@@ -71,7 +78,7 @@
     /// since, or read too fast although it has expired. So the rate is checked again while loads
     /// wait.
     pub async fn acquire(&self, size_bytes: u64) {
-        let _first = self.next.lock().await;
+        let _guard = self.load_queue.lock().await;
         loop {
             let wait = self.try_acquire(size_bytes);
             if wait.is_zero() {
@@ -98,9 +105,9 @@
     /// A process that coordinates several groups has one share for all of them, so only one of
     /// several concurrent calls does the work.
     pub async fn run(&self, stop: CancellationToken) {
-        let _only = tokio::select! {
+        let _guard = tokio::select! {
             () = stop.cancelled() => return,
-            only = self.refreshing.lock() => only,
+            guard = self.refreshing.lock() => guard,
         };
         while !stop.is_cancelled() {
             if let Err(error) = self.refresh().await {
@@ -144,7 +151,7 @@
         first_seen.1
     }
 
-    /// Keeps this member's key alive through a lease, so that a member that ends drops out of the
+    /// Keeps this member's key alive through a lease, so that a member that ends is left out of the
     /// next allocation.
     async fn keep_listed(&self) -> Result<(), KeyValueError> {
         let current = self.state().lease;
--- a/crates/group/src/gate.rs
+++ b/crates/group/src/gate.rs
@@ -76,9 +76,9 @@
 {
     /// Opens the gate of a new agent process.
     ///
-    /// A coordinator that was replaced may still send orders. A new agent that knows no fencing
-    /// number would accept them, and its rank would step with another map. So the lowest acceptable
-    /// number is read from the group's record, and the gate can't be opened while that fails.
+    /// A coordinator that was replaced may still send orders. A new agent without a fencing number
+    /// would accept them, and its rank would step with another map. So the lowest acceptable number
+    /// is read from the group's record, and the gate can't be opened while that fails.
     pub async fn open(
         engine: Engine,
         kind: EngineKind,
--- a/crates/group/src/intake.rs
+++ b/crates/group/src/intake.rs
@@ -1,4 +1,4 @@
-//! Admission of requests at a rank's agent, as the group's coordination sees and controls it.
+//! Admission of requests at a rank's agent, as the group's coordinator reads and controls it.
 
 use serde::{Deserialize, Serialize};
 use std::sync::atomic::{AtomicBool, Ordering};
--- a/crates/group/src/lease.rs
+++ b/crates/group/src/lease.rs
@@ -211,7 +211,7 @@
     format!("groups/{group}/coordinator")
 }
 
-/// One group that this process holds under its lease, as far as it knows.
+/// A group acquired under this process's lease. The lease may have been lost since.
 ///
 /// Safety depends on fencing numbers alone. The lease only keeps coordinators from constantly
 /// superseding each other.
--- a/crates/group/src/record.rs
+++ b/crates/group/src/record.rs
@@ -67,7 +67,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GroupRecord {
-    /// Drawn for each write, so that the writer can recognise its own record after a lost answer.
+    /// Generated for each write, so that the writer can recognise its own record after a lost
+    /// answer.
     pub change_id: Uuid,
     /// The map that ranks may step with.
     pub in_force: VersionedMap,
@@ -223,7 +224,7 @@
 
     /// The answer can be lost after the write took effect, and the write can even take effect after
     /// the client has stopped waiting, which a read could not rule out. So the same write is
-    /// retried: if its comparison fails, the stored record is final, and its change id tells
+    /// retried: if its comparison fails, the stored record is final, and its change id shows
     /// whether this writer wrote it.
     async fn write(
         &self,
--- a/crates/group/src/serve.rs
+++ b/crates/group/src/serve.rs
@@ -174,7 +174,8 @@
     busy.map(|(rank, state)| (*rank, state.work)).collect()
 }
 
-/// Makes a rank load what it lacks, once the weight store's rate allows it.
+/// Makes a rank load the version or adapters that it is missing, once the weight store's rate
+/// allows it.
 async fn load<Transport>(
     session: &Session<'_, Transport>,
     stored: &StoredRecord,
--- a/crates/group/src/status.rs
+++ b/crates/group/src/status.rs
@@ -1,4 +1,4 @@
-//! The status of a group as operators see it.
+//! The status of a group as reported to operators.
 
 use crate::message::RankError;
 use crate::record::Serving;
@@ -32,7 +32,7 @@
     pub reason: RankError,
 }
 
-/// The state of a group as its coordinator last saw it.
+/// The state of a group at its coordinator's last poll.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupStatus {
     /// What the group is doing; `Following` if this process does not coordinate it.
--- a/crates/group/src/switch/hold.rs
+++ b/crates/group/src/switch/hold.rs
@@ -107,7 +107,7 @@
 }
 
 /// Checks that ranks that were stepping have stopped at the same step. Ranks that were stopped
-/// before may be restarted engines, whose step counter began again.
+/// before may be restarted engines, whose step counter was reset.
 fn check_same_step(states: Vec<RankState>, moving: &[bool]) -> Result<Vec<RankState>, GroupError> {
     let stepping = states.iter().zip(moving).filter(|(_, moving)| **moving);
     let mut steps = stepping.map(|(state, _)| state.engine.step);
--- a/crates/group/src/switch/resume.rs
+++ b/crates/group/src/switch/resume.rs
@@ -16,8 +16,8 @@
     }
 
     /// Resumes all ranks, then writes into the record that no change is in progress. If the
-    /// key-value service is down, that write is left for later: the group runs, and the next
-    /// coordinator finds all ranks on the map in force.
+    /// key-value service is down, that write is skipped: the group runs, and the next coordinator
+    /// finds all ranks on the map in force.
     pub async fn resume(self) -> Result<StoredRecord, Box<Failure>> {
         let version = Some(self.stored.record.in_force.version);
         let order =
--- a/crates/group/tests/budget.rs
+++ b/crates/group/tests/budget.rs
@@ -36,9 +36,8 @@
     }
 }
 
-/// Members come and go, are cut off from the key-value service for minutes, and read slowly. If the
-/// sum of their rates exceeded the store's rate, the store would refuse loads and map switches
-/// would hang.
+/// Members start and end, lose the key-value service for minutes, and read slowly. If the sum of
+/// their rates exceeded the store's rate, the store would refuse loads and map switches would hang.
 #[tokio::test(start_paused = true)]
 async fn share_sum_within_rate() {
     let mut highest: f64 = 0.0;
@@ -133,8 +132,8 @@
 }
 
 /// The members change twice while some read the record rarely and another is cut off right after it
-/// was added. If the second change came too soon, the rare readers would miss the first one, and
-/// the sum of the rates would exceed the store's rate.
+/// was added. If the second change came too soon, the members that read rarely would miss the first
+/// one, and the sum of the rates would exceed the store's rate.
 #[tokio::test(start_paused = true)]
 async fn may_be_replaced_change_between_missed() {
     let (two, three) = (allocation(&[0, 1]), allocation(&[0, 1, 2]));
@@ -181,7 +180,7 @@
 }
 
 /// Members start, one dies, and the key-value service goes down for minutes. The members must
-/// arrive at equal shares, never exceed the store's rate, and fall back to the minimum during the
+/// converge to equal shares, never exceed the store's rate, and fall back to the minimum during the
 /// outage.
 #[tokio::test(start_paused = true)]
 async fn run_members_share_the_rate() {
--- a/crates/group/tests/gate.rs
+++ b/crates/group/tests/gate.rs
@@ -107,7 +107,7 @@
     assert!(gate.handle(&order(second.revision.0, serve("2"))).await.is_ok());
 }
 
-/// The key-value service is down when an agent starts, so it can't know the lowest acceptable
+/// The key-value service is down when an agent starts, so it can't read the lowest acceptable
 /// number. The gate must not open.
 #[tokio::test(start_paused = true)]
 async fn open_service_down() {
@@ -159,8 +159,8 @@
     assert_eq!(engine.peek_state().version, "2");
 }
 
-/// The call is cancelled while the order is with the engine. The gate must still remember that the
-/// order may take effect.
+/// The call is cancelled while the order is with the engine. The gate must still treat the order as
+/// one that may take effect.
 #[tokio::test(start_paused = true)]
 async fn handle_cancelled_midway() {
     let kind = EngineKind::IgnoresFence;
@@ -209,7 +209,7 @@
 }
 
 /// The key-value service is down when a load is ordered. If the load were sent without being
-/// stored, the next agent would not know of it.
+/// stored, the next agent could not read it.
 #[tokio::test(start_paused = true)]
 async fn handle_load_not_stored() {
     let kind = EngineKind::IgnoresFence;
--- a/crates/group/tests/lease.rs
+++ b/crates/group/tests/lease.rs
@@ -68,7 +68,9 @@
     assert!(none_lost(&held, TTL * 4).await);
     assert!(held.iter().all(|lease| !lease.may_change() && lease.may_align()));
     kv.set_down(false);
-    timeout(TTL, join_all(held.iter().map(Lease::keep_alive))).await.expect("the loss is noticed");
+    timeout(TTL, join_all(held.iter().map(Lease::keep_alive)))
+        .await
+        .expect("keep_alive ends when the lease is lost");
     drop(held);
     let held = acquire_all(&leases).await;
     assert!(held.iter().all(Lease::may_change));
@@ -84,7 +86,7 @@
     (0..9).for_each(|id| kv.expire_lease(LeaseId(id)));
     timeout(TTL / 2, join_all(held.iter().map(Lease::keep_alive)))
         .await
-        .expect("the loss is noticed");
+        .expect("keep_alive ends when the lease is lost");
     assert!(held.iter().all(|lease| !lease.may_change() && !lease.may_align()));
     let other = process(&kv);
     assert!(other.acquire("g2").await.unwrap().is_some());
--- a/crates/group/tests/rollout.rs
+++ b/crates/group/tests/rollout.rs
@@ -263,7 +263,7 @@
     inject_at_every_message(Fault::KillCoordinator, Duration::ZERO).await;
 }
 
-/// An agent dies between two orders and restarts without knowing of the first, which its engine
+/// An agent dies between two orders and restarts without any record of the first, which its engine
 /// still carries out.
 #[tokio::test(start_paused = true)]
 async fn rollout_agent_restarted() {
--- a/crates/group/tests/support/traffic.rs
+++ b/crates/group/tests/support/traffic.rs
@@ -16,7 +16,7 @@
     in_progress: AtomicU32,
     mixed: AtomicU32,
     finished: AtomicU32,
-    /// Counts agent processes; requests of earlier ones are not counted.
+    /// Number of agent processes so far; requests of earlier ones don't change the counters.
     generation: AtomicU32,
 }
 
@@ -33,7 +33,7 @@
 }
 
 impl Traffic {
-    /// A new agent process has started.
+    /// Resets the state for a new agent process: it admits requests and has none in progress.
     pub fn restart(&self) {
         self.generation.fetch_add(1, Ordering::SeqCst);
         self.in_progress.store(0, Ordering::SeqCst);
--- a/crates/group/tests/switch.rs
+++ b/crates/group/tests/switch.rs
@@ -69,7 +69,7 @@
 }
 
 /// The weight store's rate is shared with other groups, so the ranks must load one after another
-/// within this process's share, while the group steps on.
+/// within this process's share, while the group continues to step.
 #[tokio::test(start_paused = true)]
 async fn switch_loads_paced() {
     // At the minimum of 50 bytes/s each rank's load takes 0.9 s.
@@ -91,7 +91,7 @@
     inject_at_every_message(Fault::Duplicate, Duration::ZERO).await;
 }
 
-/// An agent dies and restarts two seconds later with no memory of earlier orders.
+/// An agent dies and restarts two seconds later without any record of earlier orders.
 #[tokio::test(start_paused = true)]
 async fn switch_agent_killed() {
     inject_at_every_message(Fault::KillAgent, Duration::from_secs(2)).await;
@@ -268,7 +268,7 @@
     }
 }
 
-/// A rank can't load the desired map for a while. The switch must be retried by itself, or the
+/// A rank can't load the desired map for a while. The switch must be retried automatically, or the
 /// group would keep its uneven map until the next plan; but not at every poll, or the loads would
 /// use up the weight store's rate for other groups.
 #[tokio::test(start_paused = true)]
--- a/crates/group/tests/verify.rs
+++ b/crates/group/tests/verify.rs
@@ -14,7 +14,7 @@
 use flamingowheel_group::switch::Switch;
 use std::sync::{Arc, Mutex};
 
-/// Ranks that are held and confirm every order. If `forgets` is set, the last one loses its map
+/// Ranks that are held and confirm every order. If `loses_map` is set, the last one loses its map
 /// right after confirming it.
 #[derive(Default)]
 struct FakeRanks {
@@ -183,7 +183,7 @@
     let first = records.create(GroupRecord::first(ExpertMap::default(), RANKS)).await.unwrap();
     let pending = first.record.pending(ExpertMap::default());
     let stored = records.replace(&first, pending).await.unwrap();
-    let dropped = stored.fence();
+    let pending_fence = stored.fence();
     let timing = Timing::default();
     let lease =
         Leases::new(Arc::clone(&kv), timing.lease_ttl).acquire("g1").await.unwrap().unwrap();
@@ -192,7 +192,7 @@
     let (stored, result) = align(&session, stored).await;
     assert!(matches!(result, Ok(Alignment::Running)), "{result:?}");
     assert_eq!(stored.record.phase, Phase::Settled);
-    assert!(*ranks.resumed_under.lock().unwrap() > dropped);
+    assert!(*ranks.resumed_under.lock().unwrap() > pending_fence);
     assert_eq!(records.read().await.unwrap(), stored);
     assert_eq!(stored.record.in_force.version, 1);
 }
