--- a/crates/backing/src/backend.rs
+++ b/crates/backing/src/backend.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::mpsc;
 
-/// How urgent a request is; lower numbers go first.
+/// Priority of a request; lower numbers are served first.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
--- a/crates/backing/src/client/backend.rs
+++ b/crates/backing/src/client/backend.rs
@@ -17,7 +17,7 @@
 
 /// Header with the call's id, which is needed to cancel it.
 pub const REQUEST_ID_HEADER: &str = "x-request-id";
-/// Header with the call's priority; lower numbers go first.
+/// Header with the call's priority; lower numbers are served first.
 pub const PRIORITY_HEADER: &str = "x-priority";
 /// Header with the number of events that the caller already has.
 pub const RESUME_HEADER: &str = "x-resume-after-events";
--- a/crates/backing/src/client/http.rs
+++ b/crates/backing/src/client/http.rs
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Sends a request and reads the whole answer.
+    /// Sends a request and reads the answer to its end.
     pub async fn fetch(
         &self,
         request: Request<Full<Bytes>>,
@@ -204,8 +204,8 @@
     Ok(None)
 }
 
-/// Whether the body has a length or is chunked, so that its end can be told from a broken
-/// connection.
+/// Whether the body has a length or is chunked, so that its end can be distinguished from a
+/// broken connection.
 ///
 /// Any other body ends when the connection closes, so that a server that dies in the middle looks
 /// like one that finished.
@@ -230,7 +230,7 @@
     connector.set_nodelay(true);
     // A middlebox can lose its state of a connection, which then stays open while nothing arrives
     // any more. Nothing is sent while an answer is being prepared either, so only the kernel's
-    // probes tell a dead connection from a slow answer.
+    // probes distinguish a dead connection from a slow answer.
     connector.set_keepalive(Some(KEEPALIVE_INTERVAL));
     connector.set_keepalive_interval(Some(KEEPALIVE_INTERVAL));
     connector.set_keepalive_retries(Some(KEEPALIVE_RETRIES));
--- a/crates/backing/src/client/orders.rs
+++ b/crates/backing/src/client/orders.rs
@@ -17,9 +17,9 @@
 pub enum OrderRefusal {
     /// The engine has seen a newer fencing number.
     Stale {
-        /// The order's number.
+        /// Fencing number of the refused order.
         given: Fence,
-        /// The highest number seen.
+        /// Highest fencing number that the engine has seen.
         highest: Fence,
     },
     /// The order can't be carried out in the engine's present state.
--- a/crates/backing/src/client/wire.rs
+++ b/crates/backing/src/client/wire.rs
@@ -97,7 +97,7 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct WireEntry {
-    /// The key.
+    /// The key, which must be UTF-8.
     pub key: Base64,
     /// Revision of the key's creation.
     pub create_revision: Int64,
@@ -172,7 +172,7 @@
     }
 }
 
-/// Answer to a range read.
+/// Answer to `POST /v3/kv/range`.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct RangeResponse {
@@ -186,9 +186,9 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct PutRequest {
-    /// The key.
+    /// Key to create or overwrite.
     pub key: Base64,
-    /// The value.
+    /// Value to store.
     pub value: Base64,
     /// The lease, zero for none.
     #[serde(skip_serializing_if = "Int64::is_zero")]
@@ -229,7 +229,7 @@
     Mod,
 }
 
-/// The operator of a comparison.
+/// How a revision is compared with the expected one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum CompareResult {
@@ -242,11 +242,11 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct WireCompare {
-    /// The operator.
+    /// How the revision is compared with the expected one.
     pub result: CompareResult,
     /// Which revision of the key is compared.
     pub target: CompareTarget,
-    /// The key.
+    /// Key whose revision is compared; it may be absent.
     pub key: Base64,
     /// Expected with [`CompareTarget::Create`].
     #[serde(
--- a/crates/backing/src/fake/engine/control.rs
+++ b/crates/backing/src/fake/engine/control.rs
@@ -180,7 +180,7 @@
     }
 
     /// Waits without a timeout until the engine is not frozen.
-    pub(super) async fn wait_until_thawed(&self) -> Result<(), BackendError> {
+    pub(super) async fn wait_until_unfrozen(&self) -> Result<(), BackendError> {
         let mut frozen = self.shared.frozen.subscribe();
         frozen.wait_for(|frozen| !frozen).await.map(drop).map_err(|_| BackendError::Lost)
     }
--- a/crates/backing/src/fake/engine/mod.rs
+++ b/crates/backing/src/fake/engine/mod.rs
@@ -219,8 +219,8 @@
         self.process()?;
         let timeout = self.shared.settings.silence_timeout;
         let mut frozen = self.shared.frozen.subscribe();
-        let thawed = tokio::time::timeout(timeout, frozen.wait_for(|frozen| !frozen)).await;
-        match thawed {
+        let unfrozen = tokio::time::timeout(timeout, frozen.wait_for(|frozen| !frozen)).await;
+        match unfrozen {
             Ok(Ok(_)) => self.process().map(drop),
             Ok(Err(_)) | Err(_) => Err(silent(timeout)),
         }
@@ -238,7 +238,8 @@
 impl BackendServer for FakeEngine {
     fn call(&self, call: BackendCall) -> BoxFuture<'_, Result<BackendAnswer, BackendError>> {
         Box::pin(async move {
-            // The kernel of a frozen engine still accepts the request, which runs after the thaw.
+            // The kernel of a frozen engine still accepts the request, which runs once the engine is
+            // unfrozen.
             let process = self.process()?;
             let timeout = self.shared.settings.silence_timeout;
             let head = run::start(self, process, call);
--- a/crates/backing/src/fake/engine/run.rs
+++ b/crates/backing/src/fake/engine/run.rs
@@ -92,7 +92,7 @@
     }
 
     async fn run(&mut self, place: &mut Place<'_>, started: &mut bool) -> Ending {
-        if self.engine.wait_until_thawed().await.is_err() {
+        if self.engine.wait_until_unfrozen().await.is_err() {
             return Ending::CallerGone;
         }
         if self.generation.stream && !self.send_head("text/event-stream") {
@@ -181,12 +181,13 @@
             return Ok(());
         }
         let timeout = self.engine.settings().silence_timeout;
-        if tokio::time::timeout(timeout, self.engine.wait_until_thawed()).await.is_ok() {
+        if tokio::time::timeout(timeout, self.engine.wait_until_unfrozen()).await.is_ok() {
             return Ok(());
         }
         self.report_silence(timeout).await;
-        // The caller has timed out; the engine detects that after the thaw and stops generating.
-        let _ = self.engine.wait_until_thawed().await;
+        // The caller has timed out; the engine detects that once it is unfrozen and stops
+        // generating.
+        let _ = self.engine.wait_until_unfrozen().await;
         Err(Ending::CallerGone)
     }
 
--- a/crates/backing/src/fake/kv.rs
+++ b/crates/backing/src/fake/kv.rs
@@ -35,11 +35,11 @@
     pub range: u64,
     /// Transactions.
     pub transact: u64,
-    /// Leases asked for.
+    /// Lease grants.
     pub grant_lease: u64,
     /// Lease renewals.
     pub keep_alive: u64,
-    /// Leases ended.
+    /// Lease revocations.
     pub revoke_lease: u64,
     /// Watches opened.
     pub watch: u64,
--- a/crates/backing/src/kv.rs
+++ b/crates/backing/src/kv.rs
@@ -51,14 +51,14 @@
 pub enum Compare {
     /// The key does not exist.
     Absent {
-        /// The key compared.
+        /// Key that must be absent.
         key: String,
     },
     /// The key's last write has exactly this revision.
     ModRevision {
-        /// The key compared.
+        /// Key that must exist.
         key: String,
-        /// The revision expected.
+        /// Revision that the last write must have.
         revision: Revision,
     },
 }
@@ -68,21 +68,21 @@
 pub enum Operation {
     /// Write a value.
     Put {
-        /// The key written.
+        /// Key to create or overwrite.
         key: String,
         /// The value, at most [`MAX_VALUE_BYTES`].
         value: Bytes,
-        /// The lease with which the key expires.
+        /// Lease with which the key expires; `None` if it is to persist.
         lease: Option<LeaseId>,
     },
     /// Read one key.
     Get {
-        /// The key read.
+        /// Key to read; the result is `None` if it is absent.
         key: String,
     },
     /// Delete one key.
     Delete {
-        /// The key deleted.
+        /// Key to delete; an absent one is ignored.
         key: String,
     },
 }
@@ -90,7 +90,7 @@
 /// A transaction: if all comparisons hold, `on_success` runs atomically, else `on_failure` does.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Transaction {
-    /// All of these must hold.
+    /// Preconditions, checked against the state before the transaction.
     pub compares: Vec<Compare>,
     /// Run when all comparisons hold.
     pub on_success: Vec<Operation>,
@@ -116,7 +116,7 @@
     Put(KeyValueEntry),
     /// A key was deleted or its lease expired.
     Delete {
-        /// The key.
+        /// Key that no longer exists.
         key: String,
         /// The revision of the deletion.
         revision: Revision,
--- a/crates/backing/src/orders.rs
+++ b/crates/backing/src/orders.rs
@@ -113,9 +113,9 @@
     /// The engine has seen a newer number, so the sender is superseded.
     #[error("order with fencing number {} refused: {} was seen", given.0, highest.0)]
     Stale {
-        /// The order's number.
+        /// Fencing number of the refused order.
         given: Fence,
-        /// The highest number seen.
+        /// Highest fencing number that the engine has seen.
         highest: Fence,
     },
     /// The order can't be carried out in the engine's present state.
@@ -131,7 +131,7 @@
 
 /// Orders to one engine.
 pub trait EngineOrders: Send + Sync + 'static {
-    /// Sends an order. If its answer is lost, [`EngineOrders::state`] tells whether it took effect.
+    /// Sends an order. If its answer is lost, [`EngineOrders::state`] shows whether it took effect.
     fn send_order<'a>(&'a self, order: &'a Order) -> BoxFuture<'a, Result<(), OrderError>>;
 
     /// Reads the engine's state back.
--- a/crates/flamingowheel/src/cli.rs
+++ b/crates/flamingowheel/src/cli.rs
@@ -49,11 +49,11 @@
 pub struct Args {
     /// Values of `--entry`, which can be repeated.
     pub entries: Vec<String>,
-    /// `--token-file`.
+    /// `--token-file`: path of the file with the operators' token.
     pub token_file: Option<PathBuf>,
-    /// `--timeout`.
+    /// `--timeout`: how long one entry may take to answer.
     pub timeout: Option<String>,
-    /// `--json`.
+    /// `--json`: whether answers are printed as JSON.
     pub json: bool,
     /// The subcommand.
     pub command: Subcommand,
@@ -62,34 +62,34 @@
 /// A subcommand with its arguments, not yet validated.
 #[derive(Debug)]
 pub enum Subcommand {
-    /// `apply`.
+    /// `apply`: changes documents.
     Apply(ApplyArgs),
-    /// `get`.
+    /// `get`: shows templates or workspaces.
     Get {
         /// `templates` or `workspaces`.
         kind: String,
         /// Name of one document; all are shown if absent.
         name: Option<String>,
     },
-    /// `diff`.
+    /// `diff`: shows what documents would change.
     Diff {
-        /// `-f`.
+        /// `-f`: path of the file of documents.
         file: PathBuf,
     },
-    /// `history`.
+    /// `history`: shows the last changes.
     History,
-    /// `change`.
+    /// `change`: shows the outcome of a change.
     Change {
-        /// The change's id.
+        /// Id of the change, complete or its random part.
         id: String,
     },
-    /// `status`.
+    /// `status`: shows the fleet's processes and rank groups.
     Status,
-    /// `timeline`.
+    /// `timeline`: shows the merged events of all processes.
     Timeline(TimelineArgs),
-    /// `entries`.
+    /// `entries`: shows the entry addresses for callers of a workspace.
     Entries {
-        /// `--workspace`.
+        /// `--workspace`: name of the workspace.
         workspace: String,
     },
 }
@@ -97,32 +97,32 @@
 /// Arguments of `apply`.
 #[derive(Debug)]
 pub struct ApplyArgs {
-    /// `-f`.
+    /// `-f`: path of the file of documents.
     pub file: PathBuf,
-    /// `--dry-run`.
+    /// `--dry-run`: whether to validate the change without writing it.
     pub dry_run: bool,
-    /// `--wait`.
+    /// `--wait`: how long to wait until the change is in force everywhere.
     pub wait: Option<String>,
-    /// `--seen`.
+    /// `--seen`: revision that the change is based on.
     pub seen: Option<String>,
-    /// `--again`.
+    /// `--again`: random part of the id of a change to resend.
     pub again: Option<String>,
-    /// `--operator`.
+    /// `--operator`: name of the operator, for the history.
     pub operator: Option<String>,
-    /// `--comment`.
+    /// `--comment`: reason for the change, for the history.
     pub comment: Option<String>,
 }
 
 /// Arguments of `timeline`.
 #[derive(Debug)]
 pub struct TimelineArgs {
-    /// `--request`.
+    /// `--request`: id of a caller's request.
     pub request: Option<String>,
-    /// `--group`.
+    /// `--group`: name of a rank group.
     pub group: Option<String>,
-    /// `--workspace`.
+    /// `--workspace`: name of a workspace.
     pub workspace: Option<String>,
-    /// `--since`.
+    /// `--since`: how far back the events reach.
     pub since: Option<String>,
 }
 
--- a/crates/flamingowheel/src/commands/status.rs
+++ b/crates/flamingowheel/src/commands/status.rs
@@ -89,7 +89,7 @@
         }
     }
 
-    /// While the coordination of a group moves, two entries report it. The report of the one that
+    /// While the coordinator of a group changes, two entries report it. The report of the one that
     /// coordinates it is preferred, since it is more complete.
     fn add_group(&mut self, group: String, coordinator: &str, status: GroupStatus) {
         if status.activity == Activity::Following && self.groups.contains_key(&group) {
--- a/crates/flamingowheel/src/commands/timeline.rs
+++ b/crates/flamingowheel/src/commands/timeline.rs
@@ -46,7 +46,7 @@
 /// Reads the matching events of every process and merges them.
 ///
 /// If no entry can list the processes, which may well be when a timeline is needed, the addresses
-/// that the operator named are still asked, and the list is reported like a process that was not
+/// that the operator named are still queried, and the list is reported like a process that was not
 /// reached.
 pub async fn run(client: &Client, query: &EventQuery, json: bool) -> Result<Output, Error> {
     let mut collector = Collector::default();
@@ -83,7 +83,7 @@
 }
 
 impl Collector {
-    /// Returns the addresses to ask, with the processes' names: those that the operator named and
+    /// Returns the addresses to query, with the processes' names: those that the operator named and
     /// those of the listed processes.
     fn targets(
         &mut self,
@@ -133,8 +133,8 @@
         }
     }
 
-    /// Adds an answer. Its process is no longer reported as unreachable, which it was if the list had
-    /// no address for it.
+    /// Adds an answer. Its process is no longer reported as unreachable, which it was if the list
+    /// had no address for it.
     fn add_answer(&mut self, answer: EventsAnswer) {
         self.unreachable.retain(|process| process.process != answer.process.name);
         self.answers.push(answer);
--- a/crates/flamingowheel/src/help.rs
+++ b/crates/flamingowheel/src/help.rs
@@ -1,23 +1,23 @@
 //! Help texts.
 
-/// A subcommand.
+/// A subcommand that has a help text of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Topic {
-    /// `apply`.
+    /// `apply`: changes documents.
     Apply,
-    /// `get`.
+    /// `get`: shows templates or workspaces.
     Get,
-    /// `diff`.
+    /// `diff`: shows what documents would change.
     Diff,
-    /// `history`.
+    /// `history`: shows the last changes.
     History,
-    /// `change`.
+    /// `change`: shows the outcome of a change.
     Change,
-    /// `status`.
+    /// `status`: shows the fleet's processes and rank groups.
     Status,
-    /// `timeline`.
+    /// `timeline`: shows the merged events of all processes.
     Timeline,
-    /// `entries`.
+    /// `entries`: shows the entry addresses for callers of a workspace.
     Entries,
 }
 
--- a/crates/flamingowheeld/src/demo/once.rs
+++ b/crates/flamingowheeld/src/demo/once.rs
@@ -23,16 +23,16 @@
 pub async fn run(fleet: &Fleet) -> Result<bool, DemoError> {
     let caller = Caller::new(TOKEN);
     let (first, second) = (fleet.entries[0].callers, fleet.entries[1].callers);
-    let addresses = ask_addresses(&caller, first).await?;
+    let addresses = fetch_addresses(&caller, first).await?;
     let streamed = stream(&caller, addresses.first().copied().unwrap_or(first)).await?;
-    let ran_once = file_twice(fleet, &caller, first, second).await?;
+    let ran_once = submit_twice(fleet, &caller, first, second).await?;
     let changed = change_version(fleet).await?;
     let all_passed = !addresses.is_empty() && streamed && ran_once && changed;
     println!("{}", if all_passed { "all as promised" } else { "NOT as promised" });
     Ok(all_passed)
 }
 
-async fn ask_addresses(caller: &Caller, entry: SocketAddr) -> Result<Vec<SocketAddr>, DemoError> {
+async fn fetch_addresses(caller: &Caller, entry: SocketAddr) -> Result<Vec<SocketAddr>, DemoError> {
     let path = format!("/v1/entries?workspace={WORKSPACE}");
     let reply = caller.call(Method::GET, entry, &path, &[], Bytes::new()).await?;
     println!("which addresses? {} {}", reply.status, reply.text());
@@ -54,9 +54,9 @@
     Ok(reply.status.is_success() && reply.body == expected)
 }
 
-/// Files the same order with the same key through two entries; checks for one run and equal
+/// Submits the same order with the same key through two entries; checks for one run and equal
 /// answers.
-async fn file_twice(
+async fn submit_twice(
     fleet: &Fleet,
     caller: &Caller,
     first: SocketAddr,
--- a/crates/flamingowheeld/src/demo/ports.rs
+++ b/crates/flamingowheeld/src/demo/ports.rs
@@ -11,7 +11,7 @@
 /// Binds the same free port on every IP, as the processes of a fleet share their inner port.
 ///
 /// Returns the listeners for the processes to use. If a free port were released again, another
-/// socket could get it before its process binds it, and the fleet would fail to start now and then.
+/// socket could get it before its process binds it, and the fleet would occasionally fail to start.
 pub(super) async fn bind_same_port(
     ips: &[IpAddr],
 ) -> io::Result<(u16, HashMap<IpAddr, TcpListener>)> {
--- a/crates/flamingowheeld/src/discovery.rs
+++ b/crates/flamingowheeld/src/discovery.rs
@@ -242,11 +242,11 @@
     servers: &BTreeSet<ServerKey>,
     pinned: &BTreeSet<String>,
 ) -> Vec<AgentVm> {
-    let is_wanted = |agent: &&Arc<AgentRecord>| {
+    let is_target = |agent: &&Arc<AgentRecord>| {
         servers.contains(&ServerKey::from_name(&agent.name))
             || group_name(agent).is_some_and(|group| pinned.contains(group))
     };
-    directory.iter().filter(is_wanted).map(|agent| agent_vm(agent)).collect()
+    directory.iter().filter(is_target).map(|agent| agent_vm(agent)).collect()
 }
 
 fn agent_vm(agent: &AgentRecord) -> AgentVm {
--- a/crates/flamingowheeld/src/groups.rs
+++ b/crates/flamingowheeld/src/groups.rs
@@ -226,7 +226,8 @@
     status.activity != Activity::Following
 }
 
-/// The event's fencing number is that of the current record; 0 if the record can't be read.
+/// The event for an acquired lease. Its fencing number is that of the current record, or 0 if the
+/// record can't be read.
 async fn lease_won(group: &str, records: &RecordStore) -> Event {
     let stored = records.read().await;
     let fencing_number = stored.map_or(0, |stored| stored.fence().0);
@@ -245,8 +246,8 @@
     if now.activity == Activity::Running && map_revision > before.map_version {
         events.push(Event::Switch { step: SwitchStep::Resumed, map_revision });
     }
-    let was_out = |rank| before.out_of_service.iter().any(|other| other.rank == rank);
-    for out in now.out_of_service.iter().filter(|out| !was_out(out.rank)) {
+    let was_out_of_service = |rank| before.out_of_service.iter().any(|other| other.rank == rank);
+    for out in now.out_of_service.iter().filter(|out| !was_out_of_service(out.rank)) {
         let backend_server = format!("{group} rank {}", out.rank).into();
         events.push(Event::RankUnverified { backend_server, map_revision });
     }
@@ -295,7 +296,11 @@
         }
     }
 
-    async fn ask(&self, rank: usize, request: RankRequest) -> Result<RankState, RankError> {
+    async fn send_request(
+        &self,
+        rank: usize,
+        request: RankRequest,
+    ) -> Result<RankState, RankError> {
         let agent = self.agent(rank).ok_or(RankError::NoAnswer)?;
         let mut body = Vec::new();
         // Serialising plain values into memory can't fail.
@@ -315,7 +320,7 @@
         rank: usize,
         request: RankRequest,
     ) -> BoxFuture<'_, Result<RankState, RankError>> {
-        Box::pin(self.ask(rank, request))
+        Box::pin(self.send_request(rank, request))
     }
 }
 
--- a/crates/flamingowheeld/src/listen.rs
+++ b/crates/flamingowheeld/src/listen.rs
@@ -69,7 +69,7 @@
 
     /// Binds all but the inner listener, which is bound already. The inner listener comes first
     /// because its port is fixed: another listener on the same IP with port 0 could be assigned
-    /// that port, and the start would fail now and then with "address already in use".
+    /// that port, and the start would occasionally fail with "address already in use".
     pub async fn bind_others(
         listen: &ListenSettings,
         inner: TcpListener,
--- a/crates/flamingowheeld/src/membership.rs
+++ b/crates/flamingowheeld/src/membership.rs
@@ -47,7 +47,7 @@
             () = tokio::time::sleep(REFRESH_INTERVAL) => {}
         }
         // When many processes start, each one is a change; a rebuild of the cells for each would
-        // take a whole core.
+        // keep one core fully busy.
         tokio::time::sleep(MIN_REBUILD_INTERVAL).await;
     }
 }
@@ -82,8 +82,8 @@
 }
 
 /// Members of the address book. An entry that is not live is marked as leaving: a silent one may be
-/// unreachable only from here, but callers sent to it could lose time. It is offered again as soon
-/// as it is live.
+/// unreachable only from here, but callers sent to it could time out. It is listed as available
+/// again as soon as it is live.
 fn members(node: &Node) -> Vec<EntryMember> {
     node.members()
         .into_iter()
--- a/crates/flamingowheeld/src/orders.rs
+++ b/crates/flamingowheeld/src/orders.rs
@@ -82,7 +82,7 @@
 }
 
 /// The event to record for an order, with the fencing number of its coordinator, so that a group's
-/// time line shows which coordinator gave which order. Reads are not recorded.
+/// timeline shows which coordinator gave which order. Reads are not recorded.
 fn order_event(request: &RankRequest, answer: &Result<RankState, RankError>) -> Option<Event> {
     let order = order_kind(request.target.as_ref()?);
     let fencing_number = request.fence.0;
@@ -181,8 +181,8 @@
         }
     }
 
-    // A coordinator that was replaced while it was paused still sends an order. The group's time
-    // line must show that the order was refused and which fencing number was in force.
+    // A coordinator that was replaced while it was paused still sends an order. The group's
+    // timeline must show that the order was refused and which fencing number was in force.
     #[test]
     fn order_event_stale_fence_recorded_as_refused() {
         let answer = Err(RankError::Stale { given: Fence(7), lowest: Fence(9) });
--- a/crates/flamingowheeld/src/placement.rs
+++ b/crates/flamingowheeld/src/placement.rs
@@ -30,22 +30,22 @@
     ExpertMap { layers: vec![layer; usize::from(shape.layers)] }
 }
 
-/// One rank's counters since its process started.
+/// One rank's total tokens and busy time since its process started.
 #[derive(Clone, Copy, Debug)]
-struct RankCount {
+struct RankCounters {
     process_id: u64,
     tokens: u64,
     busy_us: u64,
 }
 
-impl RankCount {
+impl RankCounters {
     fn from_state(state: &RankState) -> Option<Self> {
         let counters = &state.engine.counters;
-        let of_experts =
+        let expert_counters =
             counters.iter().filter(|(name, _)| name.starts_with(EXPERT_COUNTER_PREFIX));
         Some(Self {
             process_id: state.engine.process_id,
-            tokens: of_experts.map(|(_, count)| count).sum(),
+            tokens: expert_counters.map(|(_, count)| count).sum(),
             busy_us: *counters.get(EXPERT_BUSY_COUNTER)?,
         })
     }
@@ -67,7 +67,7 @@
     shape: ExpertShape,
     last_expert_tokens: Option<Vec<Vec<f64>>>,
     loads: Vec<DecayedLoads>,
-    last_counts: Vec<Option<RankCount>>,
+    last_counters: Vec<Option<RankCounters>>,
     speeds: RankSpeeds,
 }
 
@@ -79,39 +79,40 @@
             shape,
             last_expert_tokens: None,
             loads: Vec::new(),
-            last_counts: vec![None; ranks],
+            last_counters: vec![None; ranks],
             speeds: RankSpeeds::new(ranks),
         }
     }
 
     /// Adds the current counters of all ranks, in the order of ranks. The first call only sets the
-    /// base; an interval in which a counter fell is ignored for the loads.
+    /// baseline; an interval in which a counter fell is ignored for the loads.
     pub fn observe(&mut self, states: &[RankState]) {
         self.observe_speeds(states);
         let counted = self.expert_tokens(states);
         let Some(before) = self.last_expert_tokens.replace(counted.clone()) else { return };
-        let since: Vec<Vec<f64>> = counted
+        let increases: Vec<Vec<f64>> = counted
             .iter()
             .zip(&before)
             .map(|(now, then)| now.iter().zip(then).map(|(n, t)| n - t).collect())
             .collect();
-        let is_monotonic = since.iter().flatten().all(|load| *load >= 0.0);
-        if !is_monotonic || since.iter().flatten().sum::<f64>() < MIN_TOKENS {
+        let is_monotonic = increases.iter().flatten().all(|load| *load >= 0.0);
+        if !is_monotonic || increases.iter().flatten().sum::<f64>() < MIN_TOKENS {
             return;
         }
         if self.loads.is_empty() {
-            self.loads = since.iter().map(|l| DecayedLoads::new(OBSERVATION_WEIGHT, l)).collect();
+            self.loads =
+                increases.iter().map(|l| DecayedLoads::new(OBSERVATION_WEIGHT, l)).collect();
             return;
         }
-        for (loads, layer) in self.loads.iter_mut().zip(&since) {
+        for (loads, layer) in self.loads.iter_mut().zip(&increases) {
             loads.observe(layer);
         }
     }
 
     fn observe_speeds(&mut self, states: &[RankState]) {
-        let mut work = vec![None; self.last_counts.len()];
-        for ((before, state), work) in self.last_counts.iter_mut().zip(states).zip(&mut work) {
-            let now = RankCount::from_state(state);
+        let mut work = vec![None; self.last_counters.len()];
+        for ((before, state), work) in self.last_counters.iter_mut().zip(states).zip(&mut work) {
+            let now = RankCounters::from_state(state);
             *work = now.zip(*before).and_then(|(now, before)| now.work_since(&before));
             *before = now;
         }
--- a/crates/flamingowheeld/tests/demo.rs
+++ b/crates/flamingowheeld/tests/demo.rs
@@ -3,7 +3,7 @@
 use flamingowheel_daemon::demo::{Fleet, once};
 
 // The demo of the README must work: the address query is answered, a stream is complete, a work
-// order filed twice runs once, and no step of the rank group ran with two maps or two model
+// order submitted twice runs once, and no step of the rank group ran with two maps or two model
 // versions.
 #[tokio::test(flavor = "multi_thread")]
 async fn once_run_passes_all_checks() {
--- a/crates/flamingowheeld/tests/discovery.rs
+++ b/crates/flamingowheeld/tests/discovery.rs
@@ -226,7 +226,7 @@
 // A VM is leaving. Most entries have no link to its agent, and in most seconds the entry that reads
 // the list is one of these. Without a notice the agent would accept new work until it is cut off.
 #[tokio::test(start_paused = true)]
-async fn run_leaving_vm_told_in_time() {
+async fn run_leaving_vm_notified_in_time() {
     let list = FakeVmList::new((0..AGENTS).map(|number| vm(number, VmState::Live)).collect());
     let fake_agents = FakeAgents::default();
     let mut links = Vec::new();
--- a/crates/flamingowheeld/tests/processes/fleet.rs
+++ b/crates/flamingowheeld/tests/processes/fleet.rs
@@ -246,8 +246,8 @@
         SocketAddr::new(self.ip(number), CALLERS_PORT)
     }
 
-    /// Files a work order and reads the whole answer.
-    pub async fn file(&self, entry: u8, order: &str, headers: &[(&str, &str)]) -> Reply {
+    /// Submits a work order and reads its answer to the end.
+    pub async fn submit_order(&self, entry: u8, order: &str, headers: &[(&str, &str)]) -> Reply {
         let path = format!("/v1/services/{SERVICE}/orders");
         let body = order.to_owned().into();
         let sent = self.caller.call(Method::POST, self.entry(entry), &path, headers, body);
--- a/crates/flamingowheeld/tests/processes/main.rs
+++ b/crates/flamingowheeld/tests/processes/main.rs
@@ -71,9 +71,9 @@
     String::from_utf8(text::whole_stream(body, 0).concat()).unwrap()
 }
 
-// A caller files a payout with an idempotency key. The entry is killed while the service works on
-// it, so the caller sees a broken connection and files it again through another entry. A second run
-// would pay twice.
+// A caller submits a payout with an idempotency key. The entry is killed while the service works on
+// it, so the caller sees a broken connection and submits it again through another entry. A second
+// run would pay twice.
 #[tokio::test(flavor = "multi_thread")]
 async fn payout_entry_killed_runs_once() {
     let mut fleet = Fleet::start(1).await;
@@ -90,7 +90,7 @@
     fleet.entries[0].kill();
     assert!(first.await.unwrap().is_err(), "the connection breaks");
 
-    let again = fleet.file(1, ORDER, &key).await;
+    let again = fleet.submit_order(1, ORDER, &key).await;
     assert_eq!(again.outcome(), "complete", "{}", again.text());
     assert_eq!(fleet.executions(ORDER), 1);
 }
@@ -107,15 +107,15 @@
     read(&mut stream, &mut first, 1_000).await.unwrap();
     fleet.entries[0].kill();
     let rest = read(&mut stream, &mut first, usize::MAX).await;
-    assert!(rest.is_err(), "a part must not look like a whole answer");
+    assert!(rest.is_err(), "a truncated answer must not look complete");
 
     let (mut data, last) = events(&first);
     let path = format!("/v1/streams/{token}");
     let last = last.unwrap().to_string();
     let headers = [(LAST_EVENT_HEADER, last.as_str())];
     let entry = fleet.entry(1);
-    let asked = fleet.caller.call(Method::GET, entry, &path, &headers, Bytes::new());
-    let resumed = timeout(TIMEOUT, asked).await.unwrap().unwrap();
+    let resume_request = fleet.caller.call(Method::GET, entry, &path, &headers, Bytes::new());
+    let resumed = timeout(TIMEOUT, resume_request).await.unwrap().unwrap();
     data += &events(&resumed.body).0;
     assert_eq!(data, complete_answer(&body));
 }
@@ -156,18 +156,18 @@
     }
     let ticket = fleet.request_ticket(0).await;
     let headers = [(TICKET_HEADER, ticket.as_str()), (TIMEOUT_HEADER, "5000")];
-    let filed = fleet.file(0, ORDER, &headers);
+    let submission = fleet.submit_order(0, ORDER, &headers);
     let stopped = async {
         wait_until("it is carried out", async || fleet.executions(ORDER) == 1).await;
         fleet.service_agents.iter().for_each(|agent| agent.signal(Signal::STOP));
     };
-    let (reply, ()) = tokio::join!(filed, stopped);
+    let (reply, ()) = tokio::join!(submission, stopped);
     assert_eq!(reply.outcome(), "unknown", "{}", reply.text());
 
     fleet.service_agents.iter().for_each(|agent| agent.signal(Signal::CONT));
     let headers = [(TICKET_HEADER, ticket.as_str())];
     wait_until("the stored answer comes", async || {
-        let again = fleet.file(1, ORDER, &headers).await;
+        let again = fleet.submit_order(1, ORDER, &headers).await;
         again.outcome() == "complete"
     })
     .await;
@@ -188,8 +188,8 @@
 
     let ticket = fleet.request_ticket(1).await;
     let headers = [(TICKET_HEADER, ticket.as_str())];
-    let first = fleet.file(1, ORDER, &headers).await;
-    let again = fleet.file(0, ORDER, &headers).await;
+    let first = fleet.submit_order(1, ORDER, &headers).await;
+    let again = fleet.submit_order(0, ORDER, &headers).await;
     assert_eq!((first.outcome(), again.outcome()), ("complete", "complete"));
     assert_eq!(fleet.executions(ORDER), 1);
 }
--- a/crates/observe/benches/record.rs
+++ b/crates/observe/benches/record.rs
@@ -18,7 +18,7 @@
 
 const EVENTS: u64 = 400_000;
 const THREADS: u64 = 4;
-/// Processes whose events are merged into a time line, and the events of each.
+/// Number of processes whose events are merged into a timeline, and of events per process.
 const READ_PROCESSES: u64 = 100;
 const READ_EVENTS: u64 = 2_000;
 const PAGE_BYTES: u64 = 4_096;
--- a/crates/observe/src/clock.rs
+++ b/crates/observe/src/clock.rs
@@ -203,7 +203,7 @@
     }
 }
 
-/// A remote stamp too far ahead of the local wall clock to be followed.
+/// A remote stamp is ahead of the local wall clock by more than the drift bound.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("remote clock is {ahead_ms} ms ahead")]
 pub struct DriftExceeded {
@@ -252,7 +252,7 @@
     ///
     /// A stamp beyond the drift bound is ignored: a process whose wall clock runs far ahead would
     /// otherwise advance the clocks of all processes it talks to, and through them of all others,
-    /// and the time line would show minutes that never passed. The caller records the error as an
+    /// and the timeline would show minutes that never passed. The caller records the error as an
     /// event and in a metric. Events caused by that process may then sort before their cause.
     ///
     /// ```
@@ -271,7 +271,7 @@
         Ok(self.advance(remote.0))
     }
 
-    /// The wall clock's reading.
+    /// The underlying wall clock's time, in milliseconds since the Unix epoch.
     pub fn wall_ms(&self) -> u64 {
         self.wall.now_ms()
     }
@@ -307,7 +307,7 @@
     }
 
     #[test]
-    fn now_grows_when_wall_stands_or_steps_back() {
+    fn now_increases_when_wall_clock_stops_or_goes_back() {
         let (clock, wall) = clock_at(1_000);
         let first = clock.now();
         let second = clock.now();
@@ -335,7 +335,7 @@
     }
 
     #[test]
-    fn observe_beyond_drift_leaves_clock_alone() {
+    fn observe_beyond_drift_ignored() {
         let (clock, _wall) = clock_at(1_000);
         let remote = Stamp::new(1_000 + DEFAULT_MAX_DRIFT_MS + 1, 0);
         assert_eq!(
--- a/crates/observe/src/describe.rs
+++ b/crates/observe/src/describe.rs
@@ -1,4 +1,4 @@
-//! `Display` of events: the sentence that the time line shows for each.
+//! `Display` of events: the sentence that the timeline shows for each.
 
 use std::fmt;
 
--- a/crates/observe/src/logs.rs
+++ b/crates/observe/src/logs.rs
@@ -14,7 +14,7 @@
 use crate::api::ProcessInfo;
 use crate::output::{MAX_LINES_PER_S, NonBlockingOutput};
 
-/// Field of a log line that carries a whole recorded event as JSON.
+/// Field of a log line that carries a complete recorded event as JSON.
 const RECORD_FIELD: &str = "record";
 
 /// Logging could not be set up.
--- a/crates/observe/src/metrics.rs
+++ b/crates/observe/src/metrics.rs
@@ -36,7 +36,7 @@
         Read = "read",
         /// A write or compare-and-swap.
         Write = "write",
-        /// A watch, counted when it is opened and each time it waits again.
+        /// A watch, counted each time it is opened.
         Watch = "watch",
         /// A lease granted, renewed or revoked.
         Lease = "lease",
@@ -102,7 +102,7 @@
     samplers: Mutex<Vec<Sampler>>,
 }
 
-/// Returns how many places of a kind are in use.
+/// Returns the current number of items of one kind.
 type Sampler = (OccupancyKind, Box<dyn Fn() -> usize + Send + Sync>);
 
 impl Metrics {
@@ -248,7 +248,7 @@
         StreamTimer { metrics: self.clone(), previous_at: received_at, has_begun: false }
     }
 
-    /// Registers `read`, which returns how many places of a kind are in use. It is called whenever
+    /// Registers `read`, which returns the current number of items of a kind. It is called whenever
     /// the metrics are encoded.
     ///
     /// ```
--- a/crates/observe/src/output.rs
+++ b/crates/observe/src/output.rs
@@ -25,7 +25,7 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Creates writers that queue whole lines.
+/// Creates writers that each queue one complete line.
 #[derive(Clone, Debug)]
 pub struct NonBlockingOutput {
     queue: SyncSender<Vec<u8>>,
--- a/crates/observe/src/ring.rs
+++ b/crates/observe/src/ring.rs
@@ -41,7 +41,7 @@
     /// Adds the event that `make` builds from its sequence number.
     ///
     /// The event is built under the ring's lock: if threads stamped their events before taking the
-    /// lock, the ring could get out of order and a time line would show an effect before its cause.
+    /// lock, the ring could get out of order and a timeline would show an effect before its cause.
     ///
     /// ```
     /// use flamingowheel_observe::clock::Stamp;
@@ -91,8 +91,9 @@
         let Some(context) = context else {
             return matching.into_iter().cloned().collect();
         };
-        let wanted = |event: &&Arc<StampedEvent>| query.matches(event) || context.explains(event);
-        state.events.iter().filter(wanted).cloned().collect()
+        let is_included =
+            |event: &&Arc<StampedEvent>| query.matches(event) || context.explains(event);
+        state.events.iter().filter(is_included).cloned().collect()
     }
 
     /// How many events were overwritten so far.
@@ -115,7 +116,7 @@
 /// Time span and peers of a request, to find events that explain it without naming it.
 ///
 /// A lost connection or a crashed engine is recorded once, not once for each of the hundreds of
-/// requests it affected; without it a request's time line would show a retry without its cause.
+/// requests it affected; without it a request's timeline would show a retry without its cause.
 struct Context<'a> {
     from_ms: u64,
     to_ms: u64,
--- a/crates/observe/src/timeline.rs
+++ b/crates/observe/src/timeline.rs
@@ -1,4 +1,4 @@
-//! Merges the events of many processes into one time line.
+//! Merges the events of many processes into one timeline.
 
 use std::collections::HashSet;
 use std::fmt::Write;
@@ -19,7 +19,7 @@
 /// The last millisecond of the year 9999.
 const LAST_UTC_MS: u64 = 253_402_300_799_999;
 const GAP: &str = "  ";
-/// Header line of a time line without events.
+/// Header line of a timeline without events.
 const NO_EVENTS: &str = "NOTHING FOUND: either the name is wrong, or it belongs to another fleet, or it \
      is older than what these processes keep (then see their logs)";
 
@@ -115,7 +115,7 @@
 /// Backend servers that were sent attempts and are in neither list.
 ///
 /// A process that is gone is removed from the list of processes after a while. Its events are
-/// missing nevertheless, and a time line that doesn't say so would look complete.
+/// missing nevertheless, and a timeline that doesn't say so would look complete.
 fn unlisted_backend_servers(
     events: &[StampedEvent],
     processes: &[ProcessInfo],
@@ -192,7 +192,7 @@
 }
 
 impl Timeline {
-    /// The time line as text, at most [`COLUMNS`] wide.
+    /// The timeline as text, at most [`COLUMNS`] wide.
     pub fn to_text(&self) -> String {
         let mut text = String::new();
         for line in self.header() {
@@ -280,7 +280,7 @@
         P: PartialEq,
         F: Fn(&Subject) -> Option<P>,
     {
-        // In the time line of one request only its own events count, not those that explain it.
+        // In the timeline of one request only its own events count, not those that explain it.
         let of_request = self.query.request.is_some();
         let relevant = self.events.iter().filter(|e| !of_request || e.subject.request.is_some());
         let mut parts = relevant.map(|event| part(&event.subject));
@@ -360,7 +360,7 @@
 /// Replaces control characters.
 ///
 /// Names and error texts come from other processes. A control character in them would move the
-/// terminal's cursor and could hide lines of the time line.
+/// terminal's cursor and could hide lines of the timeline.
 fn printable(text: &str) -> String {
     text.chars().map(|c| if c.is_control() { '?' } else { c }).collect()
 }
--- a/crates/observe/tests/describe.rs
+++ b/crates/observe/tests/describe.rs
@@ -42,7 +42,7 @@
     }
 }
 
-// An event without a sentence would be an empty line in the time line.
+// An event without a sentence would be an empty line in the timeline.
 #[test]
 fn describe_every_event_has_a_sentence() {
     let events = all_events();
--- a/crates/observe/tests/recorder.rs
+++ b/crates/observe/tests/recorder.rs
@@ -33,7 +33,7 @@
 }
 
 // A busy process records more events than its ring holds. An answer must show how many were
-// overwritten, or an incomplete time line would look complete.
+// overwritten, or an incomplete timeline would look complete.
 #[test]
 fn ring_overflow_counts_overwritten_events() {
     let (recorder, wall) = recorder(3);
@@ -63,7 +63,7 @@
 }
 
 // Events recorded by several threads must be in the ring in the order of their numbers and stamps,
-// or a time line would show an effect before its cause.
+// or a timeline would show an effect before its cause.
 #[test]
 fn record_many_threads_keeps_ring_in_order() {
     let (recorder, _wall) = recorder(4_000);
@@ -97,7 +97,7 @@
 }
 
 // A connection used by many requests goes silent; the event is recorded once and names no request.
-// The time line of one of them must include it, but no events of other backend servers or times.
+// The timeline of one of them must include it, but no events of other backend servers or times.
 #[test]
 fn answer_request_brings_context_that_explains_it() {
     let (recorder, wall) = recorder(16);
@@ -135,7 +135,7 @@
 }
 
 // An agent's engine crashes during a request. The agent records the crash without the request's id;
-// the request's time line must still include it.
+// the request's timeline must still include it.
 #[test]
 fn answer_request_at_agent_brings_engine_crash() {
     let (recorder, _wall) = recorder(16);
--- a/crates/observe/tests/timeline.rs
+++ b/crates/observe/tests/timeline.rs
@@ -1,4 +1,4 @@
-//! Tests of merging the events of several processes, and of the time line as text and JSON.
+//! Tests of merging the events of several processes, and of the timeline as text and JSON.
 
 use flamingowheel_observe::api::{EventQuery, EventsAnswer, ProcessInfo};
 use flamingowheel_observe::clock::{HybridClock, ManualClock, Stamp};
@@ -67,7 +67,7 @@
 }
 
 // An agent is killed while it runs a request that is not idempotent, so the outcome is unknown.
-// The time line alone must show which backend server ran it, that the agent's events are missing
+// The timeline alone must show which backend server ran it, that the agent's events are missing
 // and why no further attempt followed.
 #[test]
 fn to_text_agent_killed_shows_all_related_events() {
@@ -114,7 +114,7 @@
     insta::assert_json_snapshot!(timeline);
 }
 
-// The time line of a workspace must contain the full id of each request, since the time line of a
+// The timeline of a workspace must contain the full id of each request, since the timeline of a
 // single request can't be queried by the shortened id.
 #[test]
 fn to_text_workspace_shows_full_request_ids() {
@@ -154,7 +154,7 @@
 }
 
 // An agent was killed some time ago and is no longer in the list of processes, so its events were
-// not queried. The time line must name it as missing.
+// not queried. The timeline must name it as missing.
 #[test]
 fn merge_names_unlisted_agent() {
     let entry = process("entry-1", START_MS);
@@ -228,7 +228,7 @@
 }
 
 // Control characters in another process's name, printed as is, would move the terminal's cursor or
-// forge lines of the time line.
+// forge lines of the timeline.
 #[test]
 fn to_text_control_characters_in_name_replaced() {
     let forged = process("agent\x1b[2A", START_MS);
--- a/crates/standin/src/platform/store.rs
+++ b/crates/standin/src/platform/store.rs
@@ -47,9 +47,9 @@
 
 /// Body of a transaction request.
 #[derive(Deserialize)]
-struct Written {
+struct TransactionRequest {
     #[serde(default)]
-    precondition: Vec<Expected>,
+    precondition: Vec<ExpectedRevision>,
     #[serde(default)]
     puts: Vec<Put>,
     #[serde(default)]
@@ -58,7 +58,7 @@
 
 /// Revision that a key must have; 0 if the key must be absent.
 #[derive(Deserialize)]
-struct Expected {
+struct ExpectedRevision {
     key: String,
     revision: u64,
 }
@@ -73,7 +73,7 @@
 /// Body of a request for a lease.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct Granted {
+struct LeaseRequest {
     ttl_ms: u64,
 }
 
@@ -144,7 +144,10 @@
     Json(json!({"events": events, "storeRevision": revision})).into_response()
 }
 
-async fn transact(State(kv): State<FakeKeyValue>, Json(request): Json<Written>) -> Response {
+async fn transact(
+    State(kv): State<FakeKeyValue>,
+    Json(request): Json<TransactionRequest>,
+) -> Response {
     let Some(transaction) = parse_transaction(request) else {
         return StatusCode::BAD_REQUEST.into_response();
     };
@@ -161,9 +164,9 @@
 }
 
 /// Returns `None` if a value is not base64.
-fn parse_transaction(request: Written) -> Option<Transaction> {
+fn parse_transaction(request: TransactionRequest) -> Option<Transaction> {
     let mut transaction = Transaction::default();
-    for Expected { key, revision } in request.precondition {
+    for ExpectedRevision { key, revision } in request.precondition {
         transaction.on_failure.push(Operation::Get { key: key.clone() });
         transaction.compares.push(match revision {
             0 => Compare::Absent { key },
@@ -180,7 +183,10 @@
     Some(transaction)
 }
 
-async fn grant_lease(State(kv): State<FakeKeyValue>, Json(request): Json<Granted>) -> Response {
+async fn grant_lease(
+    State(kv): State<FakeKeyValue>,
+    Json(request): Json<LeaseRequest>,
+) -> Response {
     match kv.grant_lease(Duration::from_millis(request.ttl_ms)).await {
         Ok(lease) => Json(json!({"lease": lease.0, "ttlMs": request.ttl_ms})).into_response(),
         Err(error) => failure(error).await,
