--- a/crates/proof/benches/capacity.rs
+++ b/crates/proof/benches/capacity.rs
@@ -1,5 +1,6 @@
 //! Measures the marginal cost of entries, agents, links and messages in memory, CPU time and bytes,
-//! on the production code. Prints `name=value` lines; docs/CAPACITY.md multiplies them.
+//! on the production code. Prints `name=value` lines; docs/CAPACITY.md multiplies them by
+//! the sizes of a fleet.
 //!
 //! Memory is allocated minus freed bytes. CPU time is that of the one thread that does the work, as
 //! the kernel counts it.
@@ -37,7 +38,7 @@
 /// CPU time that one measurement takes at least.
 const MIN_CPU_NS: f64 = 400e6;
 /// Divisor of the smaller size; costs per item are the slope between the two sizes.
-const FEWER: usize = 10;
+const SIZE_DIVISOR: usize = 10;
 
 fn main() -> Result<(), Failure> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
@@ -73,7 +74,7 @@
 where
     F: Fn(usize) -> T,
 {
-    let fewer = count / FEWER;
+    let fewer = count / SIZE_DIVISOR;
     let (_small, small_bytes) = allocated(|| make(fewer));
     let (_large, large_bytes) = allocated(|| make(count));
     (large_bytes - small_bytes) / (count - fewer) as f64
--- a/crates/proof/benches/capacity/configuration.rs
+++ b/crates/proof/benches/capacity/configuration.rs
@@ -17,7 +17,7 @@
 use uuid::Uuid;
 
 use crate::membership::member;
-use crate::{ALLOCATOR, FEWER, Failure, WORKSPACES, bytes_each, cpu_us_each, print};
+use crate::{ALLOCATOR, Failure, SIZE_DIVISOR, WORKSPACES, bytes_each, cpu_us_each, print};
 
 fn template() -> Template {
     let models = (0..3).map(|n| (format!("model-{n}"), Model::default())).collect();
@@ -74,7 +74,7 @@
         .sum();
     print("config_stored_bytes_per_workspace", stored as f64 / WORKSPACES as f64);
     print("config_stored_bytes_per_change", bucket::encode(&change(2)).len() as f64);
-    for count in [WORKSPACES / FEWER, WORKSPACES] {
+    for count in [WORKSPACES / SIZE_DIVISOR, WORKSPACES] {
         let node = Node::new(member(0), Recorder::for_tests("entry-0"));
         node.replace_if_newer(Replica::new(documents(count)), ConfigSource::Watch);
         let region = Region::new(ALLOCATOR);
--- a/crates/proof/benches/capacity/membership.rs
+++ b/crates/proof/benches/capacity/membership.rs
@@ -15,7 +15,9 @@
 use tokio::time::Instant;
 
 use crate::wire::through_codec;
-use crate::{ALLOCATOR, ENTRIES, FEWER, Failure, cpu_us_each, live_bytes, print, thread_cpu_ns};
+use crate::{
+    ALLOCATOR, ENTRIES, Failure, SIZE_DIVISOR, cpu_us_each, live_bytes, print, thread_cpu_ns,
+};
 
 pub fn member(number: usize) -> MemberRecord {
     let address = |port| SocketAddr::from((Ipv4Addr::new(10, 0, 1, number as u8), port));
@@ -49,12 +51,12 @@
 pub async fn measure() -> Result<(), Failure> {
     let (_few, few_bytes) = {
         let region = Region::new(ALLOCATOR);
-        let node = node_of(0, ENTRIES / FEWER).await;
+        let node = node_of(0, ENTRIES / SIZE_DIVISOR).await;
         (node, live_bytes(&region))
     };
     let region = Region::new(ALLOCATOR);
     let parent = node_of(0, ENTRIES).await;
-    let slope = (live_bytes(&region) - few_bytes) / (ENTRIES - ENTRIES / FEWER) as f64;
+    let slope = (live_bytes(&region) - few_bytes) / (ENTRIES - ENTRIES / SIZE_DIVISOR) as f64;
     print("membership_bytes_per_entry", slope);
     let child = node_of(1, ENTRIES).await;
     let mut wire = (0, 0);
--- a/crates/proof/benches/outage/keys.rs
+++ b/crates/proof/benches/outage/keys.rs
@@ -136,7 +136,7 @@
     }
 }
 
-/// Measures all rates.
+/// Measures every fleet at every rate.
 pub async fn measure(seed: u64) -> Result<(), Failure> {
     println!("keys_length_s={}", RUN_TIME.as_secs());
     for fleet in FLEETS {
--- a/crates/proof/examples/faults.rs
+++ b/crates/proof/examples/faults.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::thread;
 
-/// Threads that run cells; each takes the next step that has not been taken.
+/// Threads that run cells; each runs the cells of the next step that no other has begun.
 const THREADS: usize = 4;
 
 fn main() -> ExitCode {
--- a/crates/proof/src/caller.rs
+++ b/crates/proof/src/caller.rs
@@ -1,4 +1,4 @@
-//! Callers of the fleet: over HTTP, with nothing but status, headers and body.
+//! Callers of the fleet. They derive outcomes only from status, headers and body of HTTP answers.
 
 use crate::backend::Lifecycle;
 use crate::entry::{SERVICE, TOKEN};
@@ -77,7 +77,7 @@
             CallKind::Key(key) => request.header(IDEMPOTENCY_KEY_HEADER, key),
             _ => request,
         };
-        request.body(Body::from(self.body.clone())).expect("fixed parts")
+        request.body(Body::from(self.body.clone())).expect("a valid request")
     }
 }
 
@@ -86,7 +86,7 @@
     Request::builder().method(method).uri(path).header(header::AUTHORIZATION, token)
 }
 
-/// Sends a call to an entry process and reads the whole answer.
+/// Sends a call to an entry process, reads the answer to its end and returns the outcome.
 pub async fn send(router: Router, lifecycle: Lifecycle, call: Call) -> CallOutcome {
     let exchange = async {
         let Ok(response) = router.oneshot(call.request()).await;
@@ -102,7 +102,8 @@
 /// Requests a ticket for a service call; `None` if the entry issues none or is killed.
 pub async fn request_ticket(router: Router, lifecycle: Lifecycle) -> Option<String> {
     let path = format!("{TICKETS_PATH}?service={SERVICE}");
-    let request = authorized_request(Method::POST, &path).body(Body::empty()).expect("fixed parts");
+    let request =
+        authorized_request(Method::POST, &path).body(Body::empty()).expect("a valid request");
     let exchange = async {
         let Ok(response) = router.oneshot(request).await;
         if response.status() != StatusCode::CREATED {
@@ -119,7 +120,7 @@
 }
 
 async fn read_outcome(response: Response) -> CallOutcome {
-    let is_plain = response.status().is_success();
+    let is_success = response.status().is_success();
     let outcome = response.headers().get(OUTCOME_HEADER).cloned();
     let outcome = outcome.as_ref().and_then(|value| value.to_str().ok()).unwrap_or("none");
     // An HTTP client reports a truncated body as an error; any other body is complete.
@@ -130,7 +131,7 @@
     match outcome {
         "complete" | "streaming" => CallOutcome::Complete(body),
         // Answers to requests that run no work have no outcome header.
-        "none" if is_plain => CallOutcome::Complete(body),
+        "none" if is_success => CallOutcome::Complete(body),
         "not-run" => CallOutcome::NotRun(text()),
         _ => CallOutcome::Unknown(text()),
     }
--- a/crates/proof/src/configuration/fleet.rs
+++ b/crates/proof/src/configuration/fleet.rs
@@ -29,7 +29,7 @@
 
 /// Number of control processes.
 pub const PROCESSES: usize = 5;
-const CENTRES: usize = 2;
+const DATA_CENTRES: usize = 2;
 /// The workspace whose deadline encodes which change is in force.
 const WORKSPACE: &str = "bibb-county";
 /// The smallest deadline that the documents allow; changes set larger ones.
@@ -122,7 +122,7 @@
     node: Node,
     lifecycle: Lifecycle,
     stop: CancellationToken,
-    highest: u64,
+    highest_revision: u64,
     /// Since when a reachable process has had a newer revision.
     behind_since: Option<Instant>,
 }
@@ -175,7 +175,7 @@
         Node::new(record, recorder)
     }
 
-    fn run(&mut self, process: usize, node: Node, highest: u64) {
+    fn run(&mut self, process: usize, node: Node, highest_revision: u64) {
         let own_address = address(process);
         let lifecycle = Lifecycle::default();
         lock(&self.topology).nodes.insert(own_address, (node.clone(), lifecycle.clone()));
@@ -193,7 +193,7 @@
         let stop = CancellationToken::new();
         tokio::spawn(lifecycle.clone().run(synchronizer.run(stop.clone())));
         self.processes[process] =
-            Some(RunningProcess { node, lifecycle, stop, highest, behind_since: None });
+            Some(RunningProcess { node, lifecycle, stop, highest_revision, behind_since: None });
     }
 
     /// Kills a process unless it is the last one.
@@ -279,7 +279,7 @@
 
     /// Checks the invariants that hold at any time.
     pub fn check(&mut self) -> Result<(), ConfigViolation> {
-        if self.mutation == Some(Mutation::OlderPeerTaken) {
+        if self.mutation == Some(Mutation::OlderRevisionAdopted) {
             self.adopt_from_older_peer();
         }
         if let Some(conflict) = self.oracle.conflict() {
@@ -321,7 +321,7 @@
         processes.map(|running| running.node.revision().0).max().unwrap_or(0)
     }
 
-    /// The mutation: a process that reaches an older one adopts its configuration.
+    /// The mutation: a process adopts the configuration of a reachable peer with an older revision.
     fn adopt_from_older_peer(&mut self) {
         let reachable = |process: usize| !self.is_unreachable(process);
         let revision = |running: &Option<RunningProcess>| {
@@ -336,11 +336,12 @@
             .find(|process| reachable(*process) && revisions[*process] > revisions[older]);
         let (Some(adopter), Some(peer)) = (adopter, &self.processes[older]) else { return };
         let replica = peer.node.replica();
-        let highest = self.processes[adopter].as_ref().map_or(0, |running| running.highest);
+        let highest_revision =
+            self.processes[adopter].as_ref().map_or(0, |running| running.highest_revision);
         self.end(adopter);
         let node = self.new_node(adopter);
         node.replace_if_newer(replica, ConfigSource::Peer);
-        self.run(adopter, node, highest);
+        self.run(adopter, node, highest_revision);
     }
 }
 
@@ -351,10 +352,14 @@
     oracle: &Oracle,
 ) -> Result<(), ConfigViolation> {
     let revision = running.node.revision().0;
-    if revision < running.highest {
-        return Err(ConfigViolation::Reverted { process, from: running.highest, to: revision });
+    if revision < running.highest_revision {
+        return Err(ConfigViolation::Reverted {
+            process,
+            from: running.highest_revision,
+            to: revision,
+        });
     }
-    running.highest = revision;
+    running.highest_revision = revision;
     let effective = running.node.effective().borrow().clone();
     let found =
         effective.workspace(WORKSPACE).map(|workspace| workspace.parameters.deadline_ms - BASE_MS);
@@ -384,15 +389,15 @@
     SocketAddr::from(([10, 0, 1, 1 + process as u8], 1))
 }
 
-fn centre(process: usize) -> String {
-    format!("dc-{}", process % CENTRES)
+fn data_centre(process: usize) -> String {
+    format!("dc-{}", process % DATA_CENTRES)
 }
 
 fn vm(process: usize) -> Vm {
     Vm {
         name: format!("vm-{process}"),
         ip: address(process).ip(),
-        data_centre: centre(process),
+        data_centre: data_centre(process),
         state: VmState::Live,
     }
 }
@@ -401,7 +406,7 @@
     MemberRecord {
         name: format!("entry-{process}"),
         vm: format!("vm-{process}"),
-        data_centre: centre(process),
+        data_centre: data_centre(process),
         region: "region".to_owned(),
         inner: address(process),
         callers: address(process),
--- a/crates/proof/src/configuration/machine.rs
+++ b/crates/proof/src/configuration/machine.rs
@@ -30,10 +30,11 @@
     KeyValueDown(bool),
     /// The key-value service becomes slow or fast again.
     KeyValueSlow(bool),
-    /// Its next answers are lost: how many, and whether after the effect.
+    /// The next answers of the key-value service are lost: how many, and whether after the calls
+    /// took effect.
     AnswersLost(usize, bool),
-    /// A watch misses events.
-    EventsSwallowed(usize),
+    /// The next events of the watches are dropped.
+    WatchEventsDropped(usize),
     /// All open watches go silent permanently.
     WatchesSilent,
     /// Time passes, in milliseconds.
@@ -63,7 +64,7 @@
             2 => any::<bool>().prop_map(KeyValueDown),
             1 => any::<bool>().prop_map(KeyValueSlow),
             2 => (1..4usize, any::<bool>()).prop_map(|(count, after)| AnswersLost(count, after)),
-            1 => (1..4usize).prop_map(EventsSwallowed),
+            1 => (1..4usize).prop_map(WatchEventsDropped),
             1 => Just(WatchesSilent),
             6 => prop_oneof![1..100u64, 500..3_000u64, 5_000..15_000u64].prop_map(Wait),
         ]
@@ -128,7 +129,7 @@
         ConfigStep::AnswersLost(count, false) => {
             fleet.kv.lose_answers(count, LostAnswer::BeforeEffect);
         }
-        ConfigStep::EventsSwallowed(count) => fleet.kv.drop_watch_events(count),
+        ConfigStep::WatchEventsDropped(count) => fleet.kv.drop_watch_events(count),
         ConfigStep::WatchesSilent => fleet.kv.silence_watches(),
         ConfigStep::Wait(_) => {}
     }
--- a/crates/proof/src/configuration/mod.rs
+++ b/crates/proof/src/configuration/mod.rs
@@ -1,5 +1,5 @@
 //! The configuration under faults: real control processes over an in-memory network and the fake
-//! key-value service, and an oracle that knows only the operators' answers and what is in force.
+//! key-value service, and an oracle that compares the operators' answers with what is in force.
 
 pub mod fleet;
 pub mod machine;
--- a/crates/proof/src/configuration/oracle.rs
+++ b/crates/proof/src/configuration/oracle.rs
@@ -21,9 +21,9 @@
         /// The revision it has in force now.
         to: u64,
     },
-    /// A process has a different value in force than was accepted under that revision.
+    /// A process has a value in force that is not the one accepted under its revision.
     #[error(
-        "process {process} has {found} in force at revision {revision}, not the accepted {wanted}"
+        "process {process} has {found} in force at revision {revision}, not the accepted {accepted}"
     )]
     OtherThanAccepted {
         /// Index of the process.
@@ -32,11 +32,13 @@
         revision: u64,
         /// The value it has in force.
         found: u64,
-        /// The value accepted.
-        wanted: u64,
+        /// The value accepted under the revision.
+        accepted: u64,
     },
-    /// A process lacks a revision for too long that others have.
-    #[error("process {process} at revision {revision} has lacked {newest} for {behind_ms} ms")]
+    /// A process has lacked a newer revision for [`IN_FORCE_LIMIT`] or longer.
+    #[error(
+        "process {process} at revision {revision} has lacked revision {newest} for {behind_ms} ms"
+    )]
     Behind {
         /// Index of the process.
         process: usize,
@@ -47,7 +49,7 @@
         /// How long a newer revision has been reachable, in milliseconds.
         behind_ms: u64,
     },
-    /// A change is in force whose operator got the answer that it is not accepted.
+    /// A change is in force although its operator got the answer that it is not accepted.
     #[error("process {process} has {value} in force, which was reported as not accepted")]
     NotAcceptedButInForce {
         /// Index of the process.
@@ -126,7 +128,8 @@
         self.lock().conflict.clone()
     }
 
-    /// Compares what a process has in force with what was accepted.
+    /// Checks that the value that a process has in force was accepted under its revision, and that
+    /// no operator got the answer that it is not accepted.
     pub fn check(
         &self,
         process: usize,
@@ -139,13 +142,13 @@
         {
             return Err(ConfigViolation::NotAcceptedButInForce { process, value });
         }
-        let (Some(wanted), Some(found)) = (state.accepted.get(&revision).copied(), found) else {
+        let (Some(accepted), Some(found)) = (state.accepted.get(&revision).copied(), found) else {
             return Ok(());
         };
-        if wanted == found {
+        if accepted == found {
             return Ok(());
         }
-        Err(ConfigViolation::OtherThanAccepted { process, revision, found, wanted })
+        Err(ConfigViolation::OtherThanAccepted { process, revision, found, accepted })
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
--- a/crates/proof/src/entry.rs
+++ b/crates/proof/src/entry.rs
@@ -33,11 +33,11 @@
 
 /// The only workspace of the world.
 pub const WORKSPACE: &str = "bibb-county";
-/// The token of its callers.
+/// Bearer token of the callers in [`WORKSPACE`].
 pub const TOKEN: &str = "token-of-bibb-county";
 /// The model that engines serve.
 pub const MODEL: &str = "callbox-7b";
-/// The service that plain services provide.
+/// The service that all plain services serve.
 pub const SERVICE: &str = "desk";
 /// Longest time that a request may wait for its answer to begin.
 pub const DEADLINE_MS: u64 = 10_000;
--- a/crates/proof/src/fuzz.rs
+++ b/crates/proof/src/fuzz.rs
@@ -117,8 +117,8 @@
 
 /// Configuration of a run; the environment overrides cases and seed.
 pub fn config(cases: u32, seed: u64) -> Config {
-    let asked = from_environment(CASES_VARIABLE).and_then(|cases| u32::try_from(cases).ok());
-    let cases = asked.unwrap_or(cases);
+    let requested = from_environment(CASES_VARIABLE).and_then(|cases| u32::try_from(cases).ok());
+    let cases = requested.unwrap_or(cases);
     let rng_seed = RngSeed::Fixed(seed_from_environment().unwrap_or(seed));
     Config { cases, rng_seed, failure_persistence: None, ..Config::default() }
 }
--- a/crates/proof/src/group/fleet.rs
+++ b/crates/proof/src/group/fleet.rs
@@ -54,19 +54,20 @@
     /// A step was run with two different maps.
     #[error("step {} was run with different maps: {:?}", .0.step, .0.maps)]
     MapMismatch(MapMismatch),
-    /// The group makes no steps and no rank is reported out of service.
-    #[error("the group makes no steps and no rank is out of service: {status:?}")]
+    /// After all faults have ended the group makes no steps, and no coordinator reports a rank out
+    /// of service.
+    #[error("the group makes no steps, and no rank is reported out of service: {status:?}")]
     Stalled {
         /// Status of each coordinator.
         status: Vec<GroupStatus>,
     },
-    /// A rank serves another version than the newest executed order says.
-    #[error("the rank serves version {found:?}; the newest executed order was {wanted:?}")]
+    /// A rank serves a version other than that of the newest executed order.
+    #[error("the rank serves version {found:?}; the newest executed order was for {expected:?}")]
     OtherVersion {
         /// The version that the rank serves.
         found: String,
         /// The version of the newest executed order.
-        wanted: String,
+        expected: String,
     },
     /// A new order is not executed although all faults have ended.
     #[error("a new order is not executed: {last}")]
@@ -213,7 +214,7 @@
         self.desired.send_replace(Some(map(number)));
     }
 
-    /// The engine of a rank.
+    /// The fake engine of a rank; it outlives the rank's agents.
     pub fn engine(&self, rank: usize) -> &FakeEngine {
         &self.shared.slots[rank].engine
     }
@@ -228,12 +229,12 @@
         *lock(&self.shared.silent_until) = Some(Instant::now() + SILENCE_LIMIT);
     }
 
-    /// The store of the group's record.
+    /// Reads and writes the group's record in the key-value service.
     pub fn records(&self) -> RecordStore {
         RecordStore::new(Arc::new(self.kv.clone()), GROUP)
     }
 
-    /// A link to the agents.
+    /// Creates a coordinator's link to the agents.
     pub fn link(&self) -> Link {
         Link(Arc::clone(&self.shared))
     }
@@ -352,7 +353,7 @@
     }
 
     /// The fault of this request, if any. Reads, loads and holds get none: they are so many that
-    /// they would use up nearly all faults, and they can do no harm.
+    /// they would use up nearly all faults, and none of them changes the map in use.
     fn next_fault(&self, request: &RankRequest) -> Option<CallFault> {
         match request.target.as_ref()? {
             OrderTarget::StageMap { .. } | OrderTarget::Hold { .. } => None,
--- a/crates/proof/src/group/machine.rs
+++ b/crates/proof/src/group/machine.rs
@@ -25,7 +25,7 @@
     ChangeMapWithFaults(u16, Vec<CallFault>),
     /// The next orders to ranks get these faults.
     CallFaults(Vec<CallFault>),
-    /// An engine loses its next order.
+    /// The next order to an engine gets this fault.
     InjectOrderFault(usize, OrderFault),
     /// An agent process is replaced.
     ReplaceAgent(usize),
@@ -45,7 +45,7 @@
     KeyValueDown(bool),
     /// The key-value service becomes slow or fast again.
     KeyValueSlow(bool),
-    /// Its next answer is lost; whether after the effect.
+    /// The next answer of the key-value service is lost; whether after the call took effect.
     AnswerLost(bool),
     /// Time passes, in milliseconds.
     Wait(u64),
@@ -71,7 +71,7 @@
             8 => (1..6u16, proptest::collection::vec(call_fault(), 3..13))
                 .prop_map(|(number, faults)| ChangeMapWithFaults(number, faults)),
             4 => proptest::collection::vec(call_fault(), 1..9).prop_map(CallFaults),
-            2 => (rank.clone(), lost_order()).prop_map(|(rank, lost)| InjectOrderFault(rank, lost)),
+            2 => (rank.clone(), order_fault()).prop_map(|(rank, fault)| InjectOrderFault(rank, fault)),
             1 => rank.clone().prop_map(ReplaceAgent),
             1 => (rank.clone(), any::<bool>()).prop_map(|(rank, paused)| PauseAgent(rank, paused)),
             1 => rank.clone().prop_map(CrashEngine),
@@ -111,7 +111,7 @@
     ]
 }
 
-fn lost_order() -> impl Strategy<Value = OrderFault> {
+fn order_fault() -> impl Strategy<Value = OrderFault> {
     prop_oneof![
         Just(OrderFault::AnswerLost),
         Just(OrderFault::RequestLost),
@@ -165,7 +165,7 @@
         GroupStep::CallFaults(ref faults) => {
             faults.iter().for_each(|fault| fleet.inject_fault(*fault))
         }
-        GroupStep::InjectOrderFault(rank, lost) => fleet.engine(rank).inject_order_fault(lost),
+        GroupStep::InjectOrderFault(rank, fault) => fleet.engine(rank).inject_order_fault(fault),
         GroupStep::ReplaceAgent(rank) => fleet.replace_agent(rank),
         GroupStep::PauseAgent(rank, paused) => fleet.pause_agent(rank, paused),
         GroupStep::CrashEngine(rank) => fleet.engine(rank).crash(),
--- a/crates/proof/src/lib.rs
+++ b/crates/proof/src/lib.rs
@@ -2,10 +2,10 @@
 //! clock, and compare the outcomes that callers get with what the backend servers executed.
 //!
 //! [`world`] holds a small fleet in one thread: real entries and agents, an in-memory network
-//! between them, fakes behind them. [`oracle`] knows only the callers' requests, their outcomes and
+//! between them, and fakes of all other services. [`oracle`] compares the callers' outcomes with
 //! what the backend servers executed. [`machine`] drives the world with random steps, and
 //! [`matrix`] injects every fault at every step. [`configuration`] and [`group`] do the same for
-//! the operators' configuration and for map switches. [`fuzz`] has the code that they share.
+//! the operators' configuration and for map switches. [`fuzz`] runs the random steps of all three.
 //! [`mutation`] lists known-wrong variants that the checks must detect.
 
 pub mod backend;
--- a/crates/proof/src/machine.rs
+++ b/crates/proof/src/machine.rs
@@ -126,7 +126,7 @@
     KeyValueDown(bool),
     /// The key-value service becomes slow or fast again.
     KeyValueSlow(bool),
-    /// The next answer of the key-value service is lost; whether after the effect.
+    /// The next answer of the key-value service is lost; whether after the call took effect.
     KeyValueAnswerLost(bool),
 }
 
--- a/crates/proof/src/matrix/control.rs
+++ b/crates/proof/src/matrix/control.rs
@@ -81,7 +81,7 @@
     value
 }
 
-/// Injects a fault while the change spreads; messages are those between processes.
+/// Injects a fault while the change is propagated; message faults hit messages between processes.
 fn inject_during_propagation(fleet: &mut ConfigFleet, fault: Fault) {
     match fault {
         Fault::EntryKilled => fleet.kill(0),
--- a/crates/proof/src/matrix/promise.rs
+++ b/crates/proof/src/matrix/expected.rs
@@ -23,7 +23,7 @@
     (Step::ChatStreaming, "B- C- B- B- C- C- C- C- C- C- C- C- B- B- C- xx xx"),
     (Step::ChatEnding, "B- C- B- B- C- C- C- C- C- C- C- C- B- B- C- xx xx"),
     (Step::StatusRunning, "B- C- U- C- C- C- C- C- C- C- C- C- C- C- C- xx xx"),
-    (Step::TicketTaken, "T- CC UC UC xx xx xx xx NC CC CC CC CC UU CC xx xx"),
+    (Step::TicketIssued, "T- CC UC UC xx xx xx xx NC CC CC CC CC UU CC xx xx"),
     (Step::TicketDispatched, "BC UU UC UC NC NC CC NC CC CC CC CC UU UU UU xx xx"),
     (Step::TicketRunning, "BC UU UC UC CC CC CC CC CC CC CC CC UU UU UU xx xx"),
     (Step::TicketCarriedOut, "BC UU UC UC CC CC CC CC CC CC CC CC UU UU UU xx xx"),
@@ -32,10 +32,10 @@
     (Step::KeyBound, "NC CC NC UC CC CC CC CC CC NC NC NC CC UU CC xx xx"),
     (Step::KeyCarriedOut, "BC UU UC UC CC CC CC CC CC CC CC CC UU UU UU xx xx"),
     (Step::KeySentAgain, "C- U- C- U- C- C- C- C- C- N- N- C- C- C- U- xx xx"),
-    (Step::LeaveTold, "B- C- B- B- C- C- C- C- C- C- C- C- B- B- C- xx xx"),
+    (Step::AgentLeaving, "B- C- B- B- C- C- C- C- C- C- C- C- B- B- C- xx xx"),
     (Step::AddressAsked, "BC CC CC CC xx xx xx xx CC CC CC CC CC CC CC xx xx"),
     (Step::ConfigurationWritten, "B- xx C- xx C- C- xx N- C- N- N- C- xx xx xx xx xx"),
-    (Step::ConfigurationSpreading, "C- xx C- xx C- C- C- C- C- C- C- C- xx xx xx xx xx"),
+    (Step::ConfigurationPropagating, "C- xx C- xx C- C- C- C- C- C- C- C- xx xx xx xx xx"),
     (Step::MapStaged, "xx N- xx N- C- C- C- C- N- N- C- C- N- N- N- N- N-"),
     (Step::MapHeld, "xx N- xx N- C- C- C- C- N- N- C- C- N- N- N- N- N-"),
     (Step::MapSwitched, "xx C- xx C- C- C- C- C- C- C- C- C- C- C- C- C- C-"),
@@ -49,13 +49,13 @@
         (_, Fault::CoordinatorKilled | Fault::CoordinatorPaused) => {
             "no group's coordinator takes part"
         }
-        (Step::TicketTaken | Step::AddressAsked, _) => {
+        (Step::TicketIssued | Step::AddressAsked, _) => {
             "the entry answers by itself; no message is sent"
         }
         (Step::ConfigurationWritten, Fault::MessageDuplicated) => {
             "the write is one call over TCP; only its sender repeats it, after a lost answer"
         }
-        (Step::ConfigurationWritten | Step::ConfigurationSpreading, _) => {
+        (Step::ConfigurationWritten | Step::ConfigurationPropagating, _) => {
             "no agent or backend server takes part"
         }
         (
@@ -70,7 +70,7 @@
     }
 }
 
-/// The cell of a step and a fault.
+/// Looks up what is expected when a fault occurs at a step.
 ///
 /// ```
 /// use flamingowheel_proof::matrix::{Cell, Fault, Outcome, Step, cell};
--- a/crates/proof/src/matrix/load.rs
+++ b/crates/proof/src/matrix/load.rs
@@ -35,7 +35,7 @@
 /// Time limit after the last fault for a new order to be executed.
 const RECOVERY_LIMIT: Duration = Duration::from_secs(30);
 /// Duration and interval of the final checks of the engine's version.
-const WATCH: (Duration, Duration) = (Duration::from_secs(60), Duration::from_millis(100));
+const FINAL_CHECKS: (Duration, Duration) = (Duration::from_secs(60), Duration::from_millis(100));
 
 const FIRST_VERSION: &str = "1";
 const SECOND_VERSION: &str = "2";
@@ -73,7 +73,7 @@
     if let Err(last) = last {
         return Err(GroupViolation::OrderNotExecuted { last: last.to_string() });
     }
-    scenario.watch().await?;
+    scenario.check_version_stays().await?;
     Ok(Observed { first: scenario.outcome(), resend: Some(Outcome::Complete) })
 }
 
@@ -129,15 +129,15 @@
 
     /// Checks that the newest executed order stays in effect, whatever else is in flight. A crashed
     /// engine restarts without a version.
-    async fn watch(&self) -> Result<(), GroupViolation> {
-        let (time, interval) = WATCH;
+    async fn check_version_stays(&self) -> Result<(), GroupViolation> {
+        let (time, interval) = FINAL_CHECKS;
         let end = Instant::now() + time;
         while Instant::now() < end {
             let found = self.fleet.engine(RANK).peek_state().version;
             if found != LAST_VERSION {
                 return Err(GroupViolation::OtherVersion {
                     found,
-                    wanted: LAST_VERSION.to_owned(),
+                    expected: LAST_VERSION.to_owned(),
                 });
             }
             sleep(interval).await;
@@ -164,7 +164,7 @@
             let unknown = matches!(first, Err(RankError::NoAnswer | RankError::EngineSilent));
             let _ = sender.send(first);
             if unknown {
-                // It does not know yet that it was replaced, so it tries again.
+                // The coordinator does not know yet that it was replaced, and retries.
                 let _ = order(&link, &stored, SECOND_VERSION).await;
             }
         };
--- a/crates/proof/src/matrix/mod.rs
+++ b/crates/proof/src/matrix/mod.rs
@@ -2,12 +2,12 @@
 //! them.
 
 mod control;
+mod expected;
 mod load;
-mod promise;
 pub mod report;
 pub mod run;
 
-pub use promise::{Cell, cell};
+pub use expected::{Cell, cell};
 
 /// The operation in progress when a fault is injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -21,7 +21,7 @@
     /// An idempotent service call is running.
     StatusRunning,
     /// A ticket is being requested.
-    TicketTaken,
+    TicketIssued,
     /// A call under a ticket was just dispatched.
     TicketDispatched,
     /// A call under a ticket is running and has had no effect yet.
@@ -39,13 +39,13 @@
     /// A finished call under a key is sent again.
     KeySentAgain,
     /// An agent is leaving while a stream runs.
-    LeaveTold,
+    AgentLeaving,
     /// A caller asks which entry addresses to use.
     AddressAsked,
     /// An operator's change is being written.
     ConfigurationWritten,
     /// An accepted change is being propagated to the other entries.
-    ConfigurationSpreading,
+    ConfigurationPropagating,
     /// The weights of a group's new map are being loaded.
     MapStaged,
     /// The group is being stopped for the new map.
@@ -59,13 +59,13 @@
 }
 
 impl Step {
-    /// All steps, in the order of the page.
+    /// All steps, in the order of the generated page.
     pub const ALL: [Self; 22] = [
         Self::ChatDispatched,
         Self::ChatStreaming,
         Self::ChatEnding,
         Self::StatusRunning,
-        Self::TicketTaken,
+        Self::TicketIssued,
         Self::TicketDispatched,
         Self::TicketRunning,
         Self::TicketCarriedOut,
@@ -74,10 +74,10 @@
         Self::KeyBound,
         Self::KeyCarriedOut,
         Self::KeySentAgain,
-        Self::LeaveTold,
+        Self::AgentLeaving,
         Self::AddressAsked,
         Self::ConfigurationWritten,
-        Self::ConfigurationSpreading,
+        Self::ConfigurationPropagating,
         Self::MapStaged,
         Self::MapHeld,
         Self::MapSwitched,
@@ -85,14 +85,14 @@
         Self::ModelLoadedUnfenced,
     ];
 
-    /// Text of the step on the page.
+    /// Heading of the step on the generated page, there with a capital letter.
     pub fn description(self) -> &'static str {
         match self {
             Self::ChatDispatched => "completion dispatched",
             Self::ChatStreaming => "stream half delivered",
             Self::ChatEnding => "stream about to end",
             Self::StatusRunning => "idempotent call running",
-            Self::TicketTaken => "ticket being taken",
+            Self::TicketIssued => "ticket being taken",
             Self::TicketDispatched => "ticketed call dispatched",
             Self::TicketRunning => "ticketed call running",
             Self::TicketCarriedOut => "ticketed call carried out, not answered",
@@ -101,10 +101,10 @@
             Self::KeyBound => "caller's key being bound",
             Self::KeyCarriedOut => "keyed call carried out, not answered",
             Self::KeySentAgain => "finished keyed call sent again",
-            Self::LeaveTold => "agent told to leave, stream running",
+            Self::AgentLeaving => "agent told to leave, stream running",
             Self::AddressAsked => "address question",
             Self::ConfigurationWritten => "configuration change being written",
-            Self::ConfigurationSpreading => "configuration change spreading",
+            Self::ConfigurationPropagating => "configuration change spreading",
             Self::MapStaged => "map switch, weights being loaded",
             Self::MapHeld => "map switch, group being stopped",
             Self::MapSwitched => "map switch, ranks being switched",
@@ -154,7 +154,7 @@
 }
 
 impl Fault {
-    /// All faults, in the order of the page.
+    /// All faults, in the order of the generated page.
     pub const ALL: [Self; 17] = [
         Self::EntryKilled,
         Self::AgentKilled,
@@ -175,7 +175,7 @@
         Self::CoordinatorPaused,
     ];
 
-    /// Text of the fault on the page.
+    /// Label of the fault in the tables of the generated page.
     pub fn description(self) -> &'static str {
         match self {
             Self::EntryKilled => "entry killed",
--- a/crates/proof/src/matrix/report.rs
+++ b/crates/proof/src/matrix/report.rs
@@ -100,7 +100,7 @@
 }
 
 fn outcome_text(step: Step, outcome: Outcome) -> &'static str {
-    let configuration = matches!(step, Step::ConfigurationWritten | Step::ConfigurationSpreading);
+    let configuration = matches!(step, Step::ConfigurationWritten | Step::ConfigurationPropagating);
     let load = matches!(step, Step::ModelLoaded | Step::ModelLoadedUnfenced);
     let map = matches!(step, Step::MapStaged | Step::MapHeld | Step::MapSwitched);
     match outcome {
--- a/crates/proof/src/matrix/run.rs
+++ b/crates/proof/src/matrix/run.rs
@@ -122,7 +122,7 @@
     faults: &[Fault],
 ) -> Option<Result<Observed, InvariantViolation>> {
     let observed = match step {
-        Step::ConfigurationWritten | Step::ConfigurationSpreading => {
+        Step::ConfigurationWritten | Step::ConfigurationPropagating => {
             return Some(control::change(step, faults).await.map_err(InvariantViolation::from));
         }
         Step::MapStaged | Step::MapHeld | Step::MapSwitched => control::switch(step, faults).await,
@@ -158,7 +158,10 @@
 }
 
 fn is_chat(step: Step) -> bool {
-    matches!(step, Step::ChatDispatched | Step::ChatStreaming | Step::ChatEnding | Step::LeaveTold)
+    matches!(
+        step,
+        Step::ChatDispatched | Step::ChatStreaming | Step::ChatEnding | Step::AgentLeaving
+    )
 }
 
 struct Scenario {
@@ -195,8 +198,8 @@
             Step::StatusRunning => {
                 self.request_with_fault(Kind::Status, fault, Duration::from_millis(200)).await;
             }
-            Step::LeaveTold => self.leave(fault).await,
-            Step::TicketTaken => self.request_ticket(fault).await,
+            Step::AgentLeaving => self.leave(fault).await,
+            Step::TicketIssued => self.request_ticket(fault).await,
             Step::TicketDispatched => self.ticket_with_fault(fault, Duration::ZERO).await,
             Step::TicketRunning => self.ticket_with_fault(fault, Duration::from_millis(200)).await,
             Step::TicketCarriedOut => {
@@ -210,7 +213,7 @@
             Step::AddressAsked => self.ask_addresses(fault).await,
             // Handled by `run_without_requests`.
             Step::ConfigurationWritten
-            | Step::ConfigurationSpreading
+            | Step::ConfigurationPropagating
             | Step::MapStaged
             | Step::MapHeld
             | Step::MapSwitched
@@ -318,7 +321,7 @@
         let body = self.body.clone();
         match self.step {
             Step::AddressAsked => return None,
-            Step::TicketTaken
+            Step::TicketIssued
             | Step::TicketDispatched
             | Step::TicketRunning
             | Step::TicketCarriedOut
--- a/crates/proof/src/mutation.rs
+++ b/crates/proof/src/mutation.rs
@@ -16,7 +16,7 @@
     /// A truncated stream counts as complete.
     TruncatedStreamAccepted,
     /// A process adopts the configuration of a peer that has an older revision.
-    OlderPeerTaken,
+    OlderRevisionAdopted,
     /// An agent checks an order's fencing number when the order arrives, but not again before it is
     /// written.
     FenceAtReceiptOnly,
--- a/crates/proof/src/relay.rs
+++ b/crates/proof/src/relay.rs
@@ -226,7 +226,7 @@
 }
 
 impl ToEntry {
-    /// Sends to the entry's end `to`.
+    /// `to` is the entry's end of the connection.
     pub fn new(to: mpsc::WeakUnboundedSender<Bytes>) -> Self {
         Self { chunks: HashMap::new(), to }
     }
--- a/crates/proof/src/world.rs
+++ b/crates/proof/src/world.rs
@@ -58,7 +58,7 @@
     pub network: Network,
     /// Shared by all processes.
     pub kv: FakeKeyValue,
-    /// Outlive their agents.
+    /// Services and engines; they outlive their agents.
     pub servers: Servers,
     /// Work and its outcomes.
     pub ledger: Ledger,
@@ -67,7 +67,7 @@
     late_work: Vec<LateWork>,
     sent: Vec<SentBodies>,
     mutation: Option<Mutation>,
-    started: usize,
+    submitted_count: usize,
 }
 
 impl World {
@@ -88,7 +88,7 @@
             late_work: Vec::new(),
             sent: (0..size.services + size.engines).map(|_| SentBodies::default()).collect(),
             mutation,
-            started: 0,
+            submitted_count: 0,
         };
         (0..world.servers.count()).for_each(|server| world.start_agent(server));
         for entry in 0..ENTRIES {
@@ -177,7 +177,7 @@
         self.kill_agent(server);
     }
 
-    /// The name of the agent that a ticket names.
+    /// Name of the agent that a ticket is bound to; `None` if the ticket is invalid.
     pub fn ticket_home(&self, ticket: &str) -> Option<String> {
         Ticket::from_text(ticket, &fleet_key()).ok().map(|ticket| ticket.agent)
     }
@@ -244,7 +244,7 @@
         }
     }
 
-    /// An entry process.
+    /// The newest process of an entry.
     pub fn entry(&self, entry: usize) -> &Entry {
         &self.entries[entry]
     }
@@ -267,7 +267,7 @@
 
     /// Submits non-idempotent work under a caller's idempotency key; returns its index.
     pub fn ask_with_key(&mut self, entry: usize, body: Bytes, timeout_ms: u64) -> usize {
-        let key = Some(format!("key-{}", self.started));
+        let key = Some(format!("key-{}", self.submitted_count));
         let submissions = Vec::new();
         let work = Work { kind: Kind::Order, body, ticket: None, key, submissions };
         self.submit_new(entry, work, timeout_ms)
@@ -280,8 +280,8 @@
         if at.leaving {
             return None;
         }
-        let taking = request_ticket(at.router.clone(), at.lifecycle.clone());
-        let ticket = tokio::time::timeout(START_TIME, taking).await.ok().flatten()?;
+        let request = request_ticket(at.router.clone(), at.lifecycle.clone());
+        let ticket = tokio::time::timeout(START_TIME, request).await.ok().flatten()?;
         let submissions = Vec::new();
         let work = Work { kind: Kind::Order, body, ticket: Some(ticket), key: None, submissions };
         Some(self.ledger.add(work))
@@ -301,7 +301,7 @@
     }
 
     fn submit_new(&mut self, entry: usize, work: Work, timeout_ms: u64) -> usize {
-        self.started += 1;
+        self.submitted_count += 1;
         self.record_late_work(&work.body);
         let index = self.ledger.add(work);
         self.submit(entry, index, false, timeout_ms);
--- a/crates/proof/tests/fuzz_configuration.rs
+++ b/crates/proof/tests/fuzz_configuration.rs
@@ -18,11 +18,11 @@
 // Checks that the oracle detects the loss of an accepted change: a process returns from a partition
 // with an older configuration and another process adopts it.
 #[test]
-fn fuzz_finds_older_peer_taken() {
+fn fuzz_finds_older_revision_adopted() {
     let (steps, violation) =
-        steps_until_found::<ConfigDriver>(Mutation::OlderPeerTaken, MAX_STEPS_TO_FIND, SEED)
+        steps_until_found::<ConfigDriver>(Mutation::OlderRevisionAdopted, MAX_STEPS_TO_FIND, SEED)
             .expect("mutation not detected");
-    println!("OlderPeerTaken: found after {steps} steps: {violation}");
+    println!("OlderRevisionAdopted: found after {steps} steps: {violation}");
 }
 
 fn assert_steps_hold(steps: &[ConfigStep]) {
@@ -38,10 +38,10 @@
 #[test]
 fn change_three_of_five_lost_service_slow() {
     let steps = [
-        ConfigStep::EventsSwallowed(1),
+        ConfigStep::WatchEventsDropped(1),
         ConfigStep::KeyValueDown(true),
         ConfigStep::Kill(4),
-        ConfigStep::EventsSwallowed(1),
+        ConfigStep::WatchEventsDropped(1),
         ConfigStep::Wait(5_000),
         ConfigStep::KeyValueDown(false),
         ConfigStep::Change(0),
--- a/crates/proof/tests/fuzz_decode.rs
+++ b/crates/proof/tests/fuzz_decode.rs
@@ -86,10 +86,10 @@
     #[test]
     fn fuzz_ticket_changed(changes in proptest::collection::vec(change(), 1..4)) {
         let key = FleetKey::new([1; 32]);
-        let whole = ticket().to_text(&key);
-        let mut bytes = whole.clone().into_bytes();
+        let original = ticket().to_text(&key);
+        let mut bytes = original.clone().into_bytes();
         changes.iter().for_each(|change| apply(&mut bytes, change));
-        if let Ok(text) = String::from_utf8(bytes) && !text.eq_ignore_ascii_case(&whole) {
+        if let Ok(text) = String::from_utf8(bytes) && !text.eq_ignore_ascii_case(&original) {
             prop_assert!(Ticket::from_text(&text, &key).is_err(), "{}", text);
         }
     }
--- a/crates/proof/tests/fuzz_memory.rs
+++ b/crates/proof/tests/fuzz_memory.rs
@@ -18,7 +18,7 @@
     line.split_whitespace().nth(1).unwrap().parse().unwrap()
 }
 
-// Guards against allocating terabytes for a few bytes that announce a huge length.
+// Guards against allocating terabytes for a few bytes that declare a huge length.
 fn decode_huge_lengths() {
     // Byte strings, texts, arrays and maps, in parallel.
     std::thread::scope(|scope| {
@@ -28,12 +28,12 @@
     });
 }
 
-/// Announces every power of two as the number of elements.
+/// Declares every power of two as the number of elements.
 fn decode_huge_lengths_of(major: u8) {
     for power in 0..64 {
         let mut head = vec![major];
         head.extend_from_slice(&(1u64 << power).to_be_bytes());
-        // By itself, as the batch, and at every position within one.
+        // Alone, as the messages of a batch, and inserted at every position of a valid batch.
         decode_all(&head);
         decode_all(&[&[0x82, 0x01][..], &head[..]].concat());
         for sample in samples() {
--- a/crates/proof/tests/group.rs
+++ b/crates/proof/tests/group.rs
@@ -10,8 +10,8 @@
 // order arrived.
 #[tokio::test(start_paused = true)]
 async fn switch_messages_slower_than_steps() {
-    let distance = Duration::from_millis(100);
-    let fleet = Fleet::start_with_latency(EngineKind::ChecksFence, None, distance).await;
+    let latency = Duration::from_millis(100);
+    let fleet = Fleet::start_with_latency(EngineKind::ChecksFence, None, latency).await;
     fleet.set_desired_map(2);
     sleep(Duration::from_secs(10)).await;
     assert_eq!(fleet.engine(0).peek_state().map_version, 2);
--- a/crates/proof/tests/intake.rs
+++ b/crates/proof/tests/intake.rs
@@ -64,8 +64,8 @@
 async fn intake_refusals_are_counted() {
     let world = World::start(None).await;
     for _ in 0..2 {
-        let stranger = request("POST", CHAT_PATH, "withdrawn").body(chat(MODEL)).unwrap();
-        send_refused(&world, stranger).await;
+        let unauthenticated = request("POST", CHAT_PATH, "withdrawn").body(chat(MODEL)).unwrap();
+        send_refused(&world, unauthenticated).await;
     }
     let model = request("POST", CHAT_PATH, TOKEN).body(chat("other")).unwrap();
     send_refused(&world, model).await;
--- a/crates/proof/tests/keys.rs
+++ b/crates/proof/tests/keys.rs
@@ -13,7 +13,7 @@
 // bind keys, and batch after batch waits for an answer. Each caller must get "not run" by its own
 // deadline, without waiting for earlier callers, and nothing may run.
 #[tokio::test(start_paused = true)]
-async fn ask_with_key_service_silent_told_by_deadline() {
+async fn ask_with_key_service_silent_not_run_by_deadline() {
     const CALLERS: usize = 900;
     let mut world = World::start(None).await;
     world.kv.set_delay(Duration::from_secs(3_600));
--- a/crates/proof/tests/poison.rs
+++ b/crates/proof/tests/poison.rs
@@ -46,7 +46,7 @@
     world.settle().await.unwrap();
 }
 
-// Guards against the same when the entry that suspects the request is replaced each time.
+// Guards against repeated crashes when the entry that suspects the request is replaced each time.
 #[tokio::test(start_paused = true)]
 async fn resend_poison_entry_replaced() {
     let mut world = world().await;
@@ -61,7 +61,7 @@
     assert!(crashes(&world) <= MAX_CRASHES, "{} crashes", crashes(&world));
 }
 
-// Guards against the same when each agent is replaced after its backend server crashed.
+// Guards against repeated crashes when each agent is replaced after its backend server crashed.
 #[tokio::test(start_paused = true)]
 async fn resend_poison_agents_replaced() {
     let mut world = world().await;
@@ -83,7 +83,7 @@
 #[tokio::test(start_paused = true)]
 async fn resend_poison_others_finish() {
     let mut world = world().await;
-    let bystanders: Vec<usize> = (0..3)
+    let others: Vec<usize> = (0..3)
         .map(|number| world.ask(0, Kind::Chat, chat(&format!("innocent {number}"), 60), 9_000))
         .collect();
     sleep(Duration::from_millis(500)).await;
@@ -91,10 +91,10 @@
     for resend in 0..4 {
         sleep(Duration::from_secs(8)).await;
         world.resend(resend % ENTRIES, poison, 9_000);
-        bystanders.iter().for_each(|work| world.resend(resend % ENTRIES, *work, 9_000));
+        others.iter().for_each(|work| world.resend(resend % ENTRIES, *work, 9_000));
     }
     world.settle().await.unwrap();
-    for work in bystanders {
+    for work in others {
         let submissions = world.ledger.get(work).unwrap().submissions;
         let last = &submissions.last().unwrap().outcome;
         assert!(matches!(last, CallOutcome::Complete(_)), "{last:?}");
--- a/crates/proof/tests/rebind.rs
+++ b/crates/proof/tests/rebind.rs
@@ -65,8 +65,8 @@
     assert_eq!(world.servers.started(BODY), 1);
 }
 
-// Guards against the same after the agent has shut down gracefully: its archive shows that it never
-// ran the work.
+// Guards against work that never runs after the agent has shut down gracefully: its archive shows
+// that it never ran the work.
 #[tokio::test(start_paused = true)]
 async fn resend_home_stopped_unused_runs_elsewhere() {
     let mut world = World::start(None).await;
--- a/crates/proof/tests/stop.rs
+++ b/crates/proof/tests/stop.rs
@@ -51,7 +51,8 @@
     assert_eq!(world.servers.started(b"payout 5"), 1);
 }
 
-// Guards against the same while the agent has no replacement yet.
+// Guards against "unknown" for a resend after a planned stop while the agent has no replacement
+// yet.
 #[tokio::test(start_paused = true)]
 async fn resend_after_planned_stop_home_unreachable() {
     let mut world = World::start(None).await;
@@ -120,7 +121,7 @@
 // Guards against a caller that waits long for "unknown" when the key-value service goes silent
 // after the shutdown. The archive lookup may add at most one second.
 #[tokio::test(start_paused = true)]
-async fn resend_service_silent_told_unknown_soon() {
+async fn resend_service_silent_unknown_soon() {
     let mut world = World::start(None).await;
     let (work, server) = finished_order(&mut world, "payout 9").await;
     world.stop_agent(server).await;
