--- a/crates/gateway/tests/feed.rs
+++ b/crates/gateway/tests/feed.rs
@@ -59,8 +59,9 @@
     assert_eq!(to.head(now).revision, 8);
 }
 
-/// Two sources are at different revisions, and the one that lags answers last. Applied blindly, its
-/// delta would list a backend server again that has left, or bring an old configuration back.
+/// Two sources are at different revisions, and the one that lags answers last. If its delta were
+/// applied regardless of revisions, a deleted backend server would be listed again, or an old
+/// configuration restored.
 #[test]
 fn apply_delta_older_source() {
     let (ahead, behind, to) = (Mirror::default(), Mirror::default(), Mirror::default());
--- a/crates/group/src/gate.rs
+++ b/crates/group/src/gate.rs
@@ -56,7 +56,7 @@
     loaded: Option<Loaded>,
 }
 
-/// Sends a coordinator's orders to the agent's engine; the agent has no other way to do so.
+/// Sends a coordinator's orders to the agent's engine. All orders of the agent go through it.
 pub struct Gate<Engine> {
     engine: Engine,
     kind: EngineKind,
