--- a/crates/proof/src/group/gate.rs
+++ b/crates/proof/src/group/gate.rs
@@ -11,11 +11,11 @@
 use tokio::sync::Mutex;
 use tokio::time::sleep;
 
-/// An agent's gate.
+/// The gate of an agent process in the tests.
 pub enum AnyGate {
     /// The production gate.
     Real(Box<Gate<FakeEngine>>),
-    /// The mutation.
+    /// The gate of [`Mutation::FenceAtReceiptOnly`](crate::mutation::Mutation::FenceAtReceiptOnly).
     ReceiptOnly(ReceiptOnly),
 }
 
--- a/crates/proof/src/machine.rs
+++ b/crates/proof/src/machine.rs
@@ -19,7 +19,7 @@
 /// Delay of a slow key-value service; longer than its callers' timeout.
 const KEY_VALUE_DELAY: Duration = Duration::from_secs(2);
 
-/// One random step. Indices of work are taken modulo the number of pieces of work.
+/// One random step.
 #[derive(Clone, Debug)]
 pub enum Step {
     /// A caller asks for new work.
@@ -35,7 +35,7 @@
     Resend {
         /// Index of the entry.
         entry: usize,
-        /// Index of the work.
+        /// Index of the work, modulo the number of pieces of work.
         work: usize,
         /// Timeout for the start of the answer.
         timeout_ms: u64,
@@ -44,7 +44,7 @@
     Void {
         /// Index of the entry.
         entry: usize,
-        /// Index of the work.
+        /// Index of the work, modulo the number of pieces of work.
         work: usize,
     },
     /// The key-value service is down for a while; meanwhile an order under a caller's key is sent
--- a/crates/proof/src/network.rs
+++ b/crates/proof/src/network.rs
@@ -50,7 +50,7 @@
 pub struct Endpoint {
     /// Sent to an entry when a connection opens.
     pub hello: Hello,
-    /// Handle of its control task.
+    /// Handle of the process's control task, for commands, status and draining.
     pub handle: AgentHandle,
     /// Whether the process runs, is paused or was killed.
     pub lifecycle: Lifecycle,
@@ -124,7 +124,7 @@
         self.lock().links.iter().for_each(|link| link.silent.cancel());
     }
 
-    /// The mutation, if any.
+    /// The mutation that the relays apply, if any.
     pub fn mutation(&self) -> Option<Mutation> {
         self.lock().mutation
     }
--- a/crates/proof/src/servers.rs
+++ b/crates/proof/src/servers.rs
@@ -20,9 +20,9 @@
 /// How many backend servers a world has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Size {
-    /// Number of plain services.
+    /// Number of plain services; they have the lowest indices.
     pub services: usize,
-    /// Number of engines.
+    /// Number of engines; their indices follow those of the services.
     pub engines: usize,
 }
 
--- a/crates/proof/src/world.rs
+++ b/crates/proof/src/world.rs
@@ -23,13 +23,13 @@
 use tokio::task::AbortHandle;
 use tokio::time::{Instant, sleep};
 
-/// Number of entries.
+/// Number of entries in a world.
 pub const ENTRIES: usize = 2;
 /// Time after which a leaving backend server must get no new work.
 const LEAVE_LIMIT: Duration = Duration::from_secs(2);
 /// Time from the end of a process to the start of its replacement.
 pub const RESTART_TIME: Duration = Duration::from_secs(1);
-/// Time for connections to open at the start.
+/// Time that a starting world waits for connections to open, and limit of a ticket request.
 const START_TIME: Duration = Duration::from_secs(1);
 /// Time after which nothing sent earlier can arrive or run: messages are delayed by at most 12 s,
 /// calls take at most 4 s.
