--- a/crates/backing/tests/fake_engine.rs
+++ b/crates/backing/tests/fake_engine.rs
@@ -48,7 +48,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn call_streams_whole_answer() {
+async fn call_streams_complete_answer() {
     let engine = FakeEngine::new(1, EngineSettings::default());
     let (events, end) = read(engine.call(call("a", "lamp 7 out")).await.unwrap()).await;
     assert_eq!(events, whole_stream(b"lamp 7 out", 8));
--- a/crates/flamingowheel/src/commands/apply.rs
+++ b/crates/flamingowheel/src/commands/apply.rs
@@ -1,4 +1,4 @@
-//! `apply`: changes documents and, if asked to, waits until the change is in force.
+//! `apply`: changes documents and, if requested, waits until the change is in force.
 
 use std::fmt::Write;
 use std::time::Duration;
--- a/crates/flamingowheel/src/commands/timeline.rs
+++ b/crates/flamingowheel/src/commands/timeline.rs
@@ -35,7 +35,7 @@
 #[derive(Clone, Deserialize)]
 struct Process {
     name: String,
-    /// Absent if the answering entry does not know it.
+    /// Absent if the answering entry has no address for it.
     #[serde(default)]
     operators_address: Option<SocketAddr>,
 }
--- a/crates/flamingowheel/src/config.rs
+++ b/crates/flamingowheel/src/config.rs
@@ -103,7 +103,7 @@
         /// The parser's error.
         source: MalformedChangeId,
     },
-    /// `get` does not know this kind of document.
+    /// `get` does not support this kind of document.
     #[error("`{0}` can't be shown; say templates or workspaces")]
     Kind(String),
     /// A document's name is not valid.
--- a/crates/flamingowheel/tests/tool/commands.rs
+++ b/crates/flamingowheel/tests/tool/commands.rs
@@ -307,7 +307,7 @@
 }
 
 // If no entry can list the processes, as may happen during a failure, the addresses that the operator
-// named must still be asked.
+// named must still be queried.
 #[tokio::test]
 async fn timeline_without_process_list_asks_named_entries() {
     let events = json!({
--- a/crates/flamingowheel/tests/tool/contract.rs
+++ b/crates/flamingowheel/tests/tool/contract.rs
@@ -124,7 +124,7 @@
     let status = run_line("status", &entries).await;
     assert!(status.contains("configuration: revision 1"), "{status}");
     assert!(status.contains("processes: 1 live, 0 leaving, 0 silent"), "{status}");
-    // Both the process list and the operator name the entry, but it must be asked only once.
+    // Both the process list and the operator name the entry, but it must be queried only once.
     let timeline = run_line("timeline --since 1h", &entries).await;
     assert_eq!(timeline.matches("lease runners-a lost").count(), 1, "{timeline}");
     assert!(timeline.contains("accepted as revision 1"), "{timeline}");
--- a/crates/flamingowheel/tests/tool/handbook.rs
+++ b/crates/flamingowheel/tests/tool/handbook.rs
@@ -76,8 +76,8 @@
     for line in lines {
         let arguments =
             words(&line).into_iter().skip(1).map(fill_placeholder).map(Into::into).collect();
-        let Ok(Invocation::Run(typed)) = parse(arguments) else { panic!("{line}") };
-        if let Err(error) = Config::new(*typed, &environment) {
+        let Ok(Invocation::Run(args)) = parse(arguments) else { panic!("{line}") };
+        if let Err(error) = Config::new(*args, &environment) {
             panic!("{line}: {error}");
         }
     }
--- a/crates/flamingowheel/tests/tool/reference.rs
+++ b/crates/flamingowheel/tests/tool/reference.rs
@@ -101,17 +101,17 @@
 
 #[test]
 fn reference_lists_headers() {
-    let named = |section| -> BTreeSet<&str> {
+    let header_names = |section| -> BTreeSet<&str> {
         let names = rows(section).map(|row| row[0]);
         names.filter(|name| name.contains('-') && !name.contains("--")).collect()
     };
     let headers = constants("_HEADER");
     assert!(headers.contains(callers::OUTCOME_HEADER) && headers.len() > 5, "{headers:?}");
-    let answered = named(section("### What became of a request", "An answer without"));
-    let asked = named(section("### What a request may say", "### "));
-    assert_eq!(&answered | &asked, headers);
-    assert!(answered.contains(callers::OUTCOME_HEADER), "{answered:?}");
-    assert!(asked.contains(callers::IDEMPOTENCY_KEY_HEADER), "{asked:?}");
+    let answer_headers = header_names(section("### What became of a request", "An answer without"));
+    let request_headers = header_names(section("### What a request may say", "### "));
+    assert_eq!(&answer_headers | &request_headers, headers);
+    assert!(answer_headers.contains(callers::OUTCOME_HEADER), "{answer_headers:?}");
+    assert!(request_headers.contains(callers::IDEMPOTENCY_KEY_HEADER), "{request_headers:?}");
 }
 
 /// Reads the error codes from the source, where each is the second of a pair with the status.
@@ -126,10 +126,10 @@
     let codes = codes_in_code();
     assert!(codes.len() > 10, "{codes:?}");
     let table = section("| status | code |", "### ");
-    let numbered = rows(table).filter(|row| row[0].parse::<u16>().is_ok());
-    let numbered: Vec<_> = numbered.map(|row| (row[1], row[2])).collect();
-    let listed: BTreeSet<&str> = numbered.iter().map(|(code, _)| *code).collect();
+    let code_rows = rows(table).filter(|row| row[0].parse::<u16>().is_ok());
+    let code_rows: Vec<_> = code_rows.map(|row| (row[1], row[2])).collect();
+    let listed: BTreeSet<&str> = code_rows.iter().map(|(code, _)| *code).collect();
     assert_eq!(listed, codes);
     // A code may belong to two outcomes, but must not be listed twice for one.
-    assert_eq!(numbered.iter().collect::<BTreeSet<_>>().len(), numbered.len());
+    assert_eq!(code_rows.iter().collect::<BTreeSet<_>>().len(), code_rows.len());
 }
--- a/crates/flamingowheel/tests/tool/settings.rs
+++ b/crates/flamingowheel/tests/tool/settings.rs
@@ -9,7 +9,7 @@
 const PAGE: &str = include_str!("../../../../docs/operations/settings.md");
 
 /// Fields in the page's table under a heading.
-fn listed(heading: &str) -> BTreeSet<&'static str> {
+fn documented_fields(heading: &str) -> BTreeSet<&'static str> {
     let (_, rest) = PAGE.split_once(&format!("\n### {heading}\n")).expect("the heading");
     let section = rest.split("\n#").next().unwrap_or(rest);
     let rows = section.lines().filter_map(|line| line.strip_prefix("| `"));
@@ -35,7 +35,7 @@
 fn assert_lists(heading: &str, fields: &BTreeSet<String>) {
     assert!(fields.len() > 1, "{heading}: {fields:?}");
     let fields: BTreeSet<&str> = fields.iter().map(String::as_str).collect();
-    assert_eq!(listed(heading), fields, "{heading}");
+    assert_eq!(documented_fields(heading), fields, "{heading}");
 }
 
 #[test]
--- a/crates/flamingowheeld/src/cli.rs
+++ b/crates/flamingowheeld/src/cli.rs
@@ -32,7 +32,7 @@
   3 settings refused  4 address in use   5 the demo failed
 ";
 
-/// What the command line asks for.
+/// Action selected by the command line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
     /// Print the help text.
--- a/crates/flamingowheeld/src/discovery.rs
+++ b/crates/flamingowheeld/src/discovery.rs
@@ -25,7 +25,7 @@
 /// within two minutes.
 const MAX_PROBES: usize = 64;
 
-/// How long a new entry waits to learn of the other entries before it links to many agents.
+/// How long a new entry waits to discover the other entries before it links to many agents.
 const STARTUP_GRACE: Duration = Duration::from_secs(10);
 
 /// Longest time to connect to the agent of a leaving VM.
@@ -72,8 +72,8 @@
                 targets.computed_from = None;
             }
             self.update_links(&mut targets, &book, is_small);
-            // A new entry of a large fleet does not know the other entries yet and would link to
-            // every agent.
+            // A new entry of a large fleet has not discovered the other entries yet and would link
+            // to every agent.
             let is_new = started.elapsed() < STARTUP_GRACE && targets.vms.len() > MAX_LINKS;
             if !targets.vms.is_empty() && !is_new {
                 self.agents.set_vms(&targets.vms);
--- a/crates/flamingowheeld/tests/discovery.rs
+++ b/crates/flamingowheeld/tests/discovery.rs
@@ -205,7 +205,7 @@
     Vm { name, ip: agent_ip(number).into(), data_centre, state }
 }
 
-// The peers are silent from the start, so this entry learns of no agent from them. It must still
+// The peers are silent from the start, so this entry gets no agents from them. It must still
 // find all agents in its own turns, and link only to those of its cells.
 #[tokio::test(start_paused = true)]
 async fn run_peers_silent_finds_agents() {
--- a/crates/flamingowheeld/tests/keys.rs
+++ b/crates/flamingowheeld/tests/keys.rs
@@ -61,7 +61,7 @@
 // can't bind keys; the forwarding entry must not take its answer for a bound key.
 #[tokio::test]
 async fn forward_binds_key_at_writer() {
-    let own = NAMES.into_iter().find(|own| writer_of(own, NAMES) != *own).unwrap();
+    let own = NAMES.into_iter().find(|name| writer_of(name, NAMES) != *name).unwrap();
     let listener = TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
     let address = listener.local_addr().unwrap();
     let records = NAMES.map(|name| record(name, address));
--- a/crates/flamingowheeld/tests/platform.rs
+++ b/crates/flamingowheeld/tests/platform.rs
@@ -56,9 +56,9 @@
 
     /// Reads log lines until one whose message begins with `message`.
     fn wait_for(&mut self, message: &str) {
-        let wanted = format!("\"message\":\"{message}");
+        let expected = format!("\"message\":\"{message}");
         let mut line = String::new();
-        while !line.contains(&wanted) {
+        while !line.contains(&expected) {
             line.clear();
             assert_ne!(self.lines.read_line(&mut line).unwrap(), 0, "no line says {message}");
         }
--- a/crates/flamingowheeld/tests/processes/fleet.rs
+++ b/crates/flamingowheeld/tests/processes/fleet.rs
@@ -219,7 +219,7 @@
         self.entries[usize::from(number)] = self.start_entry(number);
     }
 
-    /// Waits until an entry has a configuration in force and sees every process live.
+    /// Waits until an entry has a configuration in force and reports every process as live.
     pub async fn wait_ready(&self, number: u8) -> StatusAnswer {
         let mut found = None;
         wait_until("the entry serves", async || {
@@ -258,8 +258,8 @@
     pub async fn request_ticket(&self, entry: u8) -> String {
         let path = format!("/v1/tickets?service={SERVICE}");
         let address = self.entry(entry);
-        let asked = self.caller.call(Method::POST, address, &path, &[], Default::default());
-        let reply = timeout(TIMEOUT, asked).await.expect("an answer in time").unwrap();
+        let request = self.caller.call(Method::POST, address, &path, &[], Default::default());
+        let reply = timeout(TIMEOUT, request).await.expect("an answer in time").unwrap();
         let issued: IssuedTicket = serde_json::from_slice(&reply.body).unwrap();
         issued.ticket
     }
--- a/crates/observe/src/event.rs
+++ b/crates/observe/src/event.rs
@@ -184,7 +184,7 @@
     /// A revision older than the one in force was received and ignored.
     OlderConfigurationRefused { revision: u64, in_force: u64 },
 
-    /// This process sees another process in a new state.
+    /// This process recorded a new state of another process.
     MemberChanged { member: Name, state: MemberState },
     /// This process began to leave and accepts no new work.
     LeaveBegan { cause: LeaveCause, requests: u32 },
--- a/crates/observe/src/kv.rs
+++ b/crates/observe/src/kv.rs
@@ -60,13 +60,13 @@
     /// Records an event only when an outage begins: calls fail many times a second while it lasts.
     fn record_down(&self, error: &KeyValueError) {
         self.recorder.metrics().count_kv_error();
-        let began = {
+        let is_new_outage = {
             let mut down_since = self.down_since.lock().unwrap_or_else(PoisonError::into_inner);
-            let began = down_since.is_none();
+            let is_new_outage = down_since.is_none();
             down_since.get_or_insert_with(Instant::now);
-            began
+            is_new_outage
         };
-        if began {
+        if is_new_outage {
             self.recorder.record(Event::KeyValueDown { error: error.to_string().into() });
         }
     }
--- a/crates/observe/src/reason.rs
+++ b/crates/observe/src/reason.rs
@@ -164,7 +164,7 @@
         Shed = "shed",
         /// No backend server serves it.
         NoneServes = "none_serves",
-        /// Every agent asked refused it.
+        /// Every agent that was tried refused it.
         RefusedByAll = "refused_by_all",
         /// It was cancelled before its start.
         CancelledBeforeStart = "cancelled_before_start",
--- a/crates/observe/src/timeline.rs
+++ b/crates/observe/src/timeline.rs
@@ -107,7 +107,7 @@
         .map(|event| StampedEvent::clone(event))
         .collect();
     events.sort_by(|a, b| a.order_key().cmp(&b.order_key()));
-    // A process with two addresses may have been asked twice.
+    // A process with two addresses may have been queried twice.
     events.dedup_by(|a, b| a.order_key() == b.order_key());
     events
 }
--- a/crates/soak/tests/checks.rs
+++ b/crates/soak/tests/checks.rs
@@ -18,10 +18,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fault {
     None,
-    SendsTwice,
-    RefusesAfterwards,
-    CutsShort,
-    Denies,
+    DuplicatesRequest,
+    RefusesAfterRun,
+    TruncatesAnswer,
+    RejectsRequest,
 }
 
 #[derive(Clone)]
@@ -41,15 +41,15 @@
 
 async fn handle(State(entry): State<Entry>, request: Request) -> Response {
     let (path, headers) = (request.uri().path().to_owned(), request.headers().clone());
-    if entry.fault == Fault::Denies {
+    if entry.fault == Fault::RejectsRequest {
         return StatusCode::NOT_FOUND.into_response();
     }
     let mut answer = entry.forward(&path, &headers).await;
     match entry.fault {
-        Fault::SendsTwice => answer = entry.forward(&path, &headers).await,
-        Fault::RefusesAfterwards => return StatusCode::SERVICE_UNAVAILABLE.into_response(),
-        Fault::CutsShort => answer.body.truncate(5),
-        Fault::None | Fault::Denies => {}
+        Fault::DuplicatesRequest => answer = entry.forward(&path, &headers).await,
+        Fault::RefusesAfterRun => return StatusCode::SERVICE_UNAVAILABLE.into_response(),
+        Fault::TruncatesAnswer => answer.body.truncate(5),
+        Fault::None | Fault::RejectsRequest => {}
     }
     answer.headers.remove(http::header::TRANSFER_ENCODING);
     answer.headers.remove(http::header::CONTENT_LENGTH);
@@ -62,7 +62,7 @@
     (listener, address)
 }
 
-/// Runs one caller against one entry with this fault until it has a few answers.
+/// Runs one caller against one entry with this fault until it has at least 8 answers.
 async fn run_caller(fault: Fault) -> Tally {
     let run_counter = RunCounter::default();
     let (listener, address) = listen().await;
@@ -92,25 +92,25 @@
 
 #[tokio::test]
 async fn run_work_sent_twice() {
-    let tally = run_caller(Fault::SendsTwice).await;
+    let tally = run_caller(Fault::DuplicatesRequest).await;
     assert!(tally.violations.iter().any(|v| matches!(v, Violation::RanTwice { runs: 2, .. })));
 }
 
 #[tokio::test]
 async fn run_refused_though_it_ran() {
-    let tally = run_caller(Fault::RefusesAfterwards).await;
+    let tally = run_caller(Fault::RefusesAfterRun).await;
     assert!(tally.violations.iter().any(|v| matches!(v, Violation::FalseRefusal { .. })));
 }
 
 #[tokio::test]
 async fn run_partial_answer_as_success() {
-    let tally = run_caller(Fault::CutsShort).await;
+    let tally = run_caller(Fault::TruncatesAnswer).await;
     assert!(tally.violations.iter().any(|v| matches!(v, Violation::WrongAnswer { .. })));
 }
 
 #[tokio::test]
 async fn run_valid_request_denied() {
-    let tally = run_caller(Fault::Denies).await;
+    let tally = run_caller(Fault::RejectsRequest).await;
     assert!(tally.violations.iter().any(|v| matches!(v, Violation::Denied { status: 404, .. })));
 }
 
@@ -124,15 +124,15 @@
     let proxy = Proxy::start(address).await.unwrap();
     let limits = HttpLimits { head_timeout_ms: 200, ..HttpLimits::default() };
     let client = HttpClient::new(proxy.address.to_string().parse().unwrap(), limits);
-    let ask = || async {
+    let send_request = || async {
         let request = client.request(http::Method::POST, "/x");
         client.fetch(request.body(Default::default()).unwrap(), Reuse::Never).await
     };
-    assert!(ask().await.is_ok());
+    assert!(send_request().await.is_ok());
     proxy.set_fault(LinkFault::Silence);
-    let silent = ask().await.unwrap_err();
+    let silent = send_request().await.unwrap_err();
     assert!(matches!(silent, flamingowheel_backing::client::http::HttpError::Silent { .. }));
     proxy.set_fault(LinkFault::Reset);
-    let reset = ask().await.unwrap_err();
+    let reset = send_request().await.unwrap_err();
     assert!(matches!(reset, flamingowheel_backing::client::http::HttpError::Lost));
 }
